--- a/crates/kumquatdrum_caller/src/admission.rs
+++ b/crates/kumquatdrum_caller/src/admission.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use kumquatdrum_daemon::body::Hold;
 use kumquatdrum_types::exchange::Head;
-use kumquatdrum_types::{Class, Refusal, RequestId, WorkspaceName};
+use kumquatdrum_types::{FailureClass, Refusal, RequestId, WorkspaceName};
 use serde::Serialize;
 use tokio::sync::mpsc;
 
@@ -69,7 +69,7 @@
     /// A fixed code.
     pub code: String,
     /// What the caller may conclude.
-    pub class: Class,
+    pub class: FailureClass,
     /// The same in plain English.
     pub message: String,
     /// When to come back, in milliseconds, where that is worth it.
@@ -174,7 +174,7 @@
         let (status, message) = words(refusal);
         Self {
             code: code(refusal),
-            class: Class::NotRun,
+            class: FailureClass::NotRun,
             message: message.to_owned(),
             retry_after_ms: retry_after.map(|wait| wait.as_millis() as u64),
             request,
--- a/crates/kumquatdrum_caller/src/routes.rs
+++ b/crates/kumquatdrum_caller/src/routes.rs
@@ -364,7 +364,7 @@
 /// The daemon ended without a last word, which no path should come to.
 fn lost(exchange: &Exchange) -> Problem {
     let mut problem = Problem::refused(Refusal::Draining, None, Some(exchange.request.clone()));
-    problem.class = kumquatdrum_types::Class::Unknown;
+    problem.class = kumquatdrum_types::FailureClass::Unknown;
     "internal".clone_into(&mut problem.code);
     problem.status = 500;
     problem.with_message("the daemon lost track of the request")
--- a/crates/kumquatdrum_daemon/src/flight/event.rs
+++ b/crates/kumquatdrum_daemon/src/flight/event.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use kumquatdrum_types::exchange::{Fault, Standing, Target};
+use kumquatdrum_types::exchange::{Fault, Status, Target};
 use kumquatdrum_types::{AttemptId, EndpointId, Refusal};
 
 /// What happened.
@@ -26,9 +26,9 @@
     /// The exchange ended otherwise.
     Fault(Fault),
     /// The engine said how the attempt stands.
-    Standing(Standing),
+    Status(Status),
     /// The engine confirmed a cancel and said how the attempt had stood.
-    Cancelled(Standing),
+    Cancelled(Status),
     /// The engine could not be asked.
     Unreachable,
     /// The budget for retries is used up.
--- a/crates/kumquatdrum_daemon/src/flight/machine.rs
+++ b/crates/kumquatdrum_daemon/src/flight/machine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use kumquatdrum_types::exchange::{Fault, Standing, State, Target};
+use kumquatdrum_types::exchange::{Fault, Stage, Status, Target};
 use kumquatdrum_types::{AttemptId, EndpointId, Moment, Refusal};
 
 use super::{Cause, Ending, Input, Output, Plan, Timing};
@@ -155,7 +155,7 @@
             Input::Accepted => self.progressed(now, |attempt| attempt.accepted = true),
             Input::Progress(tokens) => self.delivered_up_to(now, tokens),
             Input::Fault(fault) => self.fault(now, fault),
-            Input::Standing(standing) => self.standing(now, &standing),
+            Input::Status(standing) => self.standing(now, &standing),
             Input::Cancelled(standing) => self.cancelled(&standing),
             Input::Unreachable => self.unreachable(now),
             Input::PartLost => self.part_lost(),
@@ -230,13 +230,13 @@
             }
             Fault::NotStarted => self.elsewhere(),
             Fault::Rejected { status, body } => self.rejected(status, body),
-            Fault::Broken | Fault::Crossed if self.plan.resumable => {
+            Fault::Broken | Fault::WrongAttempt if self.plan.resumable => {
                 if let Some(attempt) = &mut self.attempt {
                     attempt.broken = true;
                 }
                 self.probe(now)
             }
-            Fault::Broken | Fault::Crossed => {
+            Fault::Broken | Fault::WrongAttempt => {
                 self.may_have_run = true;
                 self.elsewhere_if_repeatable()
             }
@@ -254,9 +254,9 @@
 
     /// An engine that is merely slow keeps its connection; one whose connection no longer brings
     /// what it generated gets a new one.
-    fn resume_where_cut(&mut self, attempt: &Attempt, standing: &Standing) -> Vec<Output> {
+    fn resume_where_cut(&mut self, attempt: &Attempt, standing: &Status) -> Vec<Output> {
         let carries = attempt.accepted && !attempt.broken;
-        let ended = standing.state == State::Finished;
+        let ended = standing.state == Stage::Finished;
         if carries && !ended && standing.tokens <= attempt.tokens {
             return Vec::new();
         }
@@ -280,7 +280,7 @@
         vec![output]
     }
 
-    fn standing(&mut self, now: Moment, standing: &Standing) -> Vec<Output> {
+    fn standing(&mut self, now: Moment, standing: &Status) -> Vec<Output> {
         let Some(attempt) = self.attempt.clone() else {
             return Vec::new();
         };
@@ -293,25 +293,25 @@
             return self.elsewhere_if_repeatable();
         }
         match standing.state {
-            State::NeverSeen if self.follows => self.give_up(Cause::EndpointLost),
-            State::NeverSeen => {
+            Stage::NeverSeen if self.follows => self.give_up(Cause::EndpointLost),
+            Stage::NeverSeen => {
                 // The first copy may still be on its way: the cancel bars it.
                 self.phase = Phase::Cancelling;
                 vec![Output::Cancel(attempt.target, attempt.id)]
             }
-            State::Waiting | State::Running | State::Finished => {
+            Stage::Waiting | Stage::Running | Stage::Finished => {
                 self.phase = Phase::Exchanging;
                 self.next_probe = now + self.timing.patience;
                 self.resume_where_cut(&attempt, standing)
             }
-            State::Failed | State::Cancelled => {
+            Stage::Failed | Stage::Cancelled => {
                 self.may_have_run = true;
                 self.elsewhere_if_repeatable()
             }
         }
     }
 
-    fn cancelled(&mut self, standing: &Standing) -> Vec<Output> {
+    fn cancelled(&mut self, standing: &Status) -> Vec<Output> {
         let same_boot = self
             .attempt
             .as_ref()
@@ -319,7 +319,7 @@
         match standing.state {
             _ if self.phase != Phase::Cancelling => Vec::new(),
             // The connection was at fault, and the engine is as good as any.
-            State::NeverSeen | State::Cancelled if same_boot && !standing.started => {
+            Stage::NeverSeen | Stage::Cancelled if same_boot && !standing.started => {
                 self.attempt = None;
                 self.place_again()
             }
--- a/crates/kumquatdrum_daemon/tests/flight_world.rs
+++ b/crates/kumquatdrum_daemon/tests/flight_world.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use kumquatdrum_daemon::flight::{Ending, Flight, Input, Output, Plan, Timing};
-use kumquatdrum_types::exchange::{Fault, Standing, State, Target};
+use kumquatdrum_types::exchange::{Fault, Stage, Status, Target};
 use kumquatdrum_types::{AttemptId, BootId, EndpointId, Moment, Refusal};
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -154,17 +154,17 @@
         found.expect("only what was dispatched is asked about")
     }
 
-    fn standing(&mut self, id: &AttemptId) -> Standing {
+    fn standing(&mut self, id: &AttemptId) -> Status {
         let boots = self.boots.clone();
         let copy = self.copy(id);
         let boot = BootId(boots[copy.engine]);
         let state = match copy.started {
-            Some(life) if life == boot && copy.cancelled => State::Cancelled,
-            Some(life) if life == boot && copy.tokens == TOKENS => State::Finished,
-            Some(life) if life == boot => State::Running,
-            _ => State::NeverSeen,
+            Some(life) if life == boot && copy.cancelled => Stage::Cancelled,
+            Some(life) if life == boot && copy.tokens == TOKENS => Stage::Finished,
+            Some(life) if life == boot => Stage::Running,
+            _ => Stage::NeverSeen,
         };
-        Standing {
+        Status {
             boot,
             state,
             tokens: copy.tokens,
@@ -188,7 +188,7 @@
             }
             return self.push(50, Input::Cancelled(standing));
         }
-        self.push(50, Input::Standing(standing));
+        self.push(50, Input::Status(standing));
     }
 
     fn resume(&mut self, id: &AttemptId, from: u64) {
--- a/crates/kumquatdrum_disk/src/blob.rs
+++ b/crates/kumquatdrum_disk/src/blob.rs
@@ -81,6 +81,6 @@
 }
 
 fn hash_of(bytes: &[u8]) -> [u8; HASH_BYTES] {
-    let hash = hash::mix(hash::feed(hash::START, bytes.iter().copied()));
+    let hash = hash::mix(hash::extend(hash::OFFSET_BASIS, bytes.iter().copied()));
     hash.to_le_bytes()
 }
--- a/crates/kumquatdrum_engine/src/engine.rs
+++ b/crates/kumquatdrum_engine/src/engine.rs
@@ -6,7 +6,7 @@
 
 use futures::Stream;
 use kumquatdrum_orders::{Answer as OrderAnswer, Order, Report};
-use kumquatdrum_types::exchange::{Call, Event, Standing, Target};
+use kumquatdrum_types::exchange::{Call, Event, Status, Target};
 use kumquatdrum_types::{AttemptId, BootId, HostId};
 use serde::{Deserialize, Serialize};
 
@@ -68,11 +68,11 @@
     fn resume(&self, target: &Target, attempt: &AttemptId, from: u64) -> Events;
 
     /// Asks over a new connection how an attempt stands.
-    fn probe(&self, target: &Target, attempt: &AttemptId) -> Answer<Standing>;
+    fn probe(&self, target: &Target, attempt: &AttemptId) -> Answer<Status>;
 
     /// Cancels an attempt over a new connection. The answer says how it stood; an attempt that
     /// was never seen never will be started.
-    fn cancel(&self, target: &Target, attempt: &AttemptId) -> Answer<Standing>;
+    fn cancel(&self, target: &Target, attempt: &AttemptId) -> Answer<Status>;
 
     /// Lists what runs for an owner.
     fn running(&self, target: &Target, owner: &HostId) -> Answer<Vec<Running>>;
--- a/crates/kumquatdrum_engine/src/http.rs
+++ b/crates/kumquatdrum_engine/src/http.rs
@@ -7,7 +7,7 @@
 use futures::stream::{self, StreamExt};
 use indexmap::IndexMap;
 use kumquatdrum_orders::{Order, Report};
-use kumquatdrum_types::exchange::{Call, Event, Fault, Head, Standing, Target, Usage};
+use kumquatdrum_types::exchange::{Call, Event, Fault, Head, Status, Target, Usage};
 use kumquatdrum_types::{AttemptId, HostId};
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
@@ -137,12 +137,7 @@
         })
     }
 
-    fn standing(
-        &self,
-        method: reqwest::Method,
-        target: &Target,
-        id: &AttemptId,
-    ) -> Answer<Standing> {
+    fn standing(&self, method: reqwest::Method, target: &Target, id: &AttemptId) -> Answer<Status> {
         let body = self.ask(method, target, &format!("/v1/attempts/{id}"));
         decoded(target, body)
     }
@@ -188,11 +183,11 @@
         follow(self.fresh.get(url), attempt.clone())
     }
 
-    fn probe(&self, target: &Target, attempt: &AttemptId) -> Answer<Standing> {
+    fn probe(&self, target: &Target, attempt: &AttemptId) -> Answer<Status> {
         self.standing(reqwest::Method::GET, target, attempt)
     }
 
-    fn cancel(&self, target: &Target, attempt: &AttemptId) -> Answer<Standing> {
+    fn cancel(&self, target: &Target, attempt: &AttemptId) -> Answer<Status> {
         self.standing(reqwest::Method::DELETE, target, attempt)
     }
 
@@ -282,7 +277,7 @@
     }
     let echoed = response.headers().get(ATTEMPT_HEADER);
     if echoed.is_none_or(|echo| echo.as_bytes() != attempt.as_str().as_bytes()) {
-        return fault(Fault::Crossed);
+        return fault(Fault::WrongAttempt);
     }
     let head = Head {
         status,
@@ -353,7 +348,7 @@
         let sse::Message { id, data } = message;
         match id {
             _ if data == END_MARKER => self.ended(Event::Finished),
-            _ if !self.is_own(&data) => self.ended(Event::Fault(Fault::Crossed)),
+            _ if !self.is_own(&data) => self.ended(Event::Fault(Fault::WrongAttempt)),
             Some(index) => Event::Token { index, data },
             None => summary(data),
         }
--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -8,9 +8,9 @@
 use kumquatdrum_daemon::flight::Ending;
 use kumquatdrum_setup::claim::Held;
 use kumquatdrum_setup::{Claim, ClaimAnswer, Failure, Settled, Settlement};
-use kumquatdrum_types::exchange::{State, Target};
+use kumquatdrum_types::exchange::{Stage, Target};
 use kumquatdrum_types::{
-    AttemptId, Class, IdempotencyKey, Moment, Refusal, RequestId, ServiceName, WorkspaceName,
+    AttemptId, FailureClass, IdempotencyKey, Moment, Refusal, RequestId, ServiceName, WorkspaceName,
 };
 use tokio::time::{Instant, sleep, timeout};
 
@@ -75,7 +75,7 @@
             Some(ClaimAnswer::Mismatch) => Claimed::Told(told(
                 "key_mismatch",
                 422,
-                Class::NotRun,
+                FailureClass::NotRun,
                 "the idempotency key belongs to another request",
             )),
             Some(ClaimAnswer::Full) | None => Claimed::Refused(Refusal::ClaimUnavailable, None),
@@ -122,7 +122,7 @@
             let standing = shell.engine.probe(&target, &attempt).await.ok()?;
             let lives = matches!(
                 standing.state,
-                State::Waiting | State::Running | State::Finished
+                Stage::Waiting | Stage::Running | Stage::Finished
             );
             lives.then_some((target, attempt))
         });
@@ -215,14 +215,14 @@
         Settled::Finished => told(
             "key_finished",
             409,
-            Class::Failed,
+            FailureClass::Failed,
             "the key's request ran to its end; its answer is no longer held",
         ),
         Settled::Running => {
             let mut problem = told(
                 "key_running",
                 409,
-                Class::Unknown,
+                FailureClass::Unknown,
                 "the key's request was dispatched and is not settled yet",
             );
             problem.retry_after_ms = Some(1_000);
@@ -231,7 +231,7 @@
         Settled::NotRun | Settled::Unknown => told(
             "key_unknown",
             409,
-            Class::Unknown,
+            FailureClass::Unknown,
             "the key's request was dispatched, and what became of it could not be learnt",
         ),
     }
@@ -246,7 +246,7 @@
     problem: Problem,
 ) -> Problem {
     let unclaimed = kumquatdrum_caller::admission::code(Refusal::ClaimUnavailable);
-    if problem.class != Class::NotRun || problem.code == unclaimed {
+    if problem.class != FailureClass::NotRun || problem.code == unclaimed {
         return problem;
     }
     match shell.control.key(workspace, key).await {
@@ -257,7 +257,7 @@
     }
 }
 
-fn told(code: &str, status: u16, class: Class, message: &str) -> Problem {
+fn told(code: &str, status: u16, class: FailureClass, message: &str) -> Problem {
     Problem {
         code: code.to_owned(),
         class,
--- a/crates/kumquatdrum_host/src/problem.rs
+++ b/crates/kumquatdrum_host/src/problem.rs
@@ -3,7 +3,7 @@
 use kumquatdrum_caller::Reply;
 use kumquatdrum_caller::admission::Problem;
 use kumquatdrum_daemon::flight::{Cause, Ending};
-use kumquatdrum_types::{Class, RequestId};
+use kumquatdrum_types::{FailureClass, RequestId};
 
 const BAD_GATEWAY: u16 = 502;
 const GATEWAY_TIMEOUT: u16 = 504;
@@ -31,12 +31,20 @@
             let problem = Problem::refused(refusal, retry_after, Some(request.clone()));
             Some(Reply::Problem(problem))
         }
-        Ending::Failed(cause) => Some(Reply::Problem(dispatched(Class::Failed, cause, request))),
-        Ending::Unknown(cause) => Some(Reply::Problem(dispatched(Class::Unknown, cause, request))),
+        Ending::Failed(cause) => Some(Reply::Problem(dispatched(
+            FailureClass::Failed,
+            cause,
+            request,
+        ))),
+        Ending::Unknown(cause) => Some(Reply::Problem(dispatched(
+            FailureClass::Unknown,
+            cause,
+            request,
+        ))),
     }
 }
 
-fn dispatched(class: Class, cause: Cause, request: &RequestId) -> Problem {
+fn dispatched(class: FailureClass, cause: Cause, request: &RequestId) -> Problem {
     let (code, status, message, relayed) = match cause {
         Cause::Deadline => (
             "deadline",
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -137,7 +137,7 @@
             Output::Dispatch(target, attempt) => self.dispatch(target, attempt),
             Output::Probe(target, attempt) => {
                 let asked = self.shell.engine.probe(&target, &attempt);
-                self.ask(async move { asked.await.map_or(Input::Unreachable, Input::Standing) });
+                self.ask(async move { asked.await.map_or(Input::Unreachable, Input::Status) });
             }
             Output::Cancel(target, attempt) => {
                 self.events = None;
@@ -430,7 +430,7 @@
                 self.pending = Some(Reply::Summary(data));
                 None
             }
-            Event::Piece(bytes) => {
+            Event::Chunk(bytes) => {
                 self.token();
                 self.pending = Some(Reply::Piece(bytes));
                 Some(Input::Progress(self.received))
--- a/crates/kumquatdrum_membership/src/key.rs
+++ b/crates/kumquatdrum_membership/src/key.rs
@@ -15,7 +15,7 @@
 impl Key {
     /// The key of an announcement.
     pub fn of(announcement: &Announcement) -> Self {
-        let mut fnv = Fnv(hash::START);
+        let mut fnv = Fnv(hash::OFFSET_BASIS);
         let _ = write!(
             fnv,
             "{}\0{}\0{}\0{}\0{}\0",
@@ -47,7 +47,7 @@
 
 /// A digest of a text, for rosters.
 pub(crate) fn digest(text: std::fmt::Arguments<'_>) -> u32 {
-    let mut fnv = Fnv(hash::START);
+    let mut fnv = Fnv(hash::OFFSET_BASIS);
     let _ = fnv.write_fmt(text);
     fold(mix(fnv.0))
 }
@@ -56,7 +56,7 @@
 
 impl Write for Fnv {
     fn write_str(&mut self, text: &str) -> std::fmt::Result {
-        self.0 = hash::feed(self.0, text.bytes());
+        self.0 = hash::extend(self.0, text.bytes());
         Ok(())
     }
 }
--- a/crates/kumquatdrum_placement/src/job.rs
+++ b/crates/kumquatdrum_placement/src/job.rs
@@ -38,7 +38,7 @@
     /// ```
     pub fn of(id: &EndpointId, incarnation: u64) -> Self {
         let bytes = id.as_str().bytes().chain(incarnation.to_le_bytes());
-        Self(hash::feed(hash::START, bytes))
+        Self(hash::extend(hash::OFFSET_BASIS, bytes))
     }
 }
 
--- a/crates/kumquatdrum_replay/src/client.rs
+++ b/crates/kumquatdrum_replay/src/client.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use futures::StreamExt;
-use kumquatdrum_types::Class;
+use kumquatdrum_types::FailureClass;
 use reqwest::header::{HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use reqwest::{Method, Response, StatusCode};
 use serde::Deserialize;
@@ -186,7 +186,7 @@
 #[derive(Debug, Deserialize)]
 struct Detail {
     code: Option<String>,
-    class: Option<Class>,
+    class: Option<FailureClass>,
     retry_after_ms: Option<u64>,
 }
 
--- a/crates/kumquatdrum_replay/src/outcome.rs
+++ b/crates/kumquatdrum_replay/src/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatdrum_types::{Class, Refusal};
+use kumquatdrum_types::{FailureClass, Refusal};
 use serde::{Deserialize, Serialize};
 
 use crate::trace::{Entry, Expectation};
@@ -23,12 +23,12 @@
     Crossed,
 }
 
-impl From<Class> for Outcome {
-    fn from(class: Class) -> Self {
+impl From<FailureClass> for Outcome {
+    fn from(class: FailureClass) -> Self {
         match class {
-            Class::NotRun => Self::NotRun,
-            Class::Failed => Self::Failed,
-            Class::Unknown => Self::Unknown,
+            FailureClass::NotRun => Self::NotRun,
+            FailureClass::Failed => Self::Failed,
+            FailureClass::Unknown => Self::Unknown,
         }
     }
 }
@@ -103,6 +103,6 @@
     let code = seen.code.as_deref().unwrap_or_default();
     let refusal: Option<Refusal> = serde_json::from_value(code.into()).ok();
     seen.outcome == Outcome::NotRun
-        && refusal.is_some_and(Refusal::is_worth_a_retry)
+        && refusal.is_some_and(Refusal::is_retryable)
         && seen.retry_after.is_none()
 }
--- a/crates/kumquatdrum_service/src/http.rs
+++ b/crates/kumquatdrum_service/src/http.rs
@@ -82,7 +82,7 @@
         content_type,
     };
     let pieces = response.bytes_stream().map(|piece| match piece {
-        Ok(bytes) => Event::Piece(bytes),
+        Ok(bytes) => Event::Chunk(bytes),
         Err(_) => Event::Fault(Fault::Broken),
     });
     stream::iter([Event::Accepted(head)])
--- a/crates/kumquatdrum_testing/src/engine/answer.rs
+++ b/crates/kumquatdrum_testing/src/engine/answer.rs
@@ -6,7 +6,7 @@
 use super::shared::{Source, Status};
 use super::wire;
 use crate::fault::Cut;
-use crate::model::State;
+use crate::model::Stage;
 use bytes::Bytes;
 use futures::stream::{self, Stream};
 
@@ -91,7 +91,7 @@
         let ended = status.state.has_ended() && self.sent >= status.tokens;
         match status.state {
             _ if !ended || self.cut.is_some() => {}
-            State::Finished => {
+            Stage::Finished => {
                 let end = self
                     .source
                     .form
--- a/crates/kumquatdrum_testing/src/engine/http.rs
+++ b/crates/kumquatdrum_testing/src/engine/http.rs
@@ -19,7 +19,7 @@
 use super::wire::{AttemptState, CacheEvents, Form, Holdings, Reservation, error};
 use super::{answer, orders};
 use crate::fault::Cut;
-use crate::model::{Attempt, Fate, Hold, HoldError, Model, Rejection, State};
+use crate::model::{Attempt, Fate, Hold, HoldError, Model, Rejection, Stage};
 use crate::relay::Connections;
 
 type Engine = Managed<Arc<Shared>>;
@@ -223,7 +223,7 @@
 fn attempt(id: &str, engine: &Engine) -> (Status, Json<AttemptState>) {
     let shown = show(&AttemptId::new(id), engine);
     let status = match shown.state {
-        State::NeverSeen => Status::NotFound,
+        Stage::NeverSeen => Status::NotFound,
         _ => Status::Ok,
     };
     (status, Json(shown))
--- a/crates/kumquatdrum_testing/src/engine/shared.rs
+++ b/crates/kumquatdrum_testing/src/engine/shared.rs
@@ -17,7 +17,7 @@
 use crate::control::Control;
 use crate::counters::{Counters, Counts};
 use crate::fault::{Fault, Faults};
-use crate::model::{Attempt, Model, Progress, Rejection, Request, State, Step};
+use crate::model::{Attempt, Model, Progress, Rejection, Request, Stage, Step};
 use crate::process;
 use crate::relay::Connections;
 
@@ -40,7 +40,7 @@
 /// How far an attempt has come, as its streams see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Status {
-    pub(super) state: State,
+    pub(super) state: Stage,
     pub(super) tokens: u32,
 }
 
@@ -166,7 +166,7 @@
         found.map_or_else(|| made_up(&source.id), named)
     }
 
-    pub(super) fn cancel(&self, id: &AttemptId) -> State {
+    pub(super) fn cancel(&self, id: &AttemptId) -> Stage {
         let mut core = self.core.lock();
         let state = core.model.cancel(id);
         let tokens = core.model.attempt(id).map_or(0, |attempt| attempt.tokens);
@@ -203,7 +203,7 @@
     pub(super) fn publish(&self, progress: &[Progress]) {
         let mut core: MutexGuard<'_, Core> = self.core.lock();
         for change in progress {
-            if change.state == State::Finished {
+            if change.state == Stage::Finished {
                 self.counters.finished();
             }
             let status = Status {
@@ -265,7 +265,7 @@
     fn open(&mut self, id: &AttemptId, form: Form) {
         let attempt = self.model.attempt(id);
         let status = Status {
-            state: attempt.map_or(State::NeverSeen, |attempt| attempt.state),
+            state: attempt.map_or(Stage::NeverSeen, |attempt| attempt.state),
             tokens: 0,
         };
         let status = watch::channel(status).0;
--- a/crates/kumquatdrum_testing/src/engine/wire.rs
+++ b/crates/kumquatdrum_testing/src/engine/wire.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::model::{Event, Hold, State};
+use crate::model::{Event, Hold, Stage};
 use crate::prompt;
 
 /// Which of the two completion interfaces an attempt uses.
@@ -43,9 +43,9 @@
 }
 
 /// The event of an answer that ends without being whole.
-pub(super) fn failure(id: &str, state: State) -> String {
+pub(super) fn failure(id: &str, state: Stage) -> String {
     let code = match state {
-        State::Cancelled => "cancelled",
+        Stage::Cancelled => "cancelled",
         _ => "deadline",
     };
     let error =
@@ -70,7 +70,7 @@
 pub(super) struct AttemptState {
     pub(super) id: String,
     pub(super) boot: BootId,
-    pub(super) state: State,
+    pub(super) state: Stage,
     pub(super) started: bool,
     pub(super) tokens: u32,
     pub(super) owner: String,
--- a/crates/kumquatdrum_testing/src/model.rs
+++ b/crates/kumquatdrum_testing/src/model.rs
@@ -11,7 +11,7 @@
 
 pub use attempt::{Attempt, Request};
 pub use cache::{Change, Event};
-pub use kumquatdrum_types::exchange::State;
+pub use kumquatdrum_types::exchange::Stage;
 pub use ledger::{Hold, HoldError};
 pub use options::Options;
 pub use scheduler::{Fate, Model, Progress, Rejection, Step};
--- a/crates/kumquatdrum_testing/src/model/attempt.rs
+++ b/crates/kumquatdrum_testing/src/model/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt of a request on an engine.
 
-use kumquatdrum_types::exchange::State;
+use kumquatdrum_types::exchange::Stage;
 use kumquatdrum_types::{AttemptId, Moment};
 
 /// What a caller asks of an engine.
@@ -34,7 +34,7 @@
     /// What was asked.
     pub request: Request,
     /// Where it stands.
-    pub state: State,
+    pub state: Stage,
     /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u64,
     /// Prompt tokens computed so far, cached ones among them.
@@ -51,7 +51,7 @@
     pub(super) fn new(request: Request, held_tokens: u64) -> Self {
         Self {
             request,
-            state: State::Waiting,
+            state: Stage::Waiting,
             cached_tokens: 0,
             computed_tokens: 0,
             tokens: 0,
--- a/crates/kumquatdrum_testing/src/model/scheduler.rs
+++ b/crates/kumquatdrum_testing/src/model/scheduler.rs
@@ -7,7 +7,7 @@
 use kumquatdrum_types::{AttemptId, Load, Moment};
 use thiserror::Error;
 
-use super::State;
+use super::Stage;
 use super::attempt::{Attempt, Request};
 use super::cache::{Cache, Event};
 use super::ledger::{Hold, HoldError, Ledger};
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fate {
     /// Where it stands.
-    pub state: State,
+    pub state: Stage,
     /// Whether it ever entered the batch.
     pub started: bool,
 }
@@ -45,7 +45,7 @@
     /// The attempt.
     pub id: AttemptId,
     /// Where it stands after the step.
-    pub state: State,
+    pub state: Stage,
     /// Tokens of its answer after the step.
     pub tokens: u32,
 }
@@ -64,7 +64,7 @@
 /// The engine.
 ///
 /// ```
-/// use kumquatdrum_testing::model::{Model, Options, Request, State};
+/// use kumquatdrum_testing::model::{Model, Options, Request, Stage};
 /// use kumquatdrum_types::{AttemptId, Moment};
 ///
 /// let mut model = Model::new(Options::default());
@@ -82,7 +82,7 @@
 /// };
 /// model.submit(Moment::ZERO, request).unwrap();
 /// assert_eq!(model.step(Moment::ZERO).progress[0].tokens, 1);
-/// assert_eq!(model.step(Moment::ZERO).progress[0].state, State::Finished);
+/// assert_eq!(model.step(Moment::ZERO).progress[0].state, Stage::Finished);
 /// assert_eq!(model.memory_used(), 0);
 /// ```
 #[derive(Debug)]
@@ -129,7 +129,7 @@
         let fate = self.fate(&request.id);
         let own_tokens = request.prompt_tokens + u64::from(request.max_tokens);
         match &request.reservation {
-            _ if fate.state != State::NeverSeen => return Err(Rejection::Known(fate)),
+            _ if fate.state != Stage::NeverSeen => return Err(Rejection::Known(fate)),
             None if own_tokens > self.options.memory_tokens => return Err(Rejection::TooLong),
             _ if self.waiting.len() >= self.options.queue_limit as usize => {
                 return Err(Rejection::Full);
@@ -140,7 +140,7 @@
             Some(id) => self.take_over(id)?,
             None => 0,
         };
-        self.remember(request.id.clone(), State::Waiting, false);
+        self.remember(request.id.clone(), Stage::Waiting, false);
         self.enqueue(&request);
         self.attempts
             .insert(request.id.clone(), Attempt::new(request, held));
@@ -169,7 +169,7 @@
         self.waiting.insert(place, request.id.clone());
     }
 
-    fn remember(&mut self, id: AttemptId, state: State, started: bool) {
+    fn remember(&mut self, id: AttemptId, state: Stage, started: bool) {
         self.known.insert(id, Fate { state, started });
         // The older half goes at once, as removing one by one would move all the others.
         if self.known.len() > 2 * self.options.known_limit {
@@ -204,7 +204,7 @@
             .cloned()
             .collect();
         for id in late {
-            self.end(&id, State::Failed);
+            self.end(&id, Stage::Failed);
             step.progress.push(self.progress(&id));
         }
     }
@@ -225,7 +225,7 @@
             }
             self.ledger.take(needed);
             attempt.held_tokens += needed;
-            attempt.state = State::Running;
+            attempt.state = Stage::Running;
             attempt.started = true;
             // At least one token is computed, so that the first answer token follows from it.
             let most = attempt.request.prompt_tokens.saturating_sub(1);
@@ -276,8 +276,8 @@
 
     fn retire(&mut self, step: &Step) {
         for progress in &step.progress {
-            if progress.state == State::Finished {
-                self.end(&progress.id, State::Finished);
+            if progress.state == Stage::Finished {
+                self.end(&progress.id, Stage::Finished);
             }
         }
     }
@@ -291,7 +291,7 @@
         }
     }
 
-    fn end(&mut self, id: &AttemptId, state: State) {
+    fn end(&mut self, id: &AttemptId, state: Stage) {
         let attempt = &mut self.attempts[id];
         attempt.state = state;
         // Ended attempts are kept for a while; a long prompt's block names are large.
@@ -310,15 +310,15 @@
     }
 
     /// Cancels an attempt; an unknown one is remembered, so that it is refused if it comes late.
-    pub fn cancel(&mut self, id: &AttemptId) -> State {
+    pub fn cancel(&mut self, id: &AttemptId) -> Stage {
         match self.fate(id).state {
-            State::NeverSeen => {
-                self.remember(id.clone(), State::Cancelled, false);
-                State::Cancelled
+            Stage::NeverSeen => {
+                self.remember(id.clone(), Stage::Cancelled, false);
+                Stage::Cancelled
             }
-            State::Waiting | State::Running => {
-                self.end(id, State::Cancelled);
-                State::Cancelled
+            Stage::Waiting | Stage::Running => {
+                self.end(id, Stage::Cancelled);
+                Stage::Cancelled
             }
             ended => ended,
         }
@@ -329,7 +329,7 @@
         let id = request.id.clone();
         self.submit(now, request)?;
         self.attempts[&id].started = true;
-        self.end(&id, State::Failed);
+        self.end(&id, Stage::Failed);
         Ok(())
     }
 
@@ -340,7 +340,7 @@
             started: attempt.started,
         });
         let never_seen = Fate {
-            state: State::NeverSeen,
+            state: Stage::NeverSeen,
             started: false,
         };
         kept.or_else(|| self.known.get(id).copied())
@@ -437,9 +437,9 @@
 fn emit(attempt: &mut Attempt) -> Progress {
     attempt.tokens += 1;
     let state = if attempt.tokens >= attempt.request.max_tokens {
-        State::Finished
+        Stage::Finished
     } else {
-        State::Running
+        Stage::Running
     };
     Progress {
         id: attempt.request.id.clone(),
--- a/crates/kumquatdrum_testing/tests/model.rs
+++ b/crates/kumquatdrum_testing/tests/model.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kumquatdrum_testing::model::{
-    Fate, Hold, HoldError, Model, Options, Rejection, Request, State,
+    Fate, Hold, HoldError, Model, Options, Rejection, Request, Stage,
 };
 use kumquatdrum_testing::prompt;
 use kumquatdrum_types::{AttemptId, Moment, digest};
@@ -49,7 +49,7 @@
         let ended = step.progress.into_iter();
         finished.extend(
             ended
-                .filter(|progress| progress.state == State::Finished)
+                .filter(|progress| progress.state == Stage::Finished)
                 .map(|progress| progress.id),
         );
     }
@@ -90,7 +90,7 @@
     model.submit(Moment::ZERO, request("a", 10, 1)).unwrap();
     run_out(&mut model);
     let finished = Fate {
-        state: State::Finished,
+        state: Stage::Finished,
         started: true,
     };
     let again = model.submit(Moment::ZERO, request("a", 10, 1));
@@ -100,9 +100,9 @@
 #[test]
 fn a_cancel_before_its_request_refuses_the_request() {
     let mut model = Model::new(options());
-    assert_eq!(model.cancel(&"a".into()), State::Cancelled);
+    assert_eq!(model.cancel(&"a".into()), Stage::Cancelled);
     let cancelled = Fate {
-        state: State::Cancelled,
+        state: Stage::Cancelled,
         started: false,
     };
     let late = model.submit(Moment::ZERO, request("a", 10, 1));
@@ -133,7 +133,7 @@
     model.submit(Moment::ZERO, late).unwrap();
     model.step(Moment::ZERO);
     let step = model.step(Moment::from_millis(5));
-    assert_eq!(step.progress[0].state, State::Failed);
+    assert_eq!(step.progress[0].state, Stage::Failed);
     assert_eq!(model.memory_used(), 0);
 }
 
@@ -278,7 +278,7 @@
                 };
                 let before = model.fate(&wanted.id).state;
                 let taken = model.submit(now, wanted).is_ok();
-                assert!(!taken || before == State::NeverSeen);
+                assert!(!taken || before == Stage::NeverSeen);
             }
             3 => drop(model.cancel(&id.as_str().into())),
             4 => {
--- a/crates/kumquatdrum_types/src/exchange.rs
+++ b/crates/kumquatdrum_types/src/exchange.rs
@@ -77,7 +77,7 @@
         usage: Option<Usage>,
     },
     /// A piece of a plain service's answer.
-    Piece(Bytes),
+    Chunk(Bytes),
     /// The answer is whole.
     Finished,
     /// The exchange ended otherwise.
@@ -110,16 +110,16 @@
     /// The connection ended, or the answer did, without the end marker.
     Broken,
     /// The answer carried another attempt's name.
-    Crossed,
+    WrongAttempt,
 }
 
 /// What an engine knows of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct Status {
     /// The engine's life that speaks.
     pub boot: BootId,
     /// How far the attempt has come.
-    pub state: State,
+    pub state: Stage,
     /// Tokens generated so far.
     #[serde(default)]
     pub tokens: u64,
@@ -135,7 +135,7 @@
 /// How far an attempt has come at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum Stage {
     /// Taken, not yet in the batch.
     Waiting,
     /// In the batch.
@@ -150,13 +150,13 @@
     NeverSeen,
 }
 
-impl State {
+impl Stage {
     /// Whether the attempt is over.
     ///
     /// ```
-    /// use kumquatdrum_types::exchange::State;
-    /// assert!(State::Cancelled.has_ended());
-    /// assert!(!State::Running.has_ended());
+    /// use kumquatdrum_types::exchange::Stage;
+    /// assert!(Stage::Cancelled.has_ended());
+    /// assert!(!Stage::Running.has_ended());
     /// ```
     pub const fn has_ended(self) -> bool {
         matches!(self, Self::Finished | Self::Failed | Self::Cancelled)
--- a/crates/kumquatdrum_types/src/hash.rs
+++ b/crates/kumquatdrum_types/src/hash.rs
@@ -1,8 +1,8 @@
 //! Hashes that are equal on all hosts.
 
-/// Where [`feed`] starts.
-pub const START: u64 = 0xcbf2_9ce4_8422_2325;
-const PRIME: u64 = 0x0100_0000_01b3;
+/// Where [`extend`] starts.
+pub const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 /// The hash of a text: FNV-1a with a final mix, as its high bits alone are weak.
 ///
@@ -11,7 +11,7 @@
 /// assert_ne!(hash::of("entry-1"), hash::of("entry-2"));
 /// ```
 pub fn of(text: &str) -> u64 {
-    mix(feed(START, text.bytes()))
+    mix(extend(OFFSET_BASIS, text.bytes()))
 }
 
 /// The hash of a pair of texts, for rendezvous hashing.
@@ -21,21 +21,21 @@
 /// assert_ne!(hash::pair("a", "bc"), hash::pair("ab", "c"));
 /// ```
 pub fn pair(left: &str, right: &str) -> u64 {
-    let left = feed(START, left.bytes()).wrapping_mul(PRIME);
-    mix(feed(left, right.bytes()))
+    let left = extend(OFFSET_BASIS, left.bytes()).wrapping_mul(FNV_PRIME);
+    mix(extend(left, right.bytes()))
 }
 
 /// FNV-1a over some bytes, going on from the hash of those before them.
 ///
 /// ```
 /// use kumquatdrum_types::hash;
-/// let whole = hash::feed(hash::START, *b"entry");
-/// assert_eq!(hash::feed(hash::feed(hash::START, *b"en"), *b"try"), whole);
+/// let whole = hash::extend(hash::OFFSET_BASIS, *b"entry");
+/// assert_eq!(hash::extend(hash::extend(hash::OFFSET_BASIS, *b"en"), *b"try"), whole);
 /// ```
-pub fn feed(start: u64, bytes: impl IntoIterator<Item = u8>) -> u64 {
+pub fn extend(start: u64, bytes: impl IntoIterator<Item = u8>) -> u64 {
     let bytes = bytes.into_iter();
     bytes.fold(start, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
--- a/crates/kumquatdrum_types/src/lib.rs
+++ b/crates/kumquatdrum_types/src/lib.rs
@@ -17,5 +17,5 @@
     ServiceName, Version, WorkspaceName,
 };
 pub use load::Load;
-pub use outcome::{Class, Refusal};
+pub use outcome::{FailureClass, Refusal};
 pub use time::Moment;
--- a/crates/kumquatdrum_types/src/outcome.rs
+++ b/crates/kumquatdrum_types/src/outcome.rs
@@ -7,7 +7,7 @@
 /// The class of an unsuccessful answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Class {
+pub enum FailureClass {
     /// Nothing of the request ran, and nothing of it will.
     NotRun,
     /// It ran and did not finish.
@@ -55,10 +55,10 @@
     ///
     /// ```
     /// use kumquatdrum_types::Refusal;
-    /// assert!(Refusal::Overloaded.is_worth_a_retry());
-    /// assert!(!Refusal::PromptTooLong.is_worth_a_retry());
+    /// assert!(Refusal::Overloaded.is_retryable());
+    /// assert!(!Refusal::PromptTooLong.is_retryable());
     /// ```
-    pub const fn is_worth_a_retry(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         !matches!(
             self,
             Self::BadRequest
@@ -77,7 +77,7 @@
     /// assert!(Refusal::BadRequest.default_retry_after().is_none());
     /// ```
     pub const fn default_retry_after(self) -> Option<Duration> {
-        if self.is_worth_a_retry() {
+        if self.is_retryable() {
             Some(Duration::from_secs(1))
         } else {
             None
