--- a/crates/kumquatdrum_types/src/digest.rs
+++ b/crates/kumquatdrum_types/src/digest.rs
@@ -1,13 +1,12 @@
-//! Digests of secrets and contents, as lower-case hexadecimal SHA-256.
+//! SHA-256 digests in lower-case hexadecimal.
 
 use std::fmt::Write;
 
 use sha2::{Digest, Sha256};
 
-/// Digits of a digest.
-const DIGITS: usize = 64;
+const HEX_DIGITS: usize = 64;
 
-/// Whether a text has the form that [`hex`] gives.
+/// Returns whether a text has the format of [`hex`]'s output.
 ///
 /// ```
 /// use kumquatdrum_types::digest;
@@ -16,10 +15,10 @@
 /// ```
 pub fn is_hex(text: &str) -> bool {
     let is_digit = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
-    text.len() == DIGITS && text.bytes().all(is_digit)
+    text.len() == HEX_DIGITS && text.bytes().all(is_digit)
 }
 
-/// The SHA-256 digest of some bytes, 64 lower-case hexadecimal digits.
+/// Returns the SHA-256 digest of `bytes` as 64 lower-case hexadecimal digits.
 ///
 /// ```
 /// let digest = kumquatdrum_types::digest::hex(b"salon-key");
@@ -28,7 +27,7 @@
 pub fn hex(bytes: &[u8]) -> String {
     Sha256::digest(bytes)
         .iter()
-        .fold(String::with_capacity(DIGITS), |mut text, byte| {
+        .fold(String::with_capacity(HEX_DIGITS), |mut text, byte| {
             let _ = write!(text, "{byte:02x}");
             text
         })
--- a/crates/kumquatdrum_types/src/endpoint.rs
+++ b/crates/kumquatdrum_types/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What an endpoint announces of itself to an entry host of its data centre.
+//! Announcements that an endpoint sends to an entry host of its data centre.
 
 use std::net::SocketAddr;
 
@@ -6,29 +6,29 @@
 
 use crate::{BootId, DataCentre, EndpointId, Load, ModelName, ServiceName};
 
-/// An announcement or its renewal, or a leaving notice.
+/// An endpoint's announcement, its periodic renewal, or its leaving notice.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The endpoint's name, stable over restarts.
+    /// Name of the endpoint, stable across restarts.
     pub endpoint: EndpointId,
-    /// The life that speaks; a higher one replaces a lower one and its state.
+    /// Incarnation of the endpoint; a higher one replaces a lower one and its state.
     pub boot: BootId,
-    /// Grows with each announcement of one boot.
+    /// Increases with each announcement of one incarnation.
     pub sequence: u64,
-    /// The service that it serves.
+    /// Service that the endpoint implements.
     pub service: ServiceName,
-    /// Where it takes calls.
+    /// Address that accepts calls.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre that the endpoint runs in.
     pub data_centre: DataCentre,
-    /// What kind of endpoint it is.
+    /// Whether the endpoint is an engine or a plain service.
     pub kind: Kind,
-    /// It takes no new work from now on and finishes what it runs.
+    /// Whether the endpoint is draining: it accepts no new work and completes what it runs.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// The kind of an endpoint, with what only that kind says.
+/// Kind of an endpoint, with the fields specific to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -38,19 +38,19 @@
     Plain,
 }
 
-/// What a model engine says of itself.
+/// Model, capacity and load of a model engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// The loaded model.
+    /// Loaded model.
     pub model: ModelName,
-    /// KV memory, in tokens.
+    /// KV cache capacity, in tokens.
     pub memory_tokens: u64,
-    /// The most requests of one batch.
+    /// Maximum number of requests in a batch.
     pub batch_limit: u32,
-    /// Prompt tokens computed a second, where the engine knows; 0 where it doesn't.
+    /// Prefill throughput in prompt tokens per second; 0 if unknown.
     #[serde(default)]
     pub prefill_tokens_per_second: u64,
-    /// The load at some recent moment, where it has one to report.
+    /// Latest load report, if there is one.
     #[serde(default)]
     pub load: Option<Load>,
 }
--- a/crates/kumquatdrum_types/src/exchange.rs
+++ b/crates/kumquatdrum_types/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with an endpoint: what a daemon sends and what it sees in return.
+//! One exchange with an endpoint: the call that a daemon sends and the events that it receives.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,122 +8,122 @@
 
 use crate::{AttemptId, BootId, EndpointId, HostId};
 
-/// The endpoint that an attempt goes to.
+/// Endpoint that an attempt is dispatched to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: EndpointId,
-    /// The life of it that was chosen.
+    /// Incarnation that was selected.
     pub boot: BootId,
-    /// Where it takes calls.
+    /// Address that accepts calls.
     pub address: SocketAddr,
 }
 
-/// One dispatch, ready to be sent.
+/// A dispatch that is ready to be sent.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Where it goes.
+    /// Endpoint that receives the call.
     pub target: Target,
-    /// Its name; the endpoint echoes it.
+    /// Identifier of the attempt, echoed by the endpoint.
     pub attempt: AttemptId,
-    /// The host that asks.
+    /// Host that dispatches the attempt.
     pub owner: HostId,
-    /// The owner's count of attempts to this endpoint, this one included.
+    /// Number of attempts that the owner has dispatched to this endpoint, including this one.
     pub owner_attempt: u64,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: String,
-    /// Path and query.
+    /// Request path and query.
     pub path: String,
-    /// Headers to pass on, names in lower case.
+    /// Headers to forward, with lower-case names.
     pub headers: Vec<(String, String)>,
-    /// The body, shared and never copied.
+    /// Request body.
     pub body: Bytes,
-    /// Prompt tokens, as the daemon estimates them.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u64,
-    /// The priority level; lower goes first.
+    /// Priority level; lower values are scheduled first.
     pub priority: u8,
-    /// Time left until the request's deadline.
+    /// Time remaining until the request's deadline.
     pub time_left: Duration,
 }
 
-/// Tokens that the engine counted.
+/// Token counts reported by the engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     #[serde(default)]
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of generated tokens.
     #[serde(default)]
     pub completion_tokens: u64,
 }
 
-/// What arrives from an endpoint in the course of one exchange.
+/// Event received from an endpoint during an exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// The answer's head arrived, with the endpoint's status.
+    /// The response head arrived.
     Accepted(Head),
-    /// One token of an engine's answer, as the engine wrote it.
+    /// One token of an engine's response, as the engine encoded it.
     Token {
-        /// Its place in the answer, from 0.
+        /// Position in the response, starting at 0.
         index: u64,
-        /// The event's data.
+        /// Data of the event.
         data: Bytes,
     },
-    /// The engine's last event before its end marker, with what it counted.
+    /// Last event before the end marker, which may carry token counts.
     Summary {
-        /// The event's data.
+        /// Data of the event.
         data: Bytes,
-        /// Tokens counted, where the engine says.
+        /// Token counts, if the engine reports them.
         usage: Option<Usage>,
     },
-    /// A piece of a plain service's answer.
+    /// A chunk of a plain service's response body.
     Chunk(Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     Finished,
-    /// The exchange ended otherwise.
+    /// The exchange ended without a complete response.
     Fault(Fault),
 }
 
-/// The head of an endpoint's answer.
+/// Head of an endpoint's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Head {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The content type, where one is given.
+    /// Content type, if given.
     pub content_type: Option<String>,
 }
 
-/// Why an exchange ended without a whole answer.
+/// Reason that an exchange ended without a complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// No connection came about, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotSent,
-    /// The endpoint itself confirmed that it never started.
+    /// The endpoint confirmed that it did not start the attempt.
     NotStarted,
-    /// The endpoint answered with an error of its own.
+    /// The endpoint responded with an error.
     Rejected {
-        /// Its HTTP status.
+        /// HTTP status of the error.
         status: u16,
-        /// Its body, cut to a bound.
+        /// Body of the error, truncated.
         body: Bytes,
     },
-    /// The connection ended, or the answer did, without the end marker.
+    /// The connection or the response ended without the end marker.
     Broken,
-    /// The answer carried another attempt's name.
+    /// The response belongs to another attempt.
     WrongAttempt,
 }
 
-/// What an engine knows of an attempt.
+/// Status of an attempt, as reported by its engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The engine's life that speaks.
+    /// Incarnation of the engine that reports the status.
     pub boot: BootId,
-    /// How far the attempt has come.
+    /// Phase of the attempt.
     pub state: Stage,
-    /// Tokens generated so far.
+    /// Number of tokens generated so far.
     #[serde(default)]
     pub tokens: u64,
-    /// Whether any of it ran; where an engine doesn't say, it may have.
+    /// Whether the engine began processing the attempt; assumed if the engine doesn't report it.
     #[serde(default = "assume_started")]
     pub started: bool,
 }
@@ -132,26 +132,26 @@
     true
 }
 
-/// How far an attempt has come at an engine.
+/// Phase of an attempt at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// Taken, not yet in the batch.
+    /// Accepted but not yet in the batch.
     Waiting,
-    /// In the batch.
+    /// In the running batch.
     Running,
-    /// Answered whole; the answer can be resumed for a while.
+    /// Completed; the response can still be resumed for a limited time.
     Finished,
-    /// Ended by the engine.
+    /// Aborted by the engine.
     Failed,
-    /// Ended by a cancel.
+    /// Cancelled on request.
     Cancelled,
-    /// Never seen in this life of the engine; after a cancel, it never will be.
+    /// Unknown to this incarnation of the engine; after a cancel, the engine also rejects it.
     NeverSeen,
 }
 
 impl Stage {
-    /// Whether the attempt is over.
+    /// Returns whether the phase is final.
     ///
     /// ```
     /// use kumquatdrum_types::exchange::Stage;
--- a/crates/kumquatdrum_types/src/finding.rs
+++ b/crates/kumquatdrum_types/src/finding.rs
@@ -1,20 +1,20 @@
-//! What a check found, with its place.
+//! Findings of checks.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One finding of a check: where it is and what is wrong there.
+/// A problem found by a check, with its location.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Finding {
-    /// A JSON pointer into the checked file, such as `/models/2/replicas`.
+    /// JSON pointer into the checked file, such as `/models/2/replicas`.
     pub place: String,
-    /// What is wrong, in plain English.
+    /// Description of the problem.
     pub message: String,
 }
 
 impl Finding {
-    /// A finding at a place.
+    /// Creates a finding at a JSON pointer.
     ///
     /// ```
     /// let finding = kumquatdrum_types::Finding::new("/models/2/replicas", "must be at least 1");
--- a/crates/kumquatdrum_types/src/hash.rs
+++ b/crates/kumquatdrum_types/src/hash.rs
@@ -1,10 +1,10 @@
-//! Hashes that are equal on all hosts.
+//! Hashes that have the same value on all hosts.
 
-/// Where [`extend`] starts.
+/// FNV-1a offset basis, the initial value for [`extend`].
 pub const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The hash of a text: FNV-1a with a final mix, as its high bits alone are weak.
+/// Returns the FNV-1a hash of a text, finalised with [`mix`] because FNV-1a has weak high bits.
 ///
 /// ```
 /// use kumquatdrum_types::hash;
@@ -14,7 +14,7 @@
     mix(extend(OFFSET_BASIS, text.bytes()))
 }
 
-/// The hash of a pair of texts, for rendezvous hashing.
+/// Returns the hash of a pair of texts, for rendezvous hashing.
 ///
 /// ```
 /// use kumquatdrum_types::hash;
@@ -25,7 +25,7 @@
     mix(extend(left, right.bytes()))
 }
 
-/// FNV-1a over some bytes, going on from the hash of those before them.
+/// Continues an FNV-1a hash over more bytes.
 ///
 /// ```
 /// use kumquatdrum_types::hash;
@@ -39,7 +39,7 @@
     })
 }
 
-/// Spreads a number's bits over all of them.
+/// Mixes the bits of a number with the finaliser of `MurmurHash3`.
 ///
 /// ```
 /// use kumquatdrum_types::hash;
--- a/crates/kumquatdrum_types/src/id.rs
+++ b/crates/kumquatdrum_types/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers as newtypes, so that one kind can't stand in for another.
+//! Identifier newtypes.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -14,12 +14,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a text.
+            /// Creates an identifier from its text.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
 
-            /// The text.
+            /// Returns the identifier's text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -46,50 +46,50 @@
 }
 
 name!(
-    /// An entry host, as its settings name it.
+    /// Name of an entry host, as given in its settings.
     HostId
 );
 name!(
-    /// A data centre.
+    /// Name of a data centre.
     DataCentre
 );
 name!(
-    /// A workspace of the declaration.
+    /// Name of a workspace in the declaration.
     WorkspaceName
 );
 name!(
-    /// A service of the declaration: a model behind engines, or a plain service.
+    /// Name of a service in the declaration: a model served by engines, or a plain service.
     ServiceName
 );
 name!(
-    /// A model of the declaration.
+    /// Name of a model in the declaration.
     ModelName
 );
 name!(
-    /// An endpoint, by the name it announces.
+    /// Name that an endpoint announces.
     EndpointId
 );
 name!(
-    /// A caller's idempotency key, unique within its workspace.
+    /// Idempotency key of a caller, unique within its workspace.
     IdempotencyKey
 );
 name!(
-    /// One request of a caller, as the entry host that took it named it.
+    /// Identifier of a request, assigned by the entry host that received it.
     RequestId
 );
 name!(
-    /// One dispatch of a request to one endpoint; the endpoint echoes it.
+    /// Identifier of one dispatch of a request to one endpoint, echoed by the endpoint.
     AttemptId
 );
 
-/// Set once when an endpoint or daemon starts; a different number is a different life.
+/// Incarnation of an endpoint or daemon, set once when it starts.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct BootId(pub u64);
 
-/// A version of the declaration in force; 0 is the empty declaration before the first apply.
+/// Version of the declaration; 0 is the empty declaration before the first apply.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/kumquatdrum_types/src/lib.rs
+++ b/crates/kumquatdrum_types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, time and messages that every package shares.
+//! Shared identifiers, clock types and messages.
 
 pub mod digest;
 pub mod endpoint;
--- a/crates/kumquatdrum_types/src/load.rs
+++ b/crates/kumquatdrum_types/src/load.rs
@@ -1,35 +1,35 @@
-//! What an engine says of its own load, always somewhat old.
+//! Load reports of engines and hosts.
 
 use serde::{Deserialize, Serialize};
 
-/// An engine's load report. Counts are of the moment at which the engine took them.
+/// Load of an engine at the time of the report.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Load {
-    /// Grows by one with each report of one boot; an older report never replaces a newer one.
+    /// Increases by one with each report of one incarnation; older reports are discarded.
     pub sequence: u64,
-    /// Requests in the running batch.
+    /// Number of requests in the running batch.
     pub running: u32,
-    /// Requests admitted by the engine but not yet in the batch.
+    /// Number of requests admitted by the engine but not yet in the batch.
     pub waiting: u32,
-    /// Prompt tokens that still have to be computed, over running and waiting requests.
+    /// Prompt tokens that remain to be prefilled over all running and waiting requests.
     pub prefill_tokens: u64,
-    /// KV memory in use, in tokens.
+    /// KV cache in use, in tokens.
     pub memory_used_tokens: u64,
-    /// The highest attempt counter of each owner that this report already includes, as
-    /// `(owner, counter)`; what an owner sent later must be added by the reader.
+    /// Highest attempt counter included in this report for each owner, as `(owner, counter)`. The
+    /// reader adds the attempts that an owner dispatched later.
     pub seen: Vec<(String, u64)>,
 }
 
-/// What one host asks of a workspace's limits, over its last full second.
+/// Demand on a workspace's limits at one host, over the last full second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Whose limits.
+    /// Workspace that the limits belong to.
     pub workspace: crate::WorkspaceName,
-    /// Requests that callers offered, admitted or not.
+    /// Number of requests offered by callers, admitted or not.
     pub requests: u64,
-    /// Prompt and answer tokens of those.
+    /// Prompt and response tokens of these requests.
     pub tokens: u64,
-    /// Requests in flight now.
+    /// Number of requests currently in flight.
     pub in_flight: u32,
 }
--- a/crates/kumquatdrum_types/src/outcome.rs
+++ b/crates/kumquatdrum_types/src/outcome.rs
@@ -1,57 +1,57 @@
-//! How a request ended, in the three classes that callers may rely on.
+//! Failure classes and refusal codes of requests.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The class of an unsuccessful answer.
+/// Guarantee that an error response gives about whether its request was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureClass {
-    /// Nothing of the request ran, and nothing of it will.
+    /// No part of the request was executed or will be.
     NotRun,
-    /// It ran and did not finish.
+    /// The request was executed and did not complete.
     Failed,
-    /// It was dispatched, and what became of it could not be learnt.
+    /// The request was dispatched, and its result is not known.
     Unknown,
 }
 
-/// Why a request was not run. Each has a fixed code, in callers' answers and in metrics.
+/// Reason that a request was not executed; its code appears in responses and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// The request itself is wrong; sending it again changes nothing.
+    /// The request is malformed; a retry fails in the same way.
     BadRequest,
-    /// No such key, or a key of another kind of listener.
+    /// The key is unknown, or belongs to another kind of listener.
     Unauthorized,
-    /// No such service, or not one of this workspace's.
+    /// The service doesn't exist or isn't available to the workspace.
     UnknownService,
-    /// The prompt exceeds what any set of engines could hold.
+    /// The prompt exceeds the capacity of any set of engines.
     PromptTooLong,
-    /// The body exceeds the limit.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The daemon holds as many body bytes as it may.
+    /// The daemon's memory limit for request bodies is reached.
     MemoryFull,
-    /// The workspace has used up its rate.
+    /// The workspace exceeds its rate limit.
     RateLimited,
-    /// The workspace has as many requests in flight as it may.
+    /// The workspace has reached its limit of requests in flight.
     ConcurrencyLimited,
-    /// The queue is full, or the deadline can't be met any more.
+    /// The queue is full, or the deadline can't be met.
     Overloaded,
     /// No endpoint of the service is known to be alive.
     NoEndpoint,
-    /// The deadline came before the dispatch.
+    /// The deadline expired before the dispatch.
     DeadlineBeforeDispatch,
-    /// The idempotency key can't be claimed, as no majority of the control replicas answers.
+    /// The idempotency key can't be claimed because no quorum of control replicas responds.
     ClaimUnavailable,
-    /// The daemon is being shut down.
+    /// The daemon is shutting down.
     Draining,
-    /// No declaration is in force on this host yet.
+    /// This host has no declaration in force yet.
     NoDeclaration,
 }
 
 impl Refusal {
-    /// Whether a later attempt could fare better.
+    /// Returns whether a retry can succeed.
     ///
     /// ```
     /// use kumquatdrum_types::Refusal;
@@ -69,7 +69,7 @@
         )
     }
 
-    /// When to come back, where nothing better is known.
+    /// Returns the default delay before a retry, or `None` if a retry is pointless.
     ///
     /// ```
     /// use kumquatdrum_types::Refusal;
--- a/crates/kumquatdrum_types/src/time.rs
+++ b/crates/kumquatdrum_types/src/time.rs
@@ -1,13 +1,13 @@
-//! Time as the cores see it: a count since the daemon's start, handed in from outside.
+//! Monotonic time, passed into the state machines by their callers.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A point on one daemon's monotonic clock, in microseconds since the clock's own zero.
+/// Point in time on a daemon's monotonic clock.
 ///
-/// Moments of different daemons can't be compared; durations travel between daemons instead.
+/// Moments of different daemons can't be compared; messages carry durations instead.
 ///
 /// ```
 /// use kumquatdrum_types::Moment;
@@ -22,17 +22,17 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Moment {
-    /// Microseconds since the clock's zero.
+    /// Microseconds since the clock's origin.
     pub micros: u64,
 }
 
 impl Moment {
-    /// The zero of the clock.
+    /// Origin of the clock.
     pub const ZERO: Self = Self { micros: 0 };
-    /// A moment that never comes.
+    /// Latest representable moment, used for timers that never fire.
     pub const NEVER: Self = Self { micros: u64::MAX };
 
-    /// The moment `millis` milliseconds after the clock's zero.
+    /// Returns the moment `millis` milliseconds after the clock's origin.
     ///
     /// ```
     /// assert_eq!(kumquatdrum_types::Moment::from_millis(2).micros, 2_000);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Time since the clock's zero.
+    /// Returns the time since the clock's origin.
     ///
     /// ```
     /// use kumquatdrum_types::Moment;
@@ -66,7 +66,7 @@
     }
 }
 
-/// The time from the right to the left moment, zero where the left one is earlier.
+/// Returns the duration between two moments, or zero if the left one is earlier.
 impl Sub for Moment {
     type Output = Duration;
 
