--- a/crates/kumquatdrum_host/src/members.rs
+++ b/crates/kumquatdrum_host/src/members.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use indexmap::IndexMap;
-use kumquatdrum_membership::spread::{self, Setup, Spread};
+use kumquatdrum_membership::propagation::{self, Propagation, Setup};
 use kumquatdrum_membership::{Change, Condition, Input, Member, Membership, Output, timing};
 use kumquatdrum_peer::{Channel, Client, Identity};
 use kumquatdrum_process::{Drain, Metrics};
@@ -61,7 +61,7 @@
 
 struct Cores {
     membership: Membership,
-    spread: Spread,
+    propagation: Propagation,
     waiting: IndexMap<Notice, oneshot::Sender<bool>>,
     services: IndexMap<EndpointId, (ServiceName, BootId)>,
     ready: bool,
@@ -88,28 +88,28 @@
 
 enum Step {
     Members(Input),
-    Spread(spread::Input),
+    Propagation(propagation::Input),
 }
 
 impl Members {
     /// A host that knows the others by its settings.
     pub fn new(local: Member, others: Vec<Member>, replicas: Vec<HostId>, parts: Parts) -> Self {
-        let config = spread::Config {
+        let config = propagation::Config {
             host: local.host.clone(),
             data_centre: local.data_centre.clone(),
             boot: local.boot,
-            held: None,
+            stored: None,
         };
-        let mut spread = Spread::new(config);
+        let mut propagation = Propagation::new(config);
         let mut out = Vec::new();
         let now = parts.clock.now();
         for member in &others {
-            spread.step(now, known(member, true), &mut out);
+            propagation.step(now, known(member, true), &mut out);
         }
-        spread.step(now, spread::Input::Control(replicas), &mut out);
+        propagation.step(now, propagation::Input::Control(replicas), &mut out);
         let cores = Cores {
             membership: Membership::new(local.clone(), others),
-            spread,
+            propagation,
             waiting: IndexMap::new(),
             services: IndexMap::new(),
             ready: false,
@@ -130,12 +130,12 @@
 
     /// Keeps the cores' time until `stopped` resolves.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
-        let mut slots = tokio::time::interval(timing::SLOT);
+        let mut slots = tokio::time::interval(timing::TICK_INTERVAL);
         slots.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = slots.tick() => {
-                    self.step([Step::Members(Input::Tick), Step::Spread(spread::Input::Tick)]);
+                    self.step([Step::Members(Input::Tick), Step::Propagation(propagation::Input::Tick)]);
                 }
                 _ = stopped.wait_for(|stopped| *stopped) => return,
             }
@@ -171,7 +171,7 @@
     /// Takes in a message about the setup in force.
     pub fn setup_message(&self, from: &Identity, body: &[u8]) -> Result<(), postcard::Error> {
         let message = postcard::from_bytes(body)?;
-        self.step([Step::Spread(spread::Input::Peer {
+        self.step([Step::Propagation(propagation::Input::Peer {
             from: from.host.clone(),
             boot: from.boot,
             message,
@@ -182,18 +182,18 @@
     /// This host's replica has applied a version.
     pub fn applied(&self, offer: &Offer) {
         let setup = Setup::new(offer.version, Bytes::copy_from_slice(offer.text.as_bytes()));
-        self.step([Step::Spread(spread::Input::Offer(setup))]);
+        self.step([Step::Propagation(propagation::Input::Offer(setup))]);
     }
 
     /// This host's replica is in touch with a majority and up to date.
     pub fn majority(&self) {
-        self.step([Step::Spread(spread::Input::Majority)]);
+        self.step([Step::Propagation(propagation::Input::Majority)]);
     }
 
     /// A dispatch failed in a way that speaks against the endpoint.
     pub fn failed(&self, endpoint: &EndpointId) {
         let endpoint = endpoint.clone();
-        self.step([Step::Members(Input::Failed { endpoint })]);
+        self.step([Step::Members(Input::DispatchFailed { endpoint })]);
     }
 
     fn step(&self, steps: impl IntoIterator<Item = Step>) {
@@ -209,9 +209,9 @@
                         steps.extend(self.members_output(&mut cores, output));
                     }
                 }
-                Step::Spread(input) => {
+                Step::Propagation(input) => {
                     let mut out = Vec::new();
-                    cores.spread.step(now, input, &mut out);
+                    cores.propagation.step(now, input, &mut out);
                     for output in out {
                         steps.extend(self.spread_output(&mut cores, output));
                     }
@@ -233,16 +233,20 @@
             Output::Send { to, message } => self.send(&to, Channel::Membership, &message),
             Output::Endpoint { id, change } => self.endpoint(cores, &id, change),
             Output::Host { id, condition } => return self.host(cores, &id, condition),
-            Output::DataCentre { id, reach } => {
+            Output::DataCentre { id, reachability } => {
                 warn!(self.parts.logger, ""; "event" => "data_centre_reach",
-                    "data_centre" => %id, "reach" => ?reach);
+                    "data_centre" => %id, "reach" => ?reachability);
             }
             Output::Member(member) => {
                 self.parts.client.set_address(&member.host, member.address);
-                return Some(Step::Spread(known(&member, true)));
+                return Some(Step::Propagation(known(&member, true)));
             }
-            Output::Setup { from, boot, status } => {
-                return Some(Step::Spread(spread::Input::Status { from, boot, status }));
+            Output::SetupStatus { from, boot, status } => {
+                return Some(Step::Propagation(propagation::Input::Status {
+                    from,
+                    boot,
+                    status,
+                }));
             }
             Output::AckAnnounce {
                 endpoint,
@@ -266,7 +270,7 @@
 
     fn endpoint(&self, cores: &mut Cores, id: &EndpointId, change: Change) {
         let health = match change {
-            Change::Refreshed(announcement) => {
+            Change::Renewed(announcement) => {
                 self.parts.fleet.announce(&announcement);
                 return;
             }
@@ -275,7 +279,7 @@
                 return;
             }
             Change::Suspect => Health::Suspect,
-            Change::Returned => Health::Alive,
+            Change::Recovered => Health::Alive,
             Change::Leaving => Health::Leaving,
             Change::Gone => Health::Gone,
         };
@@ -332,7 +336,7 @@
         info!(self.parts.logger, ""; "event" => "host_changed", "other" => %id,
             "condition" => ?condition);
         let views: Vec<_> = cores.membership.hosts().collect();
-        let near = |view: &&kumquatdrum_membership::View<'_>| {
+        let near = |view: &&kumquatdrum_membership::Peer<'_>| {
             view.member.data_centre == self.local.data_centre
         };
         let alive = views
@@ -348,29 +352,31 @@
             self.orphan(Orphan::Host(id.clone()));
         }
         let is_alive = condition == Condition::Alive;
-        Some(Step::Spread(known(view.member, is_alive)))
+        Some(Step::Propagation(known(view.member, is_alive)))
     }
 
-    fn spread_output(&self, cores: &mut Cores, output: spread::Output) -> Option<Step> {
+    fn spread_output(&self, cores: &mut Cores, output: propagation::Output) -> Option<Step> {
         match output {
-            spread::Output::Send { to, message } => self.send(&to, Channel::Setup, &message),
-            spread::Output::InForce(setup) => self.in_force(setup),
-            spread::Output::Ready { is_confirmed } => {
+            propagation::Output::Send { to, message } => self.send(&to, Channel::Setup, &message),
+            propagation::Output::InForce(setup) => self.in_force(setup),
+            propagation::Output::Ready { is_confirmed } => {
                 info!(self.parts.logger, ""; "event" => "ready", "is_confirmed" => is_confirmed);
                 cores.ready = true;
             }
-            spread::Output::Status(status) => return Some(Step::Members(Input::Setup(status))),
-            spread::Output::Holds { .. } => {}
-            spread::Output::CutOff { since } => {
+            propagation::Output::Status(status) => {
+                return Some(Step::Members(Input::SetupStatus(status)));
+            }
+            propagation::Output::Installed { .. } => {}
+            propagation::Output::CutOff { since } => {
                 self.parts.metrics.cut_off.set(i64::from(since.is_some()));
                 warn!(self.parts.logger, ""; "event" => "cut_off", "is_cut_off" => since.is_some());
             }
-            spread::Output::Conflict { version, from } => {
+            propagation::Output::Conflict { version, from } => {
                 error!(self.parts.logger, ""; "event" => "version_conflict",
                     "version" => %version, "from" => %from);
             }
         }
-        let ready = cores.ready && cores.spread.version() > Version(0);
+        let ready = cores.ready && cores.propagation.version() > Version(0);
         self.parts.drain.set_ready(ready);
         None
     }
@@ -425,12 +431,12 @@
 
     /// Whether no majority of the replicas has been heard for long.
     pub fn is_cut_off(&self) -> bool {
-        self.cores.lock().spread.cut_off_since().is_some()
+        self.cores.lock().propagation.cut_off_since().is_some()
     }
 
     /// When a majority of the replicas was last heard of; now, unless this host is cut off.
     pub fn majority_heard_unix_ms(&self) -> Option<u64> {
-        let since = self.cores.lock().spread.cut_off_since();
+        let since = self.cores.lock().propagation.cut_off_since();
         let ago = since.map_or(Duration::ZERO, |since| self.parts.clock.now() - since);
         Some(unix_ms().saturating_sub(ago.as_millis() as u64))
     }
@@ -441,8 +447,8 @@
     }
 }
 
-fn known(member: &Member, is_alive: bool) -> spread::Input {
-    spread::Input::Host {
+fn known(member: &Member, is_alive: bool) -> propagation::Input {
+    propagation::Input::Host {
         host: member.host.clone(),
         data_centre: member.data_centre.clone(),
         is_alive,
--- a/crates/kumquatdrum_host/src/members/report.rs
+++ b/crates/kumquatdrum_host/src/members/report.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use kumquatdrum_consensus::Status as NodeStatus;
-use kumquatdrum_membership::{Condition, Member, Record, State};
+use kumquatdrum_membership::{Condition, Liveness, Member, Record};
 use kumquatdrum_setup::control::{Condition as Shown, EndpointStatus, HostStatus, Replica};
 use kumquatdrum_types::{Announcement, HostId};
 
@@ -12,7 +12,7 @@
     /// All hosts, this one included.
     pub fn host_statuses(&self, node: Option<&NodeStatus>, replicas: &[HostId]) -> Vec<HostStatus> {
         let cores = self.cores.lock();
-        let versions: IndexMap<_, _> = cores.spread.holdings().collect();
+        let versions: IndexMap<_, _> = cores.propagation.installations().collect();
         let status = |member: &Member, reachable: bool| HostStatus {
             host: member.host.clone(),
             data_centre: member.data_centre.clone(),
@@ -21,7 +21,7 @@
             version: versions.get(&member.host).map(|holding| holding.version),
         };
         let mut own = status(&self.local, true);
-        own.version = Some(cores.spread.version());
+        own.version = Some(cores.propagation.version());
         let others = cores.membership.hosts();
         let others = others.map(|view| status(view.member, view.condition != Condition::Dead));
         std::iter::once(own).chain(others).collect()
@@ -65,11 +65,11 @@
 }
 
 pub(super) fn shown(record: &Record) -> Shown {
-    match record.state {
-        State::Gone => Shown::Gone,
+    match record.liveness {
+        Liveness::Gone => Shown::Gone,
         _ if record.announcement.leaving => Shown::Leaving,
-        State::Suspect => Shown::Suspect,
-        State::Alive => Shown::Alive,
+        Liveness::Suspect => Shown::Suspect,
+        Liveness::Alive => Shown::Alive,
     }
 }
 
--- a/crates/kumquatdrum_membership/benches/gossip.rs
+++ b/crates/kumquatdrum_membership/benches/gossip.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 use kumquatdrum_membership::Input;
-use kumquatdrum_membership::spread::Status;
+use kumquatdrum_membership::propagation::Status;
 use kumquatdrum_types::Version;
 
 use crate::cluster::announcement;
-use crate::network::{CALM, Faults};
+use crate::network::{Faults, RELIABLE};
 
 #[allow(dead_code, reason = "shared with the tests")]
 #[path = "../tests/it/cluster.rs"]
@@ -20,13 +20,13 @@
 #[path = "../tests/it/network.rs"]
 mod network;
 #[allow(dead_code, reason = "shared with the tests")]
-#[path = "../tests/it/spread_cluster.rs"]
-mod spread_cluster;
+#[path = "../tests/it/propagation_cluster.rs"]
+mod propagation_cluster;
 
 /// Virtual time until all know all, and then under measurement.
-const WARM_UP: u64 = 20;
-const MEASURED: u64 = 20;
-const OVER_DISTANCE: Faults = Faults {
+const WARM_UP_SECONDS: u64 = 20;
+const MEASURED_SECONDS: u64 = 20;
+const WIDE_AREA: Faults = Faults {
     loss_percent: 0,
     duplicate_percent: 0,
     delay_millis: (1, 60),
@@ -34,7 +34,7 @@
 /// What the spread lets ride on each push.
 const STATUS: Status = Status {
     version: Version(100_000),
-    mark: u64::MAX,
+    digest_prefix: u64::MAX,
     is_ready: true,
     majority_age_millis: Some(1_500),
 };
@@ -44,7 +44,7 @@
 fn main() {
     println!("## State, {} hosts and 300 endpoints a data centre", 25);
     let resident = resident_kib();
-    let cluster = busy(26, 25, 300, 25);
+    let cluster = busy_cluster(26, 25, 300, 25);
     let state = resident_kib().saturating_sub(resident) / cluster.daemons.len() as u64;
     println!("{state} KiB per daemon, 650 daemons\n");
     drop(cluster);
@@ -65,10 +65,10 @@
         (26, 25, 300),
     ];
     for (centres, hosts, endpoints) in sizes {
-        gossip(centres, hosts, endpoints, hosts);
+        measure_gossip(centres, hosts, endpoints, hosts);
     }
     println!("\nAll endpoints announce themselves to one daemon of their data centre:");
-    gossip(1, 25, 300, 1);
+    measure_gossip(1, 25, 300, 1);
 
     println!("\n## Spread of one change, {WORKSPACES} workspaces");
     println!(
@@ -80,47 +80,53 @@
     let sizes = [(3, 3, 3), (3, 9, 3), (9, 9, 5), (9, 27, 5), (26, 25, 7)];
     for places in [1, 8] {
         for (centres, hosts, replicas) in sizes {
-            spread(centres, hosts, replicas, places);
+            measure_propagation(centres, hosts, replicas, places);
         }
     }
 }
 
-fn gossip(centres: usize, hosts: usize, endpoints: usize, takers: usize) {
-    let mut cluster = busy(centres, hosts, endpoints, takers);
+fn measure_gossip(centres: usize, hosts: usize, endpoints: usize, receivers: usize) {
+    let mut cluster = busy_cluster(centres, hosts, endpoints, receivers);
     cluster.network.sent.clear();
     let start = Instant::now();
-    run(&mut cluster, MEASURED);
+    run(&mut cluster, MEASURED_SECONDS);
     let cpu = start.elapsed().as_secs_f64();
     let daemons = (centres * hosts) as u64;
     let sums = cluster.network.sent.values();
     let (messages, bytes) = sums.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-    let most = cluster.network.sent.values().map(|one| one.1).max();
+    let maximum_bytes = cluster.network.sent.values().map(|one| one.1).max();
     println!(
         "| {centres} | {daemons} | {endpoints} | {:.1} | {} | {} | {:.3} |",
-        messages as f64 / (daemons * MEASURED) as f64,
-        bytes / (daemons * MEASURED),
-        most.unwrap_or(0) / MEASURED,
-        100.0 * cpu / (daemons * MEASURED) as f64,
+        messages as f64 / (daemons * MEASURED_SECONDS) as f64,
+        bytes / (daemons * MEASURED_SECONDS),
+        maximum_bytes.unwrap_or(0) / MEASURED_SECONDS,
+        100.0 * cpu / (daemons * MEASURED_SECONDS) as f64,
     );
 }
 
 /// A cluster whose endpoints renew each second, after its warm-up.
-fn busy(centres: usize, hosts: usize, endpoints: usize, takers: usize) -> cluster::Cluster {
+fn busy_cluster(
+    centres: usize,
+    hosts: usize,
+    endpoints: usize,
+    receivers: usize,
+) -> cluster::Cluster {
     let names: Vec<String> = (0..centres).map(|index| format!("dc-{index:02}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut cluster = cluster::Cluster::new(1, CALM, &names, hosts);
+    let mut cluster = cluster::Cluster::new(1, RELIABLE, &names, hosts);
     for data_centre in &names {
         let owners = cluster.hosts_of(data_centre);
         for number in 0..endpoints {
-            let mut one = announcement(&format!("{data_centre}-worker-{number:03}"), data_centre);
-            set_seen(&mut one, &owners);
-            cluster.add_endpoint(one, &owners[number % takers]);
+            let mut announcement =
+                announcement(&format!("{data_centre}-worker-{number:03}"), data_centre);
+            set_seen(&mut announcement, &owners);
+            cluster.add_endpoint(announcement, &owners[number % receivers]);
         }
     }
     for host in cluster.daemons.keys().cloned().collect::<Vec<_>>() {
-        cluster.input(&host, Input::Setup(STATUS));
+        cluster.input(&host, Input::SetupStatus(STATUS));
     }
-    run(&mut cluster, WARM_UP);
+    run(&mut cluster, WARM_UP_SECONDS);
     cluster
 }
 
@@ -148,31 +154,31 @@
     }
 }
 
-fn spread(centres: usize, hosts: usize, replicas: usize, places: usize) {
+fn measure_propagation(centres: usize, hosts: usize, replicas: usize, places: usize) {
     let mut declaration = vec![1; WORKSPACES as usize];
-    let mut cluster = spread_cluster::Cluster::new(1, OVER_DISTANCE, centres, hosts, replicas);
-    change(&mut cluster, &mut declaration, places);
-    cluster.run(Duration::from_secs(WARM_UP));
-    reset(&mut cluster);
-    cluster.run(Duration::from_secs(MEASURED));
+    let mut cluster = propagation_cluster::Cluster::new(1, WIDE_AREA, centres, hosts, replicas);
+    accept_change(&mut cluster, &mut declaration, places);
+    cluster.run(Duration::from_secs(WARM_UP_SECONDS));
+    reset_counters(&mut cluster);
+    cluster.run(Duration::from_secs(MEASURED_SECONDS));
     let daemons = (centres * hosts) as u64;
     let idle = (
-        cluster.messages as f64 / (daemons * MEASURED) as f64,
-        cluster.bytes / (daemons * MEASURED),
+        cluster.messages as f64 / (daemons * MEASURED_SECONDS) as f64,
+        cluster.bytes / (daemons * MEASURED_SECONDS),
     );
     let (mut times, mut known) = (Vec::new(), Vec::new());
-    let (mut messages, mut bytes, mut most, mut text) = (0, 0, 0, 0);
+    let (mut messages, mut bytes, mut maximum_bytes, mut text) = (0, 0, 0, 0);
     for _ in 0..CHANGES {
-        reset(&mut cluster);
+        reset_counters(&mut cluster);
         let start = cluster.network.now;
-        let version = change(&mut cluster, &mut declaration, places);
+        let version = accept_change(&mut cluster, &mut declaration, places);
         let limit = Duration::from_secs(10);
         assert!(cluster.run_until(limit, |cluster| cluster.is_everywhere(version)));
         times.push((cluster.network.now - start).as_millis());
         messages += cluster.messages;
         bytes += cluster.bytes;
         text += cluster.text_bytes;
-        most = most.max(
+        maximum_bytes = maximum_bytes.max(
             cluster
                 .network
                 .sent
@@ -181,7 +187,7 @@
                 .max()
                 .unwrap_or(0),
         );
-        let replica = cluster.control[replicas - 1].clone();
+        let replica = cluster.control_replicas[replicas - 1].clone();
         assert!(cluster.run_until(limit, |cluster| cluster.knows_everywhere(&replica, version)));
         known.push((cluster.network.now - start).as_millis());
         cluster.run(Duration::from_secs(3));
@@ -189,7 +195,7 @@
     times.sort_unstable();
     known.sort_unstable();
     println!(
-        "| {places} | {centres} | {daemons} | {replicas} | {} | {} | {} | {most} | {} | {} | {} | {:.2} | {} |",
+        "| {places} | {centres} | {daemons} | {replicas} | {} | {} | {} | {maximum_bytes} | {} | {} | {} | {:.2} | {} |",
         text / CHANGES,
         messages / CHANGES,
         bytes / CHANGES,
@@ -201,15 +207,15 @@
     );
 }
 
-fn reset(cluster: &mut spread_cluster::Cluster) {
+fn reset_counters(cluster: &mut propagation_cluster::Cluster) {
     cluster.network.sent.clear();
     (cluster.messages, cluster.bytes) = (0, 0);
     (cluster.texts, cluster.text_bytes) = (0, 0);
 }
 
 /// A majority accepts a declaration that changed in some places, as far from each other as can be.
-fn change(
-    cluster: &mut spread_cluster::Cluster,
+fn accept_change(
+    cluster: &mut propagation_cluster::Cluster,
     declaration: &mut [u64],
     places: usize,
 ) -> Version {
--- a/crates/kumquatdrum_membership/src/exchange.rs
+++ b/crates/kumquatdrum_membership/src/anti_entropy.rs
@@ -6,31 +6,31 @@
 use kumquatdrum_types::{HostId, Moment};
 
 use crate::key::Key;
-use crate::message::{Full, Message};
-use crate::push::cut;
-use crate::table::State;
-use crate::timing::{CHUNK, EXCHANGE_INTERVAL, MISMATCH_AFTER};
+use crate::message::{Message, Snapshot};
+use crate::push::snapshot_for;
+use crate::table::Liveness;
+use crate::timing::{ITEMS_PER_MESSAGE, MISMATCH_AFTER, TABLE_COMPARISON_INTERVAL};
 use crate::{Membership, Output};
 
 impl Membership {
     /// Sends this host's digest to one host whose table has differed for long.
     pub(crate) fn compare_tables(&mut self, now: Moment, out: &mut Vec<Output>) {
         let is_due = self
-            .exchanged_at
-            .is_none_or(|at| now - at >= EXCHANGE_INTERVAL);
+            .digest_sent_at
+            .is_none_or(|at| now - at >= TABLE_COMPARISON_INTERVAL);
         if !is_due {
             return;
         }
         let local = &self.local.host;
         let differing = self.hosts.iter_mut().find(|(id, host)| {
-            let wait = patience(local, id);
+            let wait = mismatch_delay(local, id);
             host.differs_since.is_some_and(|since| now - since >= wait)
         });
         let Some((id, host)) = differing else {
             return;
         };
         host.differs_since = Some(now);
-        self.exchanged_at = Some(now);
+        self.digest_sent_at = Some(now);
         let to = id.clone();
         self.send_digest(to, out);
     }
@@ -39,7 +39,7 @@
         let listed = self
             .table
             .records()
-            .filter(|record| record.state != State::Gone);
+            .filter(|record| record.liveness != Liveness::Gone);
         let (leaving, staying): (Vec<_>, Vec<_>) =
             listed.partition(|record| record.announcement.leaving);
         let keys = |records: Vec<&crate::Record>| records.iter().map(|record| record.key).collect();
@@ -53,7 +53,7 @@
     }
 
     /// Answers a digest with the records that it lacks, and asks for those that this host lacks.
-    pub(crate) fn take_digest(
+    pub(crate) fn handle_digest(
         &mut self,
         now: Moment,
         from: &HostId,
@@ -67,9 +67,11 @@
             let has_left = record.announcement.leaving;
             let is_held =
                 leaving.contains(&record.key) || !has_left && staying.contains(&record.key);
-            record.state != State::Gone && !is_held
+            record.liveness != Liveness::Gone && !is_held
         });
-        let records: Vec<Full> = lacking.map(|record| cut(now, record, from)).collect();
+        let records: Vec<Snapshot> = lacking
+            .map(|record| snapshot_for(now, record, from))
+            .collect();
         send_records(from, &records, out);
         let mut wanted: Vec<Key> = staying
             .union(&leaving)
@@ -86,45 +88,49 @@
     }
 
     fn lacks(&self, key: Key, is_leaving: bool) -> bool {
-        match self.table.by_key(key).and_then(|id| self.table.get(id)) {
+        match self
+            .table
+            .endpoint_with_key(key)
+            .and_then(|id| self.table.get(id))
+        {
             Some(record) => {
-                is_leaving && !record.announcement.leaving && record.state != State::Gone
+                is_leaving && !record.announcement.leaving && record.liveness != Liveness::Gone
             }
             None => true,
         }
     }
 
     /// Answers with the records of some keys.
-    pub(crate) fn take_want(
+    pub(crate) fn handle_want(
         &mut self,
         now: Moment,
         from: &HostId,
         keys: &[Key],
         out: &mut Vec<Output>,
     ) {
-        let records: Vec<Full> = keys
+        let records: Vec<Snapshot> = keys
             .iter()
-            .flat_map(|key| self.table.with_key(*key))
-            .filter_map(|id| self.full(now, id, from))
+            .flat_map(|key| self.table.endpoints_with_key(*key))
+            .filter_map(|id| self.snapshot(now, id, from))
             .collect();
         send_records(from, &records, out);
     }
 
-    pub(crate) fn take_records(
+    pub(crate) fn handle_records(
         &mut self,
         now: Moment,
         from: &HostId,
-        records: Vec<Full>,
+        records: Vec<Snapshot>,
         out: &mut Vec<Output>,
     ) {
-        for full in records {
-            self.take_full(now, from, full, out);
+        for snapshot in records {
+            self.merge_snapshot(now, from, snapshot, out);
         }
     }
 }
 
 /// The host that is later by name waits longer, so that two don't compare the same at once.
-fn patience(local: &HostId, other: &HostId) -> Duration {
+fn mismatch_delay(local: &HostId, other: &HostId) -> Duration {
     if local < other {
         MISMATCH_AFTER
     } else {
@@ -132,8 +138,8 @@
     }
 }
 
-fn send_records(to: &HostId, records: &[Full], out: &mut Vec<Output>) {
-    for chunk in records.chunks(CHUNK) {
+fn send_records(to: &HostId, records: &[Snapshot], out: &mut Vec<Output>) {
+    for chunk in records.chunks(ITEMS_PER_MESSAGE) {
         out.push(Output::Send {
             to: to.clone(),
             message: Message::Records(chunk.to_vec()),
--- a/crates/kumquatdrum_membership/src/backlog.rs
+++ b/crates/kumquatdrum_membership/src/backlog.rs
@@ -4,11 +4,11 @@
 use kumquatdrum_types::{DataCentre, EndpointId};
 
 /// How often a leaving notice is told, in case one telling is lost.
-pub(crate) const LEAVING_TELLINGS: u8 = 2;
+pub(crate) const LEAVING_TRANSMISSIONS: u8 = 2;
 
 /// What a peer has to be told of an endpoint; the greater covers the lesser.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Need {
+pub(crate) enum Update {
     /// That it renewed its announcement.
     Renewal,
     /// Its load too.
@@ -22,16 +22,16 @@
 /// The needs of one peer; one for each endpoint at most, so that its size is bounded.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
-    pub(crate) endpoints: IndexMap<EndpointId, Need>,
+    pub(crate) endpoints: IndexMap<EndpointId, Update>,
     pub(crate) summaries: Vec<DataCentre>,
 }
 
 impl Backlog {
-    pub(crate) fn add(&mut self, id: &EndpointId, need: Need) {
+    pub(crate) fn add(&mut self, id: &EndpointId, update: Update) {
         match self.endpoints.get_mut(id) {
-            Some(known) => *known = need.max(*known),
+            Some(known) => *known = update.max(*known),
             None => {
-                self.endpoints.insert(id.clone(), need);
+                self.endpoints.insert(id.clone(), update);
             }
         }
     }
--- a/crates/kumquatdrum_membership/src/event.rs
+++ b/crates/kumquatdrum_membership/src/event.rs
@@ -2,8 +2,8 @@
 
 use kumquatdrum_types::{Announcement, BootId, DataCentre, EndpointId, HostId};
 
-use crate::spread::Status;
-use crate::{Condition, Member, Message, Reach, Summary};
+use crate::propagation::Status;
+use crate::{Condition, Member, Message, Reachability, Summary};
 
 /// What the shell hands in.
 #[derive(Debug, Clone)]
@@ -20,13 +20,13 @@
         message: Message,
     },
     /// A dispatch to an endpoint failed in a way that speaks against the endpoint.
-    Failed {
+    DispatchFailed {
         /// The endpoint.
         endpoint: EndpointId,
     },
     /// The spread's status, to be told to the other hosts of the data centre.
-    Setup(Status),
-    /// Time has passed; due about every [`crate::timing::SLOT`].
+    SetupStatus(Status),
+    /// Time has passed; due about every [`crate::timing::TICK_INTERVAL`].
     Tick,
 }
 
@@ -59,14 +59,14 @@
         /// The data centre; this host's own where it hears no other host of it.
         id: DataCentre,
         /// Whether it is in reach.
-        reach: Reach,
+        reachability: Reachability,
     },
     /// A host became known or moved.
     Member(Member),
     /// A data centre's summary changed.
     Summary(Summary),
     /// A peer's spread said this.
-    Setup {
+    SetupStatus {
         /// The host.
         from: HostId,
         /// The life of its daemon.
@@ -93,7 +93,7 @@
         /// The announcement.
         sequence: u64,
         /// Why.
-        reason: Reason,
+        reason: Refusal,
     },
 }
 
@@ -103,11 +103,11 @@
     /// It is new, or back after it was gone; nothing known before counts.
     Joined(Announcement),
     /// It renewed its announcement; its load may be new.
-    Refreshed(Announcement),
+    Renewed(Announcement),
     /// It may be dead; no new work.
     Suspect,
     /// It was suspect and is not any more.
-    Returned,
+    Recovered,
     /// It takes no new work and finishes what it runs.
     Leaving,
     /// It is dead, or this life of it is over.
@@ -116,7 +116,7 @@
 
 /// Why an announcement was not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum Refusal {
     /// The endpoint stands in another data centre.
     OtherDataCentre,
     /// A later life of the endpoint is known.
--- a/crates/kumquatdrum_membership/src/host.rs
+++ b/crates/kumquatdrum_membership/src/host.rs
@@ -5,7 +5,7 @@
 
 use crate::Member;
 use crate::backlog::Backlog;
-use crate::timing::{DEAD_AFTER, RECENT, SILENT_AFTER};
+use crate::timing::{DEAD_AFTER, REPORT_VALIDITY, SILENT_AFTER};
 
 /// Whether a host lives, as far as this host knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 
 /// A host as `status` shows it.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
+pub struct Peer<'a> {
     /// Who and where it is.
     pub member: &'a Member,
     /// Whether it lives.
@@ -35,14 +35,14 @@
     pub(crate) boot: BootId,
     pub(crate) condition: Condition,
     /// When its daemon last spoke; the start of this one where it never did.
-    pub(crate) heard: Moment,
+    pub(crate) last_heard: Moment,
     /// The hosts that it didn't hear, as of its last push.
-    pub(crate) silent: IndexSet<HostId>,
+    pub(crate) silent_hosts: IndexSet<HostId>,
     /// The last push taken from it.
-    pub(crate) push_taken: u64,
+    pub(crate) last_push_received: u64,
     /// The last push sent to it.
-    pub(crate) push_sent: u64,
-    pub(crate) push_due: Moment,
+    pub(crate) last_push_sent: u64,
+    pub(crate) next_push: Moment,
     pub(crate) backlog: Backlog,
     /// Since when its table differs from this host's.
     pub(crate) differs_since: Option<Moment>,
@@ -51,7 +51,7 @@
 
 /// What others say of a host that this one doesn't hear.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Hearsay {
+pub(crate) enum Evidence {
     /// Some host that this one hears has heard it.
     Heard,
     /// All hosts that this one hears say it is silent; true also where there are none.
@@ -64,11 +64,11 @@
             member,
             boot: BootId(0),
             condition: Condition::Alive,
-            heard: now,
-            silent: IndexSet::new(),
-            push_taken: 0,
-            push_sent: 0,
-            push_due: now,
+            last_heard: now,
+            silent_hosts: IndexSet::new(),
+            last_push_received: 0,
+            last_push_sent: 0,
+            next_push: now,
             backlog: Backlog::default(),
             differs_since: None,
             suspect_since: now,
@@ -77,36 +77,36 @@
 
     /// Forgets all that belonged to the daemon's former life.
     pub(crate) fn restart(&mut self) {
-        self.silent.clear();
-        self.push_taken = 0;
+        self.silent_hosts.clear();
+        self.last_push_received = 0;
         self.backlog.clear();
         self.differs_since = None;
     }
 
     /// Whether this host hasn't heard it for a while.
     pub(crate) fn is_silent(&self, now: Moment) -> bool {
-        now - self.heard > SILENT_AFTER
+        now - self.last_heard > SILENT_AFTER
     }
 
     /// Whether what it says of others counts.
-    pub(crate) fn is_recent(&self, now: Moment) -> bool {
-        now - self.heard <= RECENT
+    pub(crate) fn is_recently_heard(&self, now: Moment) -> bool {
+        now - self.last_heard <= REPORT_VALIDITY
     }
 
     /// The condition that follows from what is heard.
-    pub(crate) fn judge(&mut self, now: Moment, hearsay: Hearsay) -> Condition {
-        match (self.is_silent(now), hearsay, self.condition) {
-            (false, _, _) | (true, Hearsay::Heard, _) => Condition::Alive,
-            (true, Hearsay::Silent, Condition::Alive) => {
+    pub(crate) fn evaluate(&mut self, now: Moment, indirect_evidence: Evidence) -> Condition {
+        match (self.is_silent(now), indirect_evidence, self.condition) {
+            (false, _, _) | (true, Evidence::Heard, _) => Condition::Alive,
+            (true, Evidence::Silent, Condition::Alive) => {
                 self.suspect_since = now;
                 Condition::Suspect
             }
-            (true, Hearsay::Silent, Condition::Suspect)
+            (true, Evidence::Silent, Condition::Suspect)
                 if now - self.suspect_since > DEAD_AFTER =>
             {
                 Condition::Dead
             }
-            (true, Hearsay::Silent, condition) => condition,
+            (true, Evidence::Silent, condition) => condition,
         }
     }
 }
--- a/crates/kumquatdrum_membership/src/key.rs
+++ b/crates/kumquatdrum_membership/src/key.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use kumquatdrum_types::endpoint::Kind;
+use kumquatdrum_types::endpoint;
 use kumquatdrum_types::{Announcement, hash};
 use serde::{Deserialize, Serialize};
 
@@ -25,7 +25,7 @@
             announcement.address,
             announcement.data_centre,
         );
-        if let Kind::Engine(engine) = &announcement.kind {
+        if let endpoint::Kind::Engine(engine) = &announcement.kind {
             let _ = write!(
                 fnv,
                 "{}\0{}\0{}\0{}",
@@ -39,7 +39,7 @@
     }
 
     /// What a record with this key adds to the digest of a table.
-    pub(crate) fn weight(self, leaving: bool) -> u32 {
+    pub(crate) fn digest_contribution(self, leaving: bool) -> u32 {
         let number = u64::from(u32::from_le_bytes(self.0));
         fold(mix(number << 1 | u64::from(leaving)))
     }
--- a/crates/kumquatdrum_membership/src/machine.rs
+++ b/crates/kumquatdrum_membership/src/machine.rs
@@ -5,15 +5,15 @@
 use indexmap::IndexMap;
 use kumquatdrum_types::{Announcement, BootId, DataCentre, EndpointId, HostId, Moment};
 
-use crate::backlog::{LEAVING_TELLINGS, Need};
-use crate::data_centre::Distant;
-use crate::host::{Hearsay, Host};
+use crate::backlog::{LEAVING_TRANSMISSIONS, Update};
+use crate::data_centre;
+use crate::host::{Evidence, Host};
 use crate::notice::Notice;
-use crate::relay::Remote;
-use crate::spread::Status;
-use crate::table::{Novelty, Record, Table};
-use crate::timing::{STALL, SUSPECT_AFTER};
-use crate::{Condition, Input, Member, Message, Output, Reach, Reason, Summary, View};
+use crate::propagation::Status;
+use crate::relay::RemoteHost;
+use crate::table::{self, Record, Table};
+use crate::timing::{STALL_THRESHOLD, SUSPECT_AFTER};
+use crate::{Condition, Input, Member, Message, Output, Peer, Reachability, Refusal, Summary};
 
 /// Hosts and endpoints, as one host knows them.
 ///
@@ -39,17 +39,17 @@
     /// The other hosts of the data centre.
     pub(crate) hosts: IndexMap<HostId, Host>,
     /// The hosts of other data centres.
-    pub(crate) remote: IndexMap<HostId, Remote>,
-    pub(crate) distant: IndexMap<DataCentre, Distant>,
+    pub(crate) remote_hosts: IndexMap<HostId, RemoteHost>,
+    pub(crate) remote_data_centres: IndexMap<DataCentre, data_centre::Remote>,
     pub(crate) table: Table,
     pub(crate) setup: Option<Status>,
-    pub(crate) roster: u32,
-    pub(crate) roster_at: Option<Moment>,
-    pub(crate) exchanged_at: Option<Moment>,
+    pub(crate) roster_digest: u32,
+    pub(crate) roster_sent_at: Option<Moment>,
+    pub(crate) digest_sent_at: Option<Moment>,
     pub(crate) was_relay: bool,
     notices: Vec<Notice>,
-    own_reach: Reach,
-    ticked: Option<Moment>,
+    own_reachability: Reachability,
+    last_tick: Option<Moment>,
     grace_until: Moment,
 }
 
@@ -60,37 +60,37 @@
         let mut membership = Self {
             local,
             hosts: IndexMap::new(),
-            remote: IndexMap::new(),
-            distant: IndexMap::new(),
+            remote_hosts: IndexMap::new(),
+            remote_data_centres: IndexMap::new(),
             table: Table::default(),
             setup: None,
-            roster: 0,
-            roster_at: None,
-            exchanged_at: None,
+            roster_digest: 0,
+            roster_sent_at: None,
+            digest_sent_at: None,
             was_relay: false,
             notices: Vec::new(),
-            own_reach: Reach::Reachable,
-            ticked: None,
+            own_reachability: Reachability::Reachable,
+            last_tick: None,
             grace_until: Moment::ZERO,
         };
         for member in others {
             membership.add_member(Moment::ZERO, member);
         }
-        membership.renew_roster();
+        membership.update_roster_digest();
         membership
     }
 
     /// Takes one input. `now` never goes back.
     pub fn step(&mut self, now: Moment, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Announce(announcement) => self.take_announcement(now, announcement, out),
+            Input::Announce(announcement) => self.handle_announcement(now, announcement, out),
             Input::Peer {
                 from,
                 boot,
                 message,
-            } => self.take_message(now, &from, boot, message, out),
-            Input::Failed { endpoint } => self.table.fail(now, &endpoint, out),
-            Input::Setup(status) => self.setup = Some(status),
+            } => self.handle_message(now, &from, boot, message, out),
+            Input::DispatchFailed { endpoint } => self.table.record_failure(now, &endpoint, out),
+            Input::SetupStatus(status) => self.setup = Some(status),
             Input::Tick => self.tick(now, out),
         }
     }
@@ -106,29 +106,31 @@
     }
 
     /// All other hosts.
-    pub fn hosts(&self) -> impl Iterator<Item = View<'_>> {
-        let near = self.hosts.values().map(|host| View {
+    pub fn hosts(&self) -> impl Iterator<Item = Peer<'_>> {
+        let local = self.hosts.values().map(|host| Peer {
             member: &host.member,
             condition: host.condition,
         });
-        near.chain(self.remote.values().map(Remote::view))
+        local.chain(self.remote_hosts.values().map(RemoteHost::peer))
     }
 
     /// What is known of the other data centres.
     pub fn summaries(&self) -> impl Iterator<Item = &Summary> {
-        self.distant
+        self.remote_data_centres
             .values()
-            .filter_map(|distant| distant.summary.as_ref())
+            .filter_map(|data_centre| data_centre.summary.as_ref())
     }
 
     /// The data centres that can't be reached; the own one where no other host of it is heard.
     pub fn cut_off(&self) -> impl Iterator<Item = &DataCentre> {
-        let own = (self.own_reach == Reach::CutOff).then_some(&self.local.data_centre);
-        let distant = self
-            .distant
+        let own =
+            (self.own_reachability == Reachability::CutOff).then_some(&self.local.data_centre);
+        let remote = self
+            .remote_data_centres
             .values()
-            .filter(|distant| distant.reach == Reach::CutOff);
-        own.into_iter().chain(distant.map(|distant| &distant.id))
+            .filter(|data_centre| data_centre.reachability == Reachability::CutOff);
+        own.into_iter()
+            .chain(remote.map(|data_centre| &data_centre.id))
     }
 
     /// The host that speaks for the data centre to the others: the first one alive, by name.
@@ -154,22 +156,32 @@
     }
 
     /// Passes on what a merge brought: a host's own takings to all, a leaving notice in any case.
-    pub(crate) fn pass_on(&mut self, id: &EndpointId, novelty: Novelty, source: Option<&HostId>) {
-        let need = match (novelty, source) {
-            (Novelty::Left, _) => Need::Leaving(LEAVING_TELLINGS),
-            (Novelty::Joined, None) => Need::Record,
-            (Novelty::Renewed { load: true }, None) => Need::Load,
-            (Novelty::Renewed { load: false }, None) => Need::Renewal,
-            (Novelty::Stale, _) | (_, Some(_)) => return,
+    pub(crate) fn enqueue_update(
+        &mut self,
+        id: &EndpointId,
+        outcome: table::Outcome,
+        source: Option<&HostId>,
+    ) {
+        let update = match (outcome, source) {
+            (table::Outcome::Leaving, _) => Update::Leaving(LEAVING_TRANSMISSIONS),
+            (table::Outcome::Joined, None) => Update::Record,
+            (table::Outcome::Renewed { has_new_load: true }, None) => Update::Load,
+            (
+                table::Outcome::Renewed {
+                    has_new_load: false,
+                },
+                None,
+            ) => Update::Renewal,
+            (table::Outcome::Stale, _) | (_, Some(_)) => return,
         };
         for (host, state) in &mut self.hosts {
             if state.condition != Condition::Dead && Some(host) != source {
-                state.backlog.add(id, need);
+                state.backlog.add(id, update);
             }
         }
     }
 
-    fn take_announcement(
+    fn handle_announcement(
         &mut self,
         now: Moment,
         announcement: Announcement,
@@ -183,9 +195,9 @@
         let known_boot = self.table.get(&id).map(|record| record.announcement.boot);
         let refusal = match known_boot {
             _ if announcement.data_centre != self.local.data_centre => {
-                Some(Reason::OtherDataCentre)
+                Some(Refusal::OtherDataCentre)
             }
-            Some(known) if known > boot => Some(Reason::OldBoot),
+            Some(known) if known > boot => Some(Refusal::OldBoot),
             _ => None,
         };
         if let Some(reason) = refusal {
@@ -198,13 +210,13 @@
             return;
         }
         let is_leaving = announcement.leaving;
-        let novelty = self
+        let outcome = self
             .table
             .merge(now, announcement, Duration::ZERO, None, out);
-        self.pass_on(&id, novelty, None);
+        self.enqueue_update(&id, outcome, None);
         if is_leaving {
             self.start_notice(now, id, boot, sequence);
-            self.drive_notices(now, out);
+            self.advance_notices(now, out);
         } else {
             out.push(Output::AckAnnounce {
                 endpoint: id,
@@ -220,30 +232,30 @@
             .iter_mut()
             .find(|notice| notice.endpoint == id && notice.boot == boot);
         if let Some(notice) = known {
-            notice.waiting.push(sequence);
+            notice.unacknowledged.push(sequence);
             return;
         }
         let mut notice = Notice::new(id, boot, now);
-        notice.waiting.push(sequence);
+        notice.unacknowledged.push(sequence);
         self.notices.push(notice);
     }
 
-    fn drive_notices(&mut self, now: Moment, out: &mut Vec<Output>) {
+    fn advance_notices(&mut self, now: Moment, out: &mut Vec<Output>) {
         let alive = self.alive();
         let mut notices = std::mem::take(&mut self.notices);
         for notice in &mut notices {
-            for to in notice.receivers(now, &alive) {
-                let full = self.full(now, &notice.endpoint, &to);
-                let message = full.map(Message::Leaving);
+            for to in notice.due_receivers(now, &alive) {
+                let snapshot = self.snapshot(now, &notice.endpoint, &to);
+                let message = snapshot.map(Message::Leaving);
                 out.extend(message.map(|message| Output::Send { to, message }));
             }
-            notice.settle(&alive, out);
+            notice.acknowledge(&alive, out);
         }
-        notices.retain(|notice| !notice.is_over(now, &alive));
+        notices.retain(|notice| !notice.is_complete(now, &alive));
         self.notices = notices;
     }
 
-    fn take_message(
+    fn handle_message(
         &mut self,
         now: Moment,
         from: &HostId,
@@ -253,34 +265,40 @@
     ) {
         match message {
             Message::Members { members, wanted } => {
-                self.take_members(now, from, members, wanted, out);
-                self.hear(now, from, boot, out);
+                self.handle_members(now, from, members, wanted, out);
+                self.record_contact(now, from, boot, out);
             }
-            _ if !self.is_known(from) => self.ask_members(from, out),
-            _ if !self.hear(now, from, boot, out) => {}
-            Message::Push(push) => self.take_push(now, from, boot, push, out),
-            Message::Leaving(full) => self.take_leaving(now, from, full, out),
+            _ if !self.is_known(from) => self.request_members(from, out),
+            _ if !self.record_contact(now, from, boot, out) => {}
+            Message::Push(push) => self.handle_push(now, from, boot, push, out),
+            Message::Leaving(snapshot) => self.handle_leaving(now, from, snapshot, out),
             Message::Confirm { endpoint, boot } => {
                 for notice in &mut self.notices {
                     if notice.endpoint == endpoint && notice.boot == boot {
                         notice.confirm(from.clone());
                     }
                 }
-                self.drive_notices(now, out);
+                self.advance_notices(now, out);
             }
             Message::Digest { staying, leaving } => {
-                self.take_digest(now, from, &staying, &leaving, out);
+                self.handle_digest(now, from, &staying, &leaving, out);
             }
-            Message::Want(keys) => self.take_want(now, from, &keys, out),
-            Message::Records(records) => self.take_records(now, from, records, out),
-            Message::Summary(report) => self.take_report(now, from, *report, out),
+            Message::Want(keys) => self.handle_want(now, from, &keys, out),
+            Message::Records(records) => self.handle_records(now, from, records, out),
+            Message::Summary(report) => self.handle_report(now, from, *report, out),
         }
     }
 
     /// Notes that a host spoke; false where it was a former life of its daemon.
-    fn hear(&mut self, now: Moment, from: &HostId, boot: BootId, out: &mut Vec<Output>) -> bool {
+    fn record_contact(
+        &mut self,
+        now: Moment,
+        from: &HostId,
+        boot: BootId,
+        out: &mut Vec<Output>,
+    ) -> bool {
         let Some(host) = self.hosts.get_mut(from) else {
-            return self.hear_remote(from, boot);
+            return self.record_remote_contact(from, boot);
         };
         if boot < host.boot {
             return false;
@@ -290,44 +308,48 @@
             host.restart();
             host.boot = boot;
         }
-        host.heard = now;
+        host.last_heard = now;
         let was = std::mem::replace(&mut host.condition, Condition::Alive);
         if was != Condition::Alive {
-            out.push(condition(from, Condition::Alive));
+            out.push(condition_output(from, Condition::Alive));
         }
         if is_new || was == Condition::Dead {
-            self.pass_summaries_to(from);
+            self.enqueue_summaries_for(from);
         }
         true
     }
 
     fn tick(&mut self, now: Moment, out: &mut Vec<Output>) {
-        match self.ticked.replace(now) {
-            None => self.begin(now, out),
+        match self.last_tick.replace(now) {
+            None => self.handle_first_tick(now, out),
             // The daemon itself stood still: what it didn't hear meanwhile says nothing.
-            Some(ticked) if now - ticked > STALL => self.grace_until = now + SUSPECT_AFTER,
+            Some(last) if now - last > STALL_THRESHOLD => self.grace_until = now + SUSPECT_AFTER,
             Some(_) => {}
         }
         if now >= self.grace_until {
-            self.judge_hosts(now, out);
+            self.update_conditions(now, out);
             let hosts = &self.hosts;
-            let is_silent = |host: &HostId| hosts.get(host).is_none_or(|host| !host.is_recent(now));
+            let is_silent = |host: &HostId| {
+                hosts
+                    .get(host)
+                    .is_none_or(|host| !host.is_recently_heard(now))
+            };
             self.table.expire(now, is_silent, out);
         }
-        self.drive_notices(now, out);
+        self.advance_notices(now, out);
         self.compare_tables(now, out);
-        self.relay_duties(now, now >= self.grace_until, out);
-        self.push_due(now, out);
+        self.run_relay(now, now >= self.grace_until, out);
+        self.send_due_pushes(now, out);
     }
 
     /// The first tick: asks neighbours for what they know.
-    fn begin(&mut self, now: Moment, out: &mut Vec<Output>) {
+    fn handle_first_tick(&mut self, now: Moment, out: &mut Vec<Output>) {
         self.stagger(now);
         for host in self.hosts.values_mut() {
-            host.heard = now;
+            host.last_heard = now;
         }
-        for distant in self.distant.values_mut() {
-            distant.take_over(now);
+        for data_centre in self.remote_data_centres.values_mut() {
+            data_centre.reset_for_takeover(now);
         }
         let neighbours: Vec<HostId> = self.hosts.keys().take(2).cloned().collect();
         for to in neighbours {
@@ -335,63 +357,66 @@
         }
     }
 
-    fn judge_hosts(&mut self, now: Moment, out: &mut Vec<Output>) {
+    fn update_conditions(&mut self, now: Moment, out: &mut Vec<Output>) {
         for index in 0..self.hosts.len() {
-            let hearsay = self.hearsay(now, index);
+            let indirect_evidence = self.indirect_evidence(now, index);
             let (id, host) = self.hosts.get_index_mut(index).expect("in bounds");
-            let judged = host.judge(now, hearsay);
-            if judged == host.condition {
+            let condition = host.evaluate(now, indirect_evidence);
+            if condition == host.condition {
                 continue;
             }
-            host.condition = judged;
-            if judged == Condition::Dead {
+            host.condition = condition;
+            if condition == Condition::Dead {
                 host.backlog.clear();
             }
-            out.push(condition(id, judged));
+            out.push(condition_output(id, condition));
         }
-        self.judge_own(now, out);
+        self.update_own_reachability(now, out);
     }
 
-    fn hearsay(&self, now: Moment, index: usize) -> Hearsay {
+    fn indirect_evidence(&self, now: Moment, index: usize) -> Evidence {
         let (id, _) = self.hosts.get_index(index).expect("in bounds");
         let is_heard = self
             .hosts
             .iter()
-            .filter(|(other, host)| *other != id && host.is_recent(now))
-            .any(|(_, host)| !host.silent.contains(id));
+            .filter(|(other, host)| *other != id && host.is_recently_heard(now))
+            .any(|(_, host)| !host.silent_hosts.contains(id));
         if is_heard {
-            Hearsay::Heard
+            Evidence::Heard
         } else {
-            Hearsay::Silent
+            Evidence::Silent
         }
     }
 
-    fn judge_own(&mut self, now: Moment, out: &mut Vec<Output>) {
+    fn update_own_reachability(&mut self, now: Moment, out: &mut Vec<Output>) {
         let is_alone =
             !self.hosts.is_empty() && self.hosts.values().all(|host| host.is_silent(now));
-        let reach = if is_alone {
-            Reach::CutOff
+        let reachability = if is_alone {
+            Reachability::CutOff
         } else {
-            Reach::Reachable
+            Reachability::Reachable
         };
-        if reach != self.own_reach {
-            self.own_reach = reach;
+        if reachability != self.own_reachability {
+            self.own_reachability = reachability;
             out.push(Output::DataCentre {
                 id: self.local.data_centre.clone(),
-                reach,
+                reachability,
             });
         }
     }
 
-    fn take_leaving(
+    fn handle_leaving(
         &mut self,
         now: Moment,
         from: &HostId,
-        full: crate::Full,
+        snapshot: crate::Snapshot,
         out: &mut Vec<Output>,
     ) {
-        let (endpoint, boot) = (full.announcement.endpoint.clone(), full.announcement.boot);
-        self.take_full(now, from, full, out);
+        let (endpoint, boot) = (
+            snapshot.announcement.endpoint.clone(),
+            snapshot.announcement.boot,
+        );
+        self.merge_snapshot(now, from, snapshot, out);
         out.push(Output::Send {
             to: from.clone(),
             message: Message::Confirm { endpoint, boot },
@@ -399,7 +424,7 @@
     }
 }
 
-pub(crate) fn condition(id: &HostId, condition: Condition) -> Output {
+pub(crate) fn condition_output(id: &HostId, condition: Condition) -> Output {
     Output::Host {
         id: id.clone(),
         condition,
--- a/crates/kumquatdrum_membership/src/message.rs
+++ b/crates/kumquatdrum_membership/src/message.rs
@@ -3,7 +3,7 @@
 use kumquatdrum_types::{Announcement, BootId, DataCentre, EndpointId, HostId, Load};
 use serde::{Deserialize, Serialize};
 
-use crate::spread::Status;
+use crate::propagation::Status;
 use crate::{Key, Member, Summary};
 
 /// One message between daemons.
@@ -12,7 +12,7 @@
     /// Heartbeat and news, to each host of the data centre in turn.
     Push(Push),
     /// A leaving notice that waits for confirmation.
-    Leaving(Full),
+    Leaving(Snapshot),
     /// The leaving notice of this endpoint's life is held.
     Confirm {
         /// The endpoint.
@@ -31,7 +31,7 @@
     /// Asks for the records of these keys.
     Want(Vec<Key>),
     /// Whole records.
-    Records(Vec<Full>),
+    Records(Vec<Snapshot>),
     /// From relay to relay: the state of the sender's data centre.
     Summary(Box<Report>),
     /// The hosts that the sender knows.
@@ -59,18 +59,19 @@
     /// The setup in force on the sender.
     pub setup: Option<Status>,
     /// Endpoints that are leaving.
-    pub leaving: Vec<Note>,
+    pub leaving: Vec<Departure>,
     /// New or changed endpoints.
-    pub records: Vec<Full>,
+    pub records: Vec<Snapshot>,
     /// Renewals that the sender took, with load where it changed.
-    pub refreshes: Vec<Refresh>,
+    #[serde(rename = "refreshes")]
+    pub renewals: Vec<Renewal>,
     /// From the relay only: other data centres.
     pub summaries: Vec<Summary>,
 }
 
 /// A short word on an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct Departure {
     /// The endpoint's record.
     pub key: Key,
     /// The sequence of its announcement.
@@ -79,7 +80,7 @@
 
 /// A renewal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refresh {
+pub struct Renewal {
     /// The endpoint's record.
     pub key: Key,
     /// The sequence of its announcement.
@@ -91,8 +92,8 @@
 
 /// A whole record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Full {
-    /// The announcement; its load's `seen` is cut as in [`Refresh::load`].
+pub struct Snapshot {
+    /// The announcement; its load's `seen` is cut as in [`Renewal::load`].
     pub announcement: Announcement,
     /// How long ago it was renewed, in milliseconds.
     pub age_millis: u32,
--- a/crates/kumquatdrum_membership/src/notice.rs
+++ b/crates/kumquatdrum_membership/src/notice.rs
@@ -12,10 +12,10 @@
     pub(crate) endpoint: EndpointId,
     pub(crate) boot: BootId,
     /// Announcements of it that still wait for their acknowledgement.
-    pub(crate) waiting: Vec<u64>,
+    pub(crate) unacknowledged: Vec<u64>,
     confirmed: IndexSet<HostId>,
-    taken: Moment,
-    sent: Option<Moment>,
+    received_at: Moment,
+    last_sent: Option<Moment>,
 }
 
 impl Notice {
@@ -23,10 +23,10 @@
         Self {
             endpoint,
             boot,
-            waiting: Vec::new(),
+            unacknowledged: Vec::new(),
             confirmed: IndexSet::new(),
-            taken: now,
-            sent: None,
+            received_at: now,
+            last_sent: None,
         }
     }
 
@@ -35,12 +35,14 @@
     }
 
     /// The hosts that it is to be sent to now, of those alive.
-    pub(crate) fn receivers(&mut self, now: Moment, alive: &[HostId]) -> Vec<HostId> {
-        let is_due = self.sent.is_none_or(|sent| now - sent >= NOTICE_RETRY);
+    pub(crate) fn due_receivers(&mut self, now: Moment, alive: &[HostId]) -> Vec<HostId> {
+        let is_due = self
+            .last_sent
+            .is_none_or(|last_sent| now - last_sent >= NOTICE_RETRY);
         if !is_due {
             return Vec::new();
         }
-        self.sent = Some(now);
+        self.last_sent = Some(now);
         alive
             .iter()
             .filter(|host| !self.confirmed.contains(*host))
@@ -49,7 +51,7 @@
     }
 
     /// Acknowledges the announcements, once enough hosts hold the notice.
-    pub(crate) fn settle(&mut self, alive: &[HostId], out: &mut Vec<Output>) {
+    pub(crate) fn acknowledge(&mut self, alive: &[HostId], out: &mut Vec<Output>) {
         let copies = alive
             .iter()
             .filter(|host| self.confirmed.contains(*host))
@@ -57,7 +59,7 @@
         if copies < NOTICE_COPIES.min(alive.len()) {
             return;
         }
-        for sequence in self.waiting.drain(..) {
+        for sequence in self.unacknowledged.drain(..) {
             out.push(Output::AckAnnounce {
                 endpoint: self.endpoint.clone(),
                 boot: self.boot,
@@ -67,8 +69,8 @@
     }
 
     /// Whether nothing is left to do for it.
-    pub(crate) fn is_over(&self, now: Moment, alive: &[HostId]) -> bool {
+    pub(crate) fn is_complete(&self, now: Moment, alive: &[HostId]) -> bool {
         let is_everywhere = alive.iter().all(|host| self.confirmed.contains(host));
-        self.waiting.is_empty() && (is_everywhere || now - self.taken > NOTICE_EXPIRY)
+        self.unacknowledged.is_empty() && (is_everywhere || now - self.received_at > NOTICE_EXPIRY)
     }
 }
--- a/crates/kumquatdrum_membership/src/spread/delta.rs
+++ b/crates/kumquatdrum_membership/src/propagation/delta.rs
@@ -24,7 +24,7 @@
 }
 
 impl Part {
-    pub(crate) fn own_bytes(&self) -> usize {
+    pub(crate) fn literal_bytes(&self) -> usize {
         match self {
             Self::Copy { .. } => 0,
             Self::Insert(bytes) => bytes.len(),
@@ -34,13 +34,13 @@
 
 /// The parts that make the new text from the old one.
 pub(crate) fn parts(old: &[u8], new: &Bytes) -> Vec<Part> {
-    let prefix = common(old.iter(), new.iter());
-    let suffix = common(old[prefix..].iter().rev(), new[prefix..].iter().rev());
+    let prefix = common_length(old.iter(), new.iter());
+    let suffix = common_length(old[prefix..].iter().rev(), new[prefix..].iter().rev());
     let mut builder = Builder {
         old,
         new,
         parts: Vec::new(),
-        done: prefix,
+        covered: prefix,
     };
     builder.copy(0, prefix);
     builder.fill(new.len() - suffix);
@@ -69,44 +69,44 @@
     new: &'a Bytes,
     parts: Vec<Part>,
     /// The new text up to here is made of the parts so far.
-    done: usize,
+    covered: usize,
 }
 
 impl Builder<'_> {
     /// Makes the new text up to `end`.
     fn fill(&mut self, end: usize) {
-        if self.done == end {
+        if self.covered == end {
             return;
         }
         let anchors = anchors(self.old);
-        let mut at = self.done;
+        let mut at = self.covered;
         while at < end {
-            let next = piece_end(self.new, at).min(end);
+            let next = token_end(self.new, at).min(end);
             let Some(Some(anchor)) = anchors.get(&self.new[at..next]) else {
                 at = next;
                 continue;
             };
-            let back = common(
+            let backward = common_length(
                 self.old[..*anchor].iter().rev(),
-                self.new[self.done..at].iter().rev(),
+                self.new[self.covered..at].iter().rev(),
             );
-            let forth = common(self.old[*anchor..].iter(), self.new[at..end].iter());
-            self.insert(at - back);
-            self.copy(anchor - back, back + forth);
-            self.done = at + forth;
-            at = match self.done {
-                done if done < end => piece_end(self.new, done - 1).min(end),
-                done => done,
+            let forward = common_length(self.old[*anchor..].iter(), self.new[at..end].iter());
+            self.insert(at - backward);
+            self.copy(anchor - backward, backward + forward);
+            self.covered = at + forward;
+            at = match self.covered {
+                covered if covered < end => token_end(self.new, covered - 1).min(end),
+                covered => covered,
             };
         }
         self.insert(end);
     }
 
     fn insert(&mut self, end: usize) {
-        if self.done < end {
-            let bytes = self.new.slice(self.done..end);
+        if self.covered < end {
+            let bytes = self.new.slice(self.covered..end);
             self.parts.push(Part::Insert(bytes));
-            self.done = end;
+            self.covered = end;
         }
     }
 
@@ -125,24 +125,27 @@
     let mut anchors = HashMap::new();
     let mut at = 0;
     while at < text.len() {
-        let end = piece_end(text, at);
+        let end = token_end(text, at);
         anchors
             .entry(&text[at..end])
-            .and_modify(|place| *place = None)
+            .and_modify(|position| *position = None)
             .or_insert(Some(at));
         at = end;
     }
     anchors
 }
 
-fn piece_end(text: &[u8], start: usize) -> usize {
+fn token_end(text: &[u8], start: usize) -> usize {
     let length = text[start..]
         .iter()
         .position(|byte| matches!(byte, b',' | b'\n'));
     length.map_or(text.len(), |length| start + length + 1)
 }
 
-fn common<'a>(left: impl Iterator<Item = &'a u8>, right: impl Iterator<Item = &'a u8>) -> usize {
+fn common_length<'a>(
+    left: impl Iterator<Item = &'a u8>,
+    right: impl Iterator<Item = &'a u8>,
+) -> usize {
     left.zip(right)
         .take_while(|(left, right)| left == right)
         .count()
--- a/crates/kumquatdrum_membership/src/spread/event.rs
+++ b/crates/kumquatdrum_membership/src/propagation/event.rs
@@ -65,7 +65,7 @@
     /// Hand this to the membership core, to ride on its messages.
     Status(Status),
     /// A host is known to have this version in force.
-    Holds {
+    Installed {
         /// The host.
         host: HostId,
         /// The version.
--- a/crates/kumquatdrum_membership/src/spread/holding.rs
+++ b/crates/kumquatdrum_membership/src/propagation/installation.rs
@@ -7,23 +7,23 @@
 
 /// What is known of one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Holding {
+pub struct Installation {
     /// The life of its daemon.
     pub boot: BootId,
     /// The version in force on it.
     pub version: Version,
-    pub(crate) changed: Moment,
+    pub(crate) changed_at: Moment,
 }
 
 /// What is known of all hosts; only upwards within one life.
 #[derive(Debug, Default)]
-pub(crate) struct Holdings {
-    hosts: IndexMap<HostId, Holding>,
+pub(crate) struct Installations {
+    hosts: IndexMap<HostId, Installation>,
 }
 
-impl Holdings {
+impl Installations {
     /// Takes word of a host; returns whether it is news.
-    pub(crate) fn take(
+    pub(crate) fn update(
         &mut self,
         now: Moment,
         host: &HostId,
@@ -34,39 +34,42 @@
         if known.is_some_and(|known| (known.boot, known.version) >= (boot, version)) {
             return false;
         }
-        let holding = Holding {
+        let installation = Installation {
             boot,
             version,
-            changed: now,
+            changed_at: now,
         };
-        self.hosts.insert(host.clone(), holding);
+        self.hosts.insert(host.clone(), installation);
         true
     }
 
-    pub(crate) fn get(&self, host: &HostId) -> Option<&Holding> {
+    pub(crate) fn get(&self, host: &HostId) -> Option<&Installation> {
         self.hosts.get(host)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (&HostId, &Holding)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&HostId, &Installation)> {
         self.hosts.iter()
     }
 
     /// When the latest news came.
     pub(crate) fn last_change(&self) -> Option<Moment> {
-        self.hosts.values().map(|holding| holding.changed).max()
+        self.hosts
+            .values()
+            .map(|installation| installation.changed_at)
+            .max()
     }
 
-    /// What changed within `age`, of the hosts that `is_own` names.
-    pub(crate) fn news(
+    /// What changed within `age`, of the hosts that `is_local` names.
+    pub(crate) fn recent_changes(
         &self,
         now: Moment,
         age: Duration,
-        is_own: impl Fn(&HostId) -> bool,
+        is_local: impl Fn(&HostId) -> bool,
     ) -> Vec<(HostId, BootId, Version)> {
         self.hosts
             .iter()
-            .filter(|(host, holding)| now - holding.changed <= age && is_own(host))
-            .map(|(host, holding)| (host.clone(), holding.boot, holding.version))
+            .filter(|(host, installation)| now - installation.changed_at <= age && is_local(host))
+            .map(|(host, installation)| (host.clone(), installation.boot, installation.version))
             .collect()
     }
 }
--- a/crates/kumquatdrum_membership/src/spread/message.rs
+++ b/crates/kumquatdrum_membership/src/propagation/message.rs
@@ -15,10 +15,12 @@
         /// The version; 0 where it holds none.
         version: Version,
         /// The beginning of its digest.
-        mark: u64,
+        #[serde(rename = "mark")]
+        digest_prefix: u64,
     },
     /// A version that the receiver lacks.
-    News(News),
+    #[serde(rename = "News")]
+    Transfer(Transfer),
 }
 
 /// What a host has.
@@ -38,7 +40,8 @@
     /// The version in force; 0 where there is none.
     pub version: Version,
     /// The beginning of its digest.
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub digest_prefix: u64,
     /// Whether it serves: it has asked around since its start.
     pub is_ready: bool,
     /// How long ago it had first-hand word of a majority of control replicas, in milliseconds.
@@ -47,7 +50,7 @@
 
 /// A version on its way.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Transfer {
     /// The version.
     pub version: Version,
     /// The digest of its text.
--- a/crates/kumquatdrum_membership/src/spread/mod.rs
+++ b/crates/kumquatdrum_membership/src/propagation/mod.rs
@@ -8,18 +8,18 @@
 mod delta;
 mod event;
 mod fetch;
-mod holding;
+mod installation;
 mod machine;
 mod message;
-mod path;
-mod start;
-mod tell;
+mod notification;
+mod startup;
 mod text;
 pub mod timing;
+mod topology;
 
 pub use delta::Part;
 pub use event::{Input, Output};
-pub use holding::Holding;
-pub use machine::{Config, Spread};
-pub use message::{Have, Message, News, Status};
+pub use installation::Installation;
+pub use machine::{Config, Propagation};
+pub use message::{Have, Message, Status, Transfer};
 pub use text::{Setup, Text};
--- a/crates/kumquatdrum_membership/src/spread/start.rs
+++ b/crates/kumquatdrum_membership/src/propagation/startup.rs
@@ -3,51 +3,53 @@
 use indexmap::IndexSet;
 use kumquatdrum_types::{HostId, Moment};
 
-use super::timing::{ASK_RETRY, START_LIMIT, START_PATIENCE};
+use super::timing::{ASK_RETRY, START_CONFIRMATION_TIMEOUT, START_FETCH_TIMEOUT};
 
 /// What a starting host has learnt so far.
 #[derive(Debug)]
-pub(crate) struct Start {
+pub(crate) struct Startup {
     since: Moment,
-    asked: Option<Moment>,
+    last_asked: Option<Moment>,
     answered: IndexSet<HostId>,
 }
 
 /// What a starting host knows when it asks itself whether it may serve.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Knowledge<'a> {
-    pub(crate) control: &'a IndexSet<HostId>,
+pub(crate) struct Observations<'a> {
+    pub(crate) control_replicas: &'a IndexSet<HostId>,
     /// It holds a version.
-    pub(crate) is_held: bool,
+    pub(crate) has_version: bool,
     /// It knows of a higher version and is getting it.
     pub(crate) is_fetching: bool,
     /// Its own control replica is up to date.
     pub(crate) has_majority: bool,
 }
 
-impl Start {
+impl Startup {
     pub(crate) fn new(now: Moment) -> Self {
         Self {
             since: now,
-            asked: None,
+            last_asked: None,
             answered: IndexSet::new(),
         }
     }
 
-    pub(crate) fn answer(&mut self, host: &HostId) {
+    pub(crate) fn record_answer(&mut self, host: &HostId) {
         self.answered.insert(host.clone());
     }
 
     /// A version came: what others have is asked anew at once.
     pub(crate) fn ask_again(&mut self) {
-        self.asked = None;
+        self.last_asked = None;
     }
 
     /// Whether it is time to ask those who haven't answered.
     pub(crate) fn is_due(&mut self, now: Moment) -> bool {
-        let is_due = self.asked.is_none_or(|asked| now - asked >= ASK_RETRY);
+        let is_due = self
+            .last_asked
+            .is_none_or(|last_asked| now - last_asked >= ASK_RETRY);
         if is_due {
-            self.asked = Some(now);
+            self.last_asked = Some(now);
         }
         is_due
     }
@@ -57,25 +59,27 @@
     }
 
     /// Whether the host may serve, and whether a majority has confirmed it.
-    pub(crate) fn judge(&self, now: Moment, knowledge: Knowledge<'_>) -> Option<bool> {
+    pub(crate) fn readiness(&self, now: Moment, observations: Observations<'_>) -> Option<bool> {
         let waited = now - self.since;
-        match knowledge {
-            Knowledge {
+        match observations {
+            Observations {
                 is_fetching: true, ..
-            } => (knowledge.is_held && waited >= START_LIMIT).then_some(false),
-            Knowledge {
+            } => (observations.has_version && waited >= START_FETCH_TIMEOUT).then_some(false),
+            Observations {
                 has_majority: true, ..
             } => Some(true),
-            _ if self.is_confirmed(knowledge.control) => Some(true),
-            _ => (knowledge.is_held && waited >= START_PATIENCE).then_some(false),
+            _ if self.is_confirmed(observations.control_replicas) => Some(true),
+            _ => {
+                (observations.has_version && waited >= START_CONFIRMATION_TIMEOUT).then_some(false)
+            }
         }
     }
 
-    fn is_confirmed(&self, control: &IndexSet<HostId>) -> bool {
-        let answers = control
+    fn is_confirmed(&self, control_replicas: &IndexSet<HostId>) -> bool {
+        let answers = control_replicas
             .iter()
             .filter(|host| self.answered.contains(*host))
             .count();
-        !control.is_empty() && answers > control.len() / 2
+        !control_replicas.is_empty() && answers > control_replicas.len() / 2
     }
 }
--- a/crates/kumquatdrum_membership/src/spread/text.rs
+++ b/crates/kumquatdrum_membership/src/propagation/text.rs
@@ -7,7 +7,7 @@
 use super::delta::{self, Part};
 
 /// The most bytes of a part beyond its own text.
-const PART_BYTES: usize = 11;
+const PART_OVERHEAD_BYTES: usize = 11;
 
 /// One accepted version of the declaration.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     /// A version with its digest worked out.
     ///
     /// ```
-    /// use kumquatdrum_membership::spread::Setup;
+    /// use kumquatdrum_membership::propagation::Setup;
     /// use kumquatdrum_types::Version;
     /// let setup = Setup::new(Version(1), "{}");
     /// assert_eq!(setup.digest.len(), 64);
@@ -53,7 +53,7 @@
     }
 
     /// The beginning of the digest.
-    pub fn mark(&self) -> u64 {
+    pub fn digest_prefix(&self) -> u64 {
         self.digest
             .get(..16)
             .and_then(|digits| u64::from_str_radix(digits, 16).ok())
@@ -65,12 +65,12 @@
     /// The difference to a base, or the whole where that is no longer.
     ///
     /// ```
-    /// use kumquatdrum_membership::spread::{Setup, Text};
+    /// use kumquatdrum_membership::propagation::{Setup, Text};
     /// use kumquatdrum_types::Version;
     /// let base = Setup::new(Version(1), "limit: 5, weight: 1, name: hall-raatuse");
     /// let next = Setup::new(Version(2), "limit: 7, weight: 1, name: hall-raatuse");
     /// let text = Text::between(Some(&base), &next);
-    /// assert_eq!(text.own_bytes(), 1);
+    /// assert_eq!(text.literal_bytes(), 1);
     /// assert_eq!(text.apply(Some(&base)), Some(next.text));
     /// ```
     pub fn between(base: Option<&Setup>, next: &Setup) -> Self {
@@ -79,34 +79,34 @@
             parts: delta::parts(&base.text, &next.text),
         });
         match delta {
-            Some(delta) if delta.bytes() < next.text.len() => delta,
+            Some(delta) if delta.estimated_bytes() < next.text.len() => delta,
             _ => Self::Whole(next.text.clone()),
         }
     }
 
     /// The text that this stands for; `None` where it is a difference to another base.
-    pub fn apply(&self, held: Option<&Setup>) -> Option<Bytes> {
-        match (self, held) {
+    pub fn apply(&self, current: Option<&Setup>) -> Option<Bytes> {
+        match (self, current) {
             (Self::Whole(text), _) => Some(text.clone()),
-            (Self::Delta { base, parts }, Some(held)) if held.version == *base => {
-                delta::join(&held.text, parts)
+            (Self::Delta { base, parts }, Some(current)) if current.version == *base => {
+                delta::join(&current.text, parts)
             }
             _ => None,
         }
     }
 
     /// The bytes of text that it carries itself.
-    pub fn own_bytes(&self) -> usize {
+    pub fn literal_bytes(&self) -> usize {
         match self {
             Self::Whole(text) => text.len(),
-            Self::Delta { parts, .. } => parts.iter().map(Part::own_bytes).sum(),
+            Self::Delta { parts, .. } => parts.iter().map(Part::literal_bytes).sum(),
         }
     }
 
-    fn bytes(&self) -> usize {
+    fn estimated_bytes(&self) -> usize {
         match self {
             Self::Whole(text) => text.len(),
-            Self::Delta { parts, .. } => self.own_bytes() + parts.len() * PART_BYTES,
+            Self::Delta { parts, .. } => self.literal_bytes() + parts.len() * PART_OVERHEAD_BYTES,
         }
     }
 }
--- a/crates/kumquatdrum_membership/src/spread/path.rs
+++ b/crates/kumquatdrum_membership/src/propagation/topology.rs
@@ -5,11 +5,11 @@
 
 /// The hosts and data centres around a host.
 #[derive(Debug)]
-pub(crate) struct Paths {
+pub(crate) struct Topology {
     local: HostId,
     data_centre: DataCentre,
     hosts: IndexMap<HostId, Neighbour>,
-    distant: IndexMap<DataCentre, Distant>,
+    remote_data_centres: IndexMap<DataCentre, Remote>,
 }
 
 #[derive(Debug)]
@@ -19,30 +19,33 @@
 }
 
 #[derive(Debug, Default)]
-struct Distant {
+struct Remote {
     hosts: Vec<HostId>,
     contact: Option<(HostId, Moment)>,
-    tried: usize,
+    attempts: usize,
 }
 
-impl Paths {
+impl Topology {
     pub(crate) fn new(local: HostId, data_centre: DataCentre) -> Self {
         Self {
             local,
             data_centre,
             hosts: IndexMap::new(),
-            distant: IndexMap::new(),
+            remote_data_centres: IndexMap::new(),
         }
     }
 
-    pub(crate) fn set(&mut self, host: HostId, data_centre: DataCentre, is_alive: bool) {
+    pub(crate) fn update_host(&mut self, host: HostId, data_centre: DataCentre, is_alive: bool) {
         if host == self.local {
             return;
         }
         let is_new = !self.hosts.contains_key(&host);
         if is_new && data_centre != self.data_centre {
-            let distant = self.distant.entry(data_centre.clone()).or_default();
-            distant.hosts.push(host.clone());
+            let remote = self
+                .remote_data_centres
+                .entry(data_centre.clone())
+                .or_default();
+            remote.hosts.push(host.clone());
         }
         let neighbour = Neighbour {
             data_centre,
@@ -51,7 +54,7 @@
         self.hosts.insert(host, neighbour);
     }
 
-    pub(crate) fn is_own(&self, host: &HostId) -> bool {
+    pub(crate) fn is_local(&self, host: &HostId) -> bool {
         *host == self.local
             || self
                 .hosts
@@ -60,7 +63,7 @@
     }
 
     /// The hosts of the data centre that are alive, without this one.
-    pub(crate) fn near(&self) -> impl Iterator<Item = &HostId> {
+    pub(crate) fn local_hosts(&self) -> impl Iterator<Item = &HostId> {
         self.hosts
             .iter()
             .filter(|(_, host)| host.is_alive && host.data_centre == self.data_centre)
@@ -69,7 +72,7 @@
 
     /// The first host of the data centre that is alive, by name.
     pub(crate) fn relay(&self) -> &HostId {
-        self.near().fold(&self.local, std::cmp::min)
+        self.local_hosts().fold(&self.local, std::cmp::min)
     }
 
     pub(crate) fn is_relay(&self) -> bool {
@@ -77,36 +80,40 @@
     }
 
     pub(crate) fn data_centres(&self) -> Vec<DataCentre> {
-        self.distant.keys().cloned().collect()
+        self.remote_data_centres.keys().cloned().collect()
     }
 
     /// A host of another data centre spoke.
-    pub(crate) fn hear(&mut self, now: Moment, from: &HostId) {
+    pub(crate) fn record_contact(&mut self, now: Moment, from: &HostId) {
         let Some(neighbour) = self.hosts.get(from) else {
             return;
         };
-        if let Some(distant) = self.distant.get_mut(&neighbour.data_centre) {
-            distant.contact = Some((from.clone(), now));
+        if let Some(remote) = self.remote_data_centres.get_mut(&neighbour.data_centre) {
+            remote.contact = Some((from.clone(), now));
         }
     }
 
     /// The host to speak to in a data centre: the one that spoke last if that was since `since`,
     /// else each in turn.
-    pub(crate) fn contact(&mut self, data_centre: &DataCentre, since: Moment) -> Option<HostId> {
-        let distant = self.distant.get_mut(data_centre)?;
-        match &distant.contact {
+    pub(crate) fn select_contact(
+        &mut self,
+        data_centre: &DataCentre,
+        since: Moment,
+    ) -> Option<HostId> {
+        let remote = self.remote_data_centres.get_mut(data_centre)?;
+        match &remote.contact {
             Some((host, at)) if *at >= since => Some(host.clone()),
-            _ if distant.hosts.is_empty() => None,
+            _ if remote.hosts.is_empty() => None,
             _ => {
-                distant.tried += 1;
-                Some(distant.hosts[(distant.tried - 1) % distant.hosts.len()].clone())
+                remote.attempts += 1;
+                Some(remote.hosts[(remote.attempts - 1) % remote.hosts.len()].clone())
             }
         }
     }
 
     pub(crate) fn hosts_of(&self, data_centre: &DataCentre) -> &[HostId] {
-        self.distant
+        self.remote_data_centres
             .get(data_centre)
-            .map_or(&[], |distant| &distant.hosts)
+            .map_or(&[], |remote| &remote.hosts)
     }
 }
--- a/crates/kumquatdrum_membership/src/push.rs
+++ b/crates/kumquatdrum_membership/src/push.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use kumquatdrum_types::endpoint::Kind;
+use kumquatdrum_types::endpoint;
 use kumquatdrum_types::{Announcement, BootId, EndpointId, HostId, Load, Moment};
 use postcard::experimental::serialized_size;
 use serde::Serialize;
 
-use crate::backlog::{Backlog, Need};
-use crate::message::{Full, Message, Note, Push, Refresh};
-use crate::table::{Record, Table};
+use crate::backlog::{Backlog, Update};
+use crate::message::{Departure, Message, Push, Renewal, Snapshot};
+use crate::table::{self, Record, Table};
 use crate::timing::{
     PUSH_BYTES, PUSH_BYTES_PER_ENDPOINT, PUSH_INTERVAL_MAX, PUSH_INTERVAL_MIN, PUSH_SUMMARY_BYTES,
-    SLOT,
+    TICK_INTERVAL,
 };
 use crate::{Key, Membership, Output, Summary};
 
@@ -25,7 +25,8 @@
     /// How often each host of the data centre is pushed to: one a slot, within bounds.
     fn push_interval(&self) -> Duration {
         let count = u32::try_from(self.hosts.len()).unwrap_or(u32::MAX);
-        SLOT.saturating_mul(count)
+        TICK_INTERVAL
+            .saturating_mul(count)
             .clamp(PUSH_INTERVAL_MIN, PUSH_INTERVAL_MAX)
     }
 
@@ -34,18 +35,18 @@
         let interval = self.push_interval();
         let count = self.hosts.len().max(1) as u32;
         for (index, host) in self.hosts.values_mut().enumerate() {
-            host.push_due = now + interval * index as u32 / count;
+            host.next_push = now + interval * index as u32 / count;
         }
     }
 
     /// Pushes to the hosts whose turn it is.
-    pub(crate) fn push_due(&mut self, now: Moment, out: &mut Vec<Output>) {
+    pub(crate) fn send_due_pushes(&mut self, now: Moment, out: &mut Vec<Output>) {
         let interval = self.push_interval();
         for index in 0..self.hosts.len() {
-            if self.hosts[index].push_due > now {
+            if self.hosts[index].next_push > now {
                 continue;
             }
-            self.hosts[index].push_due = now + interval;
+            self.hosts[index].next_push = now + interval;
             let push = self.make_push(now, index);
             out.push(Output::Send {
                 to: self.hosts[index].member.host.clone(),
@@ -56,20 +57,20 @@
 
     fn make_push(&mut self, now: Moment, index: usize) -> Push {
         let is_relay = self.is_relay();
-        let silent = self.silent(now);
-        let cut_off = is_relay.then(|| self.unreachable());
+        let silent = self.silent_hosts(now);
+        let cut_off = is_relay.then(|| self.unreachable_data_centres());
         let host = &mut self.hosts[index];
-        host.push_sent += 1;
+        host.last_push_sent += 1;
         let mut push = Push {
-            sequence: host.push_sent,
+            sequence: host.last_push_sent,
             table: self.table.digest(),
-            roster: self.roster,
+            roster: self.roster_digest,
             silent,
             cut_off,
             setup: self.setup,
             leaving: Vec::new(),
             records: Vec::new(),
-            refreshes: Vec::new(),
+            renewals: Vec::new(),
             summaries: Vec::new(),
         };
         let limit = PUSH_BYTES.max(PUSH_BYTES_PER_ENDPOINT * self.table.len());
@@ -77,17 +78,17 @@
             now,
             table: &self.table,
             receiver: &host.member.host,
-            room: limit.saturating_sub(size(&push)),
+            remaining: limit.saturating_sub(encoded_size(&push)),
         };
         packer.pack_leaving(&mut host.backlog, &mut push.leaving);
         packer.pack_records(&mut host.backlog, &mut push.records);
-        packer.pack_refreshes(&mut host.backlog, &mut push.refreshes);
-        let room = packer.room.min(PUSH_SUMMARY_BYTES);
-        push.summaries = self.pack_summaries(index, room);
+        packer.pack_renewals(&mut host.backlog, &mut push.renewals);
+        let remaining = packer.remaining.min(PUSH_SUMMARY_BYTES);
+        push.summaries = self.pack_summaries(index, remaining);
         push
     }
 
-    fn silent(&self, now: Moment) -> Vec<HostId> {
+    fn silent_hosts(&self, now: Moment) -> Vec<HostId> {
         self.hosts
             .values()
             .filter(|host| host.is_silent(now))
@@ -95,17 +96,20 @@
             .collect()
     }
 
-    fn pack_summaries(&mut self, index: usize, mut room: usize) -> Vec<Summary> {
+    fn pack_summaries(&mut self, index: usize, mut remaining: usize) -> Vec<Summary> {
         let mut packed = Vec::new();
         let summaries = &mut self.hosts[index].backlog.summaries;
         while let Some(id) = summaries.first() {
-            let summary = self.distant.get(id).and_then(|one| one.summary.clone());
-            let bytes = summary.as_ref().map_or(0, size);
+            let summary = self
+                .remote_data_centres
+                .get(id)
+                .and_then(|one| one.summary.clone());
+            let bytes = summary.as_ref().map_or(0, encoded_size);
             // One that exceeds the room by itself goes alone.
-            if bytes > room && !packed.is_empty() {
+            if bytes > remaining && !packed.is_empty() {
                 break;
             }
-            room = room.saturating_sub(bytes);
+            remaining = remaining.saturating_sub(bytes);
             packed.extend(summary);
             summaries.remove(0);
         }
@@ -113,7 +117,7 @@
     }
 
     /// Takes a push.
-    pub(crate) fn take_push(
+    pub(crate) fn handle_push(
         &mut self,
         now: Moment,
         from: &HostId,
@@ -122,23 +126,28 @@
         out: &mut Vec<Output>,
     ) {
         let mut wanted = Vec::new();
-        for full in push.records {
-            self.take_full(now, from, full, out);
+        for snapshot in push.records {
+            self.merge_snapshot(now, from, snapshot, out);
         }
-        for note in push.leaving {
-            match self.table.merge_leaving(note.key, note.sequence, out) {
-                Some(novelty) => self.pass_on_key(note.key, novelty, from),
-                None => wanted.push(note.key),
+        for departure in push.leaving {
+            match self
+                .table
+                .merge_leaving(departure.key, departure.sequence, out)
+            {
+                Some(outcome) => self.enqueue_update_by_key(departure.key, outcome, from),
+                None => wanted.push(departure.key),
             }
         }
-        for refresh in push.refreshes {
-            let load = refresh.load.map(|load| restored(load, &self.local.host));
-            let (key, sequence) = (refresh.key, refresh.sequence);
+        for renewal in push.renewals {
+            let load = renewal
+                .load
+                .map(|load| restore_load(load, &self.local.host));
+            let (key, sequence) = (renewal.key, renewal.sequence);
             let merged = self
                 .table
-                .merge_refresh(now, key, sequence, load, from, out);
+                .merge_renewal(now, key, sequence, load, from, out);
             if merged.is_none() {
-                wanted.push(refresh.key);
+                wanted.push(renewal.key);
             }
         }
         if !wanted.is_empty() {
@@ -147,7 +156,7 @@
                 message: Message::Want(wanted),
             });
         }
-        out.extend(push.setup.map(|status| Output::Setup {
+        out.extend(push.setup.map(|status| Output::SetupStatus {
             from: from.clone(),
             boot,
             status,
@@ -158,44 +167,48 @@
             return;
         };
         // A push that was overtaken says nothing about the present.
-        if push.sequence <= host.push_taken {
+        if push.sequence <= host.last_push_received {
             return;
         }
-        host.push_taken = push.sequence;
-        host.silent = push.silent.into_iter().collect();
+        host.last_push_received = push.sequence;
+        host.silent_hosts = push.silent.into_iter().collect();
         host.differs_since = match (is_equal, host.differs_since) {
             (true, _) => None,
             (false, since) => since.or(Some(now)),
         };
-        self.take_relayed(from, push.cut_off, push.summaries, out);
+        self.handle_relayed(from, push.cut_off, push.summaries, out);
     }
 
     /// Takes a whole record from a peer.
-    pub(crate) fn take_full(
+    pub(crate) fn merge_snapshot(
         &mut self,
         now: Moment,
         from: &HostId,
-        full: Full,
+        snapshot: Snapshot,
         out: &mut Vec<Output>,
     ) {
-        let id = full.announcement.endpoint.clone();
-        let age = Duration::from_millis(full.age_millis.into());
-        let announcement = map_load(full.announcement, |load| restored(load, &self.local.host));
-        let novelty = self
+        let id = snapshot.announcement.endpoint.clone();
+        let age = Duration::from_millis(snapshot.age_millis.into());
+        let announcement = map_load(snapshot.announcement, |load| {
+            restore_load(load, &self.local.host)
+        });
+        let outcome = self
             .table
             .merge(now, announcement, age, Some(from.clone()), out);
-        self.pass_on(&id, novelty, Some(from));
+        self.enqueue_update(&id, outcome, Some(from));
     }
 
-    fn pass_on_key(&mut self, key: Key, novelty: crate::table::Novelty, from: &HostId) {
-        if let Some(id) = self.table.by_key(key).cloned() {
-            self.pass_on(&id, novelty, Some(from));
+    fn enqueue_update_by_key(&mut self, key: Key, outcome: table::Outcome, from: &HostId) {
+        if let Some(id) = self.table.endpoint_with_key(key).cloned() {
+            self.enqueue_update(&id, outcome, Some(from));
         }
     }
 
     /// An endpoint's whole record, cut for its receiver.
-    pub(crate) fn full(&self, now: Moment, id: &EndpointId, to: &HostId) -> Option<Full> {
-        self.table.get(id).map(|record| cut(now, record, to))
+    pub(crate) fn snapshot(&self, now: Moment, id: &EndpointId, to: &HostId) -> Option<Snapshot> {
+        self.table
+            .get(id)
+            .map(|record| snapshot_for(now, record, to))
     }
 }
 
@@ -204,84 +217,84 @@
     now: Moment,
     table: &'a Table,
     receiver: &'a HostId,
-    room: usize,
+    remaining: usize,
 }
 
 impl Packer<'_> {
     /// Leaving notices go before all else and without a limit of their own; each is short.
-    fn pack_leaving(&mut self, backlog: &mut Backlog, packed: &mut Vec<Note>) {
+    fn pack_leaving(&mut self, backlog: &mut Backlog, packed: &mut Vec<Departure>) {
         let table = self.table;
-        backlog.endpoints.retain(|id, need| {
-            let (Need::Leaving(count), Some(record)) = (*need, table.get(id)) else {
+        backlog.endpoints.retain(|id, update| {
+            let (Update::Leaving(count), Some(record)) = (*update, table.get(id)) else {
                 return true;
             };
-            packed.push(Note {
+            packed.push(Departure {
                 key: record.key,
                 sequence: record.announcement.sequence,
             });
-            *need = Need::Leaving(count.saturating_sub(1));
+            *update = Update::Leaving(count.saturating_sub(1));
             count > 1
         });
-        self.room = self.room.saturating_sub(size(packed));
+        self.remaining = self.remaining.saturating_sub(encoded_size(packed));
     }
 
     /// New records take half of the room at most, so that renewals never wait for them. One that
     /// doesn't fit goes as a renewal: whoever lacks its key asks for the record.
-    fn pack_records(&mut self, backlog: &mut Backlog, packed: &mut Vec<Full>) {
+    fn pack_records(&mut self, backlog: &mut Backlog, packed: &mut Vec<Snapshot>) {
         let (now, table, receiver) = (self.now, self.table, self.receiver);
-        let mut room = self.room / 2;
-        backlog.endpoints.retain(|id, need| {
-            let (Need::Record, Some(record)) = (*need, table.get(id)) else {
+        let mut remaining = self.remaining / 2;
+        backlog.endpoints.retain(|id, update| {
+            let (Update::Record, Some(record)) = (*update, table.get(id)) else {
                 return true;
             };
-            let full = cut(now, record, receiver);
-            let bytes = size(&full);
-            if bytes > room {
-                *need = Need::Load;
+            let snapshot = snapshot_for(now, record, receiver);
+            let bytes = encoded_size(&snapshot);
+            if bytes > remaining {
+                *update = Update::Load;
                 return true;
             }
-            room -= bytes;
-            packed.push(full);
+            remaining -= bytes;
+            packed.push(snapshot);
             false
         });
-        self.room = self.room.saturating_sub(size(packed));
+        self.remaining = self.remaining.saturating_sub(encoded_size(packed));
     }
 
     /// Renewals come first, as they say who lives; loads fill what is left. A renewal that went
     /// without its load goes to the end and takes its load along at the next occasion.
-    fn pack_refreshes(&mut self, backlog: &mut Backlog, packed: &mut Vec<Refresh>) {
-        let needs: Vec<(EndpointId, Need)> = backlog
+    fn pack_renewals(&mut self, backlog: &mut Backlog, packed: &mut Vec<Renewal>) {
+        let updates: Vec<(EndpointId, Update)> = backlog
             .endpoints
             .iter()
-            .filter(|(_, need)| **need <= Need::Load)
-            .map(|(id, need)| (id.clone(), *need))
-            .take(self.room / RENEWAL_BYTES)
+            .filter(|(_, update)| **update <= Update::Load)
+            .map(|(id, update)| (id.clone(), *update))
+            .take(self.remaining / RENEWAL_BYTES)
             .collect();
-        let mut room_for_loads = self.room - needs.len() * RENEWAL_BYTES;
-        for (id, need) in needs {
+        let mut remaining_for_loads = self.remaining - updates.len() * RENEWAL_BYTES;
+        for (id, update) in updates {
             backlog.endpoints.shift_remove(&id);
             let Some(record) = self.table.get(&id) else {
                 continue;
             };
-            let mut refresh = renewal(record);
+            let mut renewal = renewal_of(record);
             let load = load_of(&record.announcement)
-                .filter(|_| need == Need::Load)
-                .map(|load| cut_load(load.clone(), self.receiver));
-            let bytes = load.as_ref().map_or(0, size);
-            if bytes <= room_for_loads {
-                room_for_loads -= bytes;
-                refresh.load = load;
+                .filter(|_| update == Update::Load)
+                .map(|load| strip_load(load.clone(), self.receiver));
+            let bytes = load.as_ref().map_or(0, encoded_size);
+            if bytes <= remaining_for_loads {
+                remaining_for_loads -= bytes;
+                renewal.load = load;
             } else {
-                backlog.add(&id, Need::Load);
+                backlog.add(&id, Update::Load);
             }
-            self.room = self.room.saturating_sub(size(&refresh));
-            packed.push(refresh);
+            self.remaining = self.remaining.saturating_sub(encoded_size(&renewal));
+            packed.push(renewal);
         }
     }
 }
 
-fn renewal(record: &Record) -> Refresh {
-    Refresh {
+fn renewal_of(record: &Record) -> Renewal {
+    Renewal {
         key: record.key,
         sequence: record.announcement.sequence,
         load: None,
@@ -290,30 +303,30 @@
 
 fn load_of(announcement: &Announcement) -> Option<&Load> {
     match &announcement.kind {
-        Kind::Engine(engine) => engine.load.as_ref(),
-        Kind::Plain => None,
+        endpoint::Kind::Engine(engine) => engine.load.as_ref(),
+        endpoint::Kind::Plain => None,
     }
 }
 
 /// A record for one receiver.
-pub(crate) fn cut(now: Moment, record: &Record, receiver: &HostId) -> Full {
+pub(crate) fn snapshot_for(now: Moment, record: &Record, receiver: &HostId) -> Snapshot {
     let age = (now - record.renewed).as_millis();
     let announcement = record.announcement.clone();
-    Full {
-        announcement: map_load(announcement, |load| cut_load(load, receiver)),
+    Snapshot {
+        announcement: map_load(announcement, |load| strip_load(load, receiver)),
         age_millis: u32::try_from(age).unwrap_or(u32::MAX),
     }
 }
 
 fn map_load(mut announcement: Announcement, map: impl FnOnce(Load) -> Load) -> Announcement {
-    if let Kind::Engine(engine) = &mut announcement.kind {
+    if let endpoint::Kind::Engine(engine) = &mut announcement.kind {
         engine.load = engine.load.take().map(map);
     }
     announcement
 }
 
 /// Keeps only what the receiver sent, and leaves its name out: nobody else needs that counter.
-fn cut_load(mut load: Load, receiver: &HostId) -> Load {
+fn strip_load(mut load: Load, receiver: &HostId) -> Load {
     load.seen = load
         .seen
         .into_iter()
@@ -326,7 +339,7 @@
     load
 }
 
-fn restored(mut load: Load, local: &HostId) -> Load {
+fn restore_load(mut load: Load, local: &HostId) -> Load {
     for (owner, _) in &mut load.seen {
         owner.insert_str(0, local.as_str());
     }
@@ -334,6 +347,6 @@
 }
 
 /// The bytes of a value on the wire.
-fn size<T: Serialize>(value: &T) -> usize {
+fn encoded_size<T: Serialize>(value: &T) -> usize {
     serialized_size(value).unwrap_or(0)
 }
--- a/crates/kumquatdrum_membership/src/relay.rs
+++ b/crates/kumquatdrum_membership/src/relay.rs
@@ -3,21 +3,21 @@
 
 use kumquatdrum_types::{BootId, DataCentre, HostId, Moment};
 
-use crate::data_centre::Distant;
-use crate::machine::condition;
+use crate::data_centre;
+use crate::machine::condition_output;
 use crate::message::{Message, Report};
 use crate::summary;
-use crate::{Condition, Member, Membership, Output, Reach, Summary, View};
+use crate::{Condition, Member, Membership, Output, Peer, Reachability, Summary};
 
 /// A host of another data centre.
 #[derive(Debug)]
-pub(crate) struct Remote {
+pub(crate) struct RemoteHost {
     pub(crate) member: Member,
     boot: BootId,
     condition: Condition,
 }
 
-impl Remote {
+impl RemoteHost {
     pub(crate) fn new(member: Member) -> Self {
         Self {
             member,
@@ -26,8 +26,8 @@
         }
     }
 
-    pub(crate) fn view(&self) -> View<'_> {
-        View {
+    pub(crate) fn peer(&self) -> Peer<'_> {
+        Peer {
             member: &self.member,
             condition: self.condition,
         }
@@ -36,8 +36,8 @@
 
 impl Membership {
     /// Notes the life of a remote host's daemon; false where a former one spoke.
-    pub(crate) fn hear_remote(&mut self, from: &HostId, boot: BootId) -> bool {
-        match self.remote.get_mut(from) {
+    pub(crate) fn record_remote_contact(&mut self, from: &HostId, boot: BootId) -> bool {
+        match self.remote_hosts.get_mut(from) {
             Some(remote) if boot >= remote.boot => {
                 remote.boot = boot;
                 true
@@ -47,40 +47,40 @@
     }
 
     /// What a relay has to do at each tick.
-    pub(crate) fn relay_duties(&mut self, now: Moment, may_judge: bool, out: &mut Vec<Output>) {
+    pub(crate) fn run_relay(&mut self, now: Moment, may_suspect: bool, out: &mut Vec<Output>) {
         let is_relay = self.is_relay();
         let was_relay = std::mem::replace(&mut self.was_relay, is_relay);
         if !is_relay {
             return;
         }
         if !was_relay {
-            self.distant
+            self.remote_data_centres
                 .values_mut()
-                .for_each(|distant| distant.take_over(now));
+                .for_each(|data_centre| data_centre.reset_for_takeover(now));
         }
         self.send_reports(now, out);
-        self.pass_summaries(now);
-        let judged: Vec<(DataCentre, Reach)> = self
-            .distant
+        self.enqueue_summaries(now);
+        let reachabilities: Vec<(DataCentre, Reachability)> = self
+            .remote_data_centres
             .values()
-            .map(|distant| (distant.id.clone(), distant.judge(now)))
-            .filter(|(_, reach)| may_judge || *reach == Reach::Reachable)
+            .map(|data_centre| (data_centre.id.clone(), data_centre.reachability(now)))
+            .filter(|(_, reachability)| may_suspect || *reachability == Reachability::Reachable)
             .collect();
-        for (id, reach) in judged {
-            self.set_reach(&id, reach, out);
+        for (id, reachability) in reachabilities {
+            self.set_reachability(&id, reachability, out);
         }
     }
 
-    pub(crate) fn unreachable(&self) -> Vec<DataCentre> {
-        self.distant
+    pub(crate) fn unreachable_data_centres(&self) -> Vec<DataCentre> {
+        self.remote_data_centres
             .values()
-            .filter(|distant| distant.reach == Reach::CutOff)
-            .map(|distant| distant.id.clone())
+            .filter(|data_centre| data_centre.reachability == Reachability::CutOff)
+            .map(|data_centre| data_centre.id.clone())
             .collect()
     }
 
     /// Takes the report of another data centre; a host that isn't the relay hands it on.
-    pub(crate) fn take_report(
+    pub(crate) fn handle_report(
         &mut self,
         now: Moment,
         from: &HostId,
@@ -91,25 +91,25 @@
         if id == self.local.data_centre {
             return;
         }
-        if !self.is_relay() && self.remote.contains_key(from) {
+        if !self.is_relay() && self.remote_hosts.contains_key(from) {
             out.push(Output::Send {
                 to: self.relay().clone(),
                 message: Message::Summary(Box::new(report.clone())),
             });
         }
         self.compare_roster(now, from, report.roster, out);
-        let distant = self
-            .distant
+        let data_centre = self
+            .remote_data_centres
             .entry(id.clone())
-            .or_insert_with_key(|id| Distant::new(id.clone(), now));
-        if distant.take(now, report.summary.clone(), report.relay) {
+            .or_insert_with_key(|id| data_centre::Remote::new(id.clone(), now));
+        if data_centre.update(now, report.summary.clone(), report.relay) {
             out.push(Output::Summary(report.summary));
         }
-        self.judge_remote(&id, out);
+        self.update_remote_conditions(&id, out);
     }
 
     /// Takes what the own data centre's relay says of the others.
-    pub(crate) fn take_relayed(
+    pub(crate) fn handle_relayed(
         &mut self,
         from: &HostId,
         cut_off: Option<Vec<DataCentre>>,
@@ -118,38 +118,38 @@
     ) {
         for summary in summaries {
             let id = summary.data_centre.clone();
-            if let Some(distant) = self.distant.get_mut(&id)
-                && distant.summary.as_ref() != Some(&summary)
+            if let Some(data_centre) = self.remote_data_centres.get_mut(&id)
+                && data_centre.summary.as_ref() != Some(&summary)
             {
-                distant.summary = Some(summary.clone());
+                data_centre.summary = Some(summary.clone());
                 out.push(Output::Summary(summary));
             }
-            self.judge_remote(&id, out);
+            self.update_remote_conditions(&id, out);
         }
         let Some(cut_off) = cut_off.filter(|_| self.relay() == from) else {
             return;
         };
-        let ids: Vec<DataCentre> = self.distant.keys().cloned().collect();
+        let ids: Vec<DataCentre> = self.remote_data_centres.keys().cloned().collect();
         for id in ids {
-            let reach = if cut_off.contains(&id) {
-                Reach::CutOff
+            let reachability = if cut_off.contains(&id) {
+                Reachability::CutOff
             } else {
-                Reach::Reachable
+                Reachability::Reachable
             };
-            self.set_reach(&id, reach, out);
+            self.set_reachability(&id, reachability, out);
         }
     }
 
     fn send_reports(&mut self, now: Moment, out: &mut Vec<Output>) {
         let mut contacts = Vec::new();
-        for (id, distant) in &mut self.distant {
+        for (id, data_centre) in &mut self.remote_data_centres {
             let hosts: Vec<&HostId> = self
-                .remote
+                .remote_hosts
                 .values()
                 .filter(|remote| remote.member.data_centre == *id)
                 .map(|remote| &remote.member.host)
                 .collect();
-            contacts.extend(distant.contact(now, &hosts));
+            contacts.extend(data_centre.select_contact(now, &hosts));
         }
         if contacts.is_empty() {
             return;
@@ -172,7 +172,7 @@
             .collect();
         Report {
             relay: self.local.host.clone(),
-            roster: self.roster,
+            roster: self.roster_digest,
             summary: Summary {
                 data_centre: self.local.data_centre.clone(),
                 services: summary::services(self.table.records()),
@@ -181,64 +181,71 @@
         }
     }
 
-    fn pass_summaries(&mut self, now: Moment) {
-        for distant in self.distant.values_mut() {
-            if !distant.pass(now) {
+    fn enqueue_summaries(&mut self, now: Moment) {
+        for data_centre in self.remote_data_centres.values_mut() {
+            if !data_centre.start_forwarding(now) {
                 continue;
             }
             for host in self.hosts.values_mut() {
                 if host.condition != Condition::Dead {
-                    host.backlog.add_summary(&distant.id);
+                    host.backlog.add_summary(&data_centre.id);
                 }
             }
         }
     }
 
     /// A host is back, or its daemon has restarted: it lacks the summaries.
-    pub(crate) fn pass_summaries_to(&mut self, host: &HostId) {
+    pub(crate) fn enqueue_summaries_for(&mut self, host: &HostId) {
         let is_relay = self.is_relay();
         let Some(host) = self.hosts.get_mut(host).filter(|_| is_relay) else {
             return;
         };
-        for id in self.distant.keys() {
+        for id in self.remote_data_centres.keys() {
             host.backlog.add_summary(id);
         }
     }
 
-    fn set_reach(&mut self, id: &DataCentre, reach: Reach, out: &mut Vec<Output>) {
-        let Some(distant) = self.distant.get_mut(id) else {
+    fn set_reachability(
+        &mut self,
+        id: &DataCentre,
+        reachability: Reachability,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(data_centre) = self.remote_data_centres.get_mut(id) else {
             return;
         };
-        if distant.reach != reach {
-            distant.reach = reach;
+        if data_centre.reachability != reachability {
+            data_centre.reachability = reachability;
             out.push(Output::DataCentre {
                 id: id.clone(),
-                reach,
+                reachability,
             });
         }
-        self.judge_remote(id, out);
+        self.update_remote_conditions(id, out);
     }
 
     /// Derives the condition of a data centre's hosts from its reach and its summary.
-    fn judge_remote(&mut self, id: &DataCentre, out: &mut Vec<Output>) {
-        let Some(distant) = self.distant.get(id) else {
+    fn update_remote_conditions(&mut self, id: &DataCentre, out: &mut Vec<Output>) {
+        let Some(data_centre) = self.remote_data_centres.get(id) else {
             return;
         };
-        let down = distant.summary.as_ref().map(|summary| &summary.down);
-        let remotes = self
-            .remote
+        let down = data_centre.summary.as_ref().map(|summary| &summary.down);
+        let hosts = self
+            .remote_hosts
             .values_mut()
             .filter(|remote| remote.member.data_centre == *id);
-        for remote in remotes {
+        for remote in hosts {
             let host = &remote.member.host;
-            let judged = match distant.reach {
-                Reach::CutOff => Condition::Suspect,
-                Reach::Reachable if down.is_some_and(|down| down.contains(host)) => Condition::Dead,
-                Reach::Reachable => Condition::Alive,
+            let condition = match data_centre.reachability {
+                Reachability::CutOff => Condition::Suspect,
+                Reachability::Reachable if down.is_some_and(|down| down.contains(host)) => {
+                    Condition::Dead
+                }
+                Reachability::Reachable => Condition::Alive,
             };
-            if judged != remote.condition {
-                remote.condition = judged;
-                out.push(condition(host, judged));
+            if condition != remote.condition {
+                remote.condition = condition;
+                out.push(condition_output(host, condition));
             }
         }
     }
--- a/crates/kumquatdrum_membership/src/roster.rs
+++ b/crates/kumquatdrum_membership/src/roster.rs
@@ -2,25 +2,25 @@
 
 use kumquatdrum_types::{HostId, Moment};
 
-use crate::data_centre::Distant;
+use crate::data_centre;
 use crate::host::Host;
-use crate::relay::Remote;
-use crate::timing::{CHUNK, ROSTER_INTERVAL};
+use crate::relay::RemoteHost;
+use crate::timing::{ITEMS_PER_MESSAGE, ROSTER_INTERVAL};
 use crate::{Member, Membership, Message, Output, key};
 
 impl Membership {
     pub(crate) fn is_known(&self, host: &HostId) -> bool {
-        self.hosts.contains_key(host) || self.remote.contains_key(host)
+        self.hosts.contains_key(host) || self.remote_hosts.contains_key(host)
     }
 
     /// Asks a stranger who it is.
-    pub(crate) fn ask_members(&self, from: &HostId, out: &mut Vec<Output>) {
+    pub(crate) fn request_members(&self, from: &HostId, out: &mut Vec<Output>) {
         self.send_members(from, true, out);
     }
 
     /// Takes over the members of another host. What a host says of itself carries the life of its
     /// daemon, so that it counts above what settings say.
-    pub(crate) fn take_members(
+    pub(crate) fn handle_members(
         &mut self,
         now: Moment,
         from: &HostId,
@@ -33,7 +33,7 @@
                 out.push(Output::Member(member));
             }
         }
-        self.renew_roster();
+        self.update_roster_digest();
         if wanted {
             self.send_members(from, false, out);
         }
@@ -47,9 +47,11 @@
         roster: u32,
         out: &mut Vec<Output>,
     ) {
-        let is_due = self.roster_at.is_none_or(|at| now - at >= ROSTER_INTERVAL);
-        if roster != self.roster && is_due {
-            self.roster_at = Some(now);
+        let is_due = self
+            .roster_sent_at
+            .is_none_or(|at| now - at >= ROSTER_INTERVAL);
+        if roster != self.roster_digest && is_due {
+            self.roster_sent_at = Some(now);
             self.send_members(from, true, out);
         }
     }
@@ -65,7 +67,7 @@
             }
             Some(_) => {
                 self.hosts.shift_remove(&member.host);
-                self.remote.shift_remove(&member.host);
+                self.remote_hosts.shift_remove(&member.host);
             }
             None => {}
         }
@@ -73,42 +75,42 @@
         if member.data_centre == self.local.data_centre {
             self.hosts.insert(host, Host::new(member, now));
         } else {
-            self.distant
+            self.remote_data_centres
                 .entry(member.data_centre.clone())
-                .or_insert_with_key(|id| Distant::new(id.clone(), now));
-            self.remote.insert(host, Remote::new(member));
+                .or_insert_with_key(|id| data_centre::Remote::new(id.clone(), now));
+            self.remote_hosts.insert(host, RemoteHost::new(member));
         }
         true
     }
 
-    pub(crate) fn renew_roster(&mut self) {
+    pub(crate) fn update_roster_digest(&mut self) {
         let others = self.hosts.values().map(|host| &host.member);
-        let remote = self.remote.values().map(|remote| &remote.member);
-        self.roster = others
+        let remote = self.remote_hosts.values().map(|remote| &remote.member);
+        self.roster_digest = others
             .chain(remote)
             .chain([&self.local])
-            .fold(0, |digest, member| digest ^ weight(member));
+            .fold(0, |digest, member| digest ^ digest_contribution(member));
     }
 
     fn member(&self, host: &HostId) -> Option<&Member> {
-        let near = self.hosts.get(host).map(|host| &host.member);
-        near.or_else(|| self.remote.get(host).map(|remote| &remote.member))
+        let local = self.hosts.get(host).map(|host| &host.member);
+        local.or_else(|| self.remote_hosts.get(host).map(|remote| &remote.member))
     }
 
     fn replace_member(&mut self, member: Member) {
         if let Some(host) = self.hosts.get_mut(&member.host) {
             host.member = member;
-        } else if let Some(remote) = self.remote.get_mut(&member.host) {
+        } else if let Some(remote) = self.remote_hosts.get_mut(&member.host) {
             remote.member = member;
         }
     }
 
     fn send_members(&self, to: &HostId, wanted: bool, out: &mut Vec<Output>) {
-        let near = self.hosts.values().map(|host| &host.member);
-        let remote = self.remote.values().map(|remote| &remote.member);
-        let members: Vec<Member> = near.chain(remote).chain([&self.local]).cloned().collect();
-        let last = members.chunks(CHUNK).count() - 1;
-        for (index, chunk) in members.chunks(CHUNK).enumerate() {
+        let local = self.hosts.values().map(|host| &host.member);
+        let remote = self.remote_hosts.values().map(|remote| &remote.member);
+        let members: Vec<Member> = local.chain(remote).chain([&self.local]).cloned().collect();
+        let last = members.chunks(ITEMS_PER_MESSAGE).count() - 1;
+        for (index, chunk) in members.chunks(ITEMS_PER_MESSAGE).enumerate() {
             out.push(Output::Send {
                 to: to.clone(),
                 message: Message::Members {
@@ -125,7 +127,7 @@
         > (known.boot, std::cmp::Reverse(known.address))
 }
 
-fn weight(member: &Member) -> u32 {
+fn digest_contribution(member: &Member) -> u32 {
     key::digest(format_args!(
         "{}\0{}\0{}",
         member.host, member.data_centre, member.address
--- a/crates/kumquatdrum_membership/src/summary.rs
+++ b/crates/kumquatdrum_membership/src/summary.rs
@@ -1,11 +1,11 @@
 //! What one data centre tells the others of itself.
 
 use indexmap::IndexMap;
-use kumquatdrum_types::endpoint::Kind;
+use kumquatdrum_types::endpoint;
 use kumquatdrum_types::{DataCentre, HostId, ServiceName};
 use serde::{Deserialize, Serialize};
 
-use crate::table::{Record, State};
+use crate::table::{Liveness, Record};
 
 /// The state of a data centre. Sums are rounded down to two significant bits, so that small
 /// movements cost no messages.
@@ -14,14 +14,14 @@
     /// The data centre.
     pub data_centre: DataCentre,
     /// Its services, by name.
-    pub services: Vec<Part>,
+    pub services: Vec<Service>,
     /// Its hosts that are not alive.
     pub down: Vec<HostId>,
 }
 
 /// One service in one data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Service {
     /// The service.
     pub service: ServiceName,
     /// Endpoints that take new work.
@@ -35,23 +35,23 @@
 }
 
 /// Sums up the endpoints that take new work.
-pub(crate) fn services<'a>(records: impl Iterator<Item = &'a Record>) -> Vec<Part> {
-    let mut parts: IndexMap<&ServiceName, Part> = IndexMap::new();
+pub(crate) fn services<'a>(records: impl Iterator<Item = &'a Record>) -> Vec<Service> {
+    let mut services: IndexMap<&ServiceName, Service> = IndexMap::new();
     for record in records {
-        if record.state != State::Alive || record.announcement.leaving {
+        if record.liveness != Liveness::Alive || record.announcement.leaving {
             continue;
         }
-        let service = &record.announcement.service;
-        let part = parts.entry(service).or_insert_with(|| empty(service));
-        add(part, &record.announcement.kind);
+        let name = &record.announcement.service;
+        let service = services.entry(name).or_insert_with(|| empty(name));
+        add(service, &record.announcement.kind);
     }
-    parts.sort_unstable_keys();
-    parts.into_values().map(rounded).collect()
+    services.sort_unstable_keys();
+    services.into_values().map(rounded).collect()
 }
 
-fn empty(service: &ServiceName) -> Part {
-    Part {
-        service: service.clone(),
+fn empty(name: &ServiceName) -> Service {
+    Service {
+        service: name.clone(),
         alive: 0,
         free_memory_tokens: 0,
         requests: 0,
@@ -59,23 +59,23 @@
     }
 }
 
-fn add(part: &mut Part, kind: &Kind) {
-    part.alive += 1;
-    let Kind::Engine(engine) = kind else {
+fn add(service: &mut Service, kind: &endpoint::Kind) {
+    service.alive += 1;
+    let endpoint::Kind::Engine(engine) = kind else {
         return;
     };
     let load = engine.load.clone().unwrap_or_default();
-    part.free_memory_tokens += engine.memory_tokens.saturating_sub(load.memory_used_tokens);
-    part.requests += u64::from(load.running) + u64::from(load.waiting);
-    part.prefill_tokens += load.prefill_tokens;
+    service.free_memory_tokens += engine.memory_tokens.saturating_sub(load.memory_used_tokens);
+    service.requests += u64::from(load.running) + u64::from(load.waiting);
+    service.prefill_tokens += load.prefill_tokens;
 }
 
-fn rounded(part: Part) -> Part {
-    Part {
-        free_memory_tokens: round(part.free_memory_tokens),
-        requests: round(part.requests),
-        prefill_tokens: round(part.prefill_tokens),
-        ..part
+fn rounded(service: Service) -> Service {
+    Service {
+        free_memory_tokens: round(service.free_memory_tokens),
+        requests: round(service.requests),
+        prefill_tokens: round(service.prefill_tokens),
+        ..service
     }
 }
 
--- a/crates/kumquatdrum_membership/src/table.rs
+++ b/crates/kumquatdrum_membership/src/table.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use kumquatdrum_types::endpoint::Kind;
+use kumquatdrum_types::endpoint;
 use kumquatdrum_types::{Announcement, EndpointId, HostId, Load, Moment};
 
 use crate::timing::{
-    FAILURE_HOLD, FAILURE_LIMIT, FAILURE_WINDOW, FORGET_AFTER, GONE_AFTER, HANDOVER, LATE_AFTER,
-    SUSPECT_AFTER,
+    FAILURE_HOLD, FAILURE_LIMIT, FAILURE_WINDOW, FORGET_AFTER, GONE_AFTER, HANDOVER_GRACE,
+    LATE_AFTER, SUSPECT_AFTER,
 };
 use crate::{Change, Key, Output};
 
 /// Whether an endpoint lives, as far as this host knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum Liveness {
     /// It renews its announcement.
     Alive,
     /// It doesn't, or dispatches to it fail.
@@ -29,11 +29,11 @@
     /// Its newest announcement.
     pub announcement: Announcement,
     /// Whether it lives.
-    pub state: State,
+    pub liveness: Liveness,
     pub(crate) key: Key,
     pub(crate) renewed: Moment,
     /// The host that took the newest announcement; none where it was this one.
-    taker: Option<HostId>,
+    source: Option<HostId>,
     failures: Failures,
 }
 
@@ -46,15 +46,15 @@
 
 /// What a merge brought.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Novelty {
+pub(crate) enum Outcome {
     /// Nothing new.
     Stale,
     /// A renewal; with a new load or without.
-    Renewed { load: bool },
+    Renewed { has_new_load: bool },
     /// A new endpoint, a new life, or a changed record.
     Joined,
     /// A leaving notice.
-    Left,
+    Leaving,
 }
 
 /// All endpoints of the data centre.
@@ -84,13 +84,13 @@
     }
 
     /// The endpoints with this key; more than one where keys collide.
-    pub(crate) fn with_key(&self, key: Key) -> &[EndpointId] {
+    pub(crate) fn endpoints_with_key(&self, key: Key) -> &[EndpointId] {
         self.keys.get(&key).map_or(&[], Vec::as_slice)
     }
 
     /// The endpoint with this key, where there is exactly one.
-    pub(crate) fn by_key(&self, key: Key) -> Option<&EndpointId> {
-        match self.with_key(key) {
+    pub(crate) fn endpoint_with_key(&self, key: Key) -> Option<&EndpointId> {
+        match self.endpoints_with_key(key) {
             [id] => Some(id),
             _ => None,
         }
@@ -102,56 +102,58 @@
         now: Moment,
         announcement: Announcement,
         age: Duration,
-        taker: Option<HostId>,
+        source: Option<HostId>,
         out: &mut Vec<Output>,
-    ) -> Novelty {
-        let renewed = before(now, age);
+    ) -> Outcome {
+        let renewed = moment_before(now, age);
         let known = self.records.get(&announcement.endpoint);
-        match known.map(|record| (order(record), record.state)) {
+        match known.map(|record| (ordering_key(record), record.liveness)) {
             // Late, but a leaving notice counts whenever it comes.
             Some(((boot, sequence), _))
                 if announcement.boot == boot && announcement.sequence <= sequence =>
             {
                 if announcement.leaving {
-                    self.leave(&announcement.endpoint, out)
+                    self.mark_leaving(&announcement.endpoint, out)
                 } else {
-                    Novelty::Stale
+                    Outcome::Stale
                 }
             }
-            Some(((boot, _), _)) if announcement.boot < boot => Novelty::Stale,
-            Some((_, State::Gone)) | None if age >= GONE_AFTER => Novelty::Stale,
-            Some(((boot, _), state)) if announcement.boot == boot && state != State::Gone => {
-                self.renew(now, announcement, renewed, taker, out)
+            Some(((boot, _), _)) if announcement.boot < boot => Outcome::Stale,
+            Some((_, Liveness::Gone)) | None if age >= GONE_AFTER => Outcome::Stale,
+            Some(((boot, _), liveness))
+                if announcement.boot == boot && liveness != Liveness::Gone =>
+            {
+                self.renew(now, announcement, renewed, source, out)
             }
-            Some((_, State::Gone)) | None => {
-                self.join(now, announcement, renewed, taker, out);
-                Novelty::Joined
+            Some((_, Liveness::Gone)) | None => {
+                self.join(now, announcement, renewed, source, out);
+                Outcome::Joined
             }
             Some(_) => {
-                tell(out, &announcement.endpoint, Change::Gone);
-                self.join(now, announcement, renewed, taker, out);
-                Novelty::Joined
+                emit(out, &announcement.endpoint, Change::Gone);
+                self.join(now, announcement, renewed, source, out);
+                Outcome::Joined
             }
         }
     }
 
     /// Takes a renewal of the record with this key; `None` where it isn't known.
-    pub(crate) fn merge_refresh(
+    pub(crate) fn merge_renewal(
         &mut self,
         now: Moment,
         key: Key,
         sequence: u64,
         load: Option<Load>,
-        taker: &HostId,
+        source: &HostId,
         out: &mut Vec<Output>,
-    ) -> Option<Novelty> {
-        let id = self.by_key(key)?;
+    ) -> Option<Outcome> {
+        let id = self.endpoint_with_key(key)?;
         let mut announcement = self.records.get(id)?.announcement.clone();
         announcement.sequence = sequence;
-        if let (Kind::Engine(engine), Some(load)) = (&mut announcement.kind, load) {
+        if let (endpoint::Kind::Engine(engine), Some(load)) = (&mut announcement.kind, load) {
             engine.load = Some(load);
         }
-        Some(self.merge(now, announcement, Duration::ZERO, Some(taker.clone()), out))
+        Some(self.merge(now, announcement, Duration::ZERO, Some(source.clone()), out))
     }
 
     /// Takes a leaving notice on the record with this key; `None` where it isn't known.
@@ -160,15 +162,15 @@
         key: Key,
         sequence: u64,
         out: &mut Vec<Output>,
-    ) -> Option<Novelty> {
-        let id = self.by_key(key)?.clone();
+    ) -> Option<Outcome> {
+        let id = self.endpoint_with_key(key)?.clone();
         let record = self.records.get_mut(&id)?;
         record.announcement.sequence = record.announcement.sequence.max(sequence);
-        Some(self.leave(&id, out))
+        Some(self.mark_leaving(&id, out))
     }
 
     /// Notes a failed dispatch.
-    pub(crate) fn fail(&mut self, now: Moment, id: &EndpointId, out: &mut Vec<Output>) {
+    pub(crate) fn record_failure(&mut self, now: Moment, id: &EndpointId, out: &mut Vec<Output>) {
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
@@ -181,9 +183,9 @@
         record.failures.count += 1;
         record.failures.last = Some(now);
         let late = now - record.renewed > LATE_AFTER;
-        if record.state == State::Alive && (late || record.failures.count >= FAILURE_LIMIT) {
-            record.state = State::Suspect;
-            tell(out, id, Change::Suspect);
+        if record.liveness == Liveness::Alive && (late || record.failures.count >= FAILURE_LIMIT) {
+            record.liveness = Liveness::Suspect;
+            emit(out, id, Change::Suspect);
         }
     }
 
@@ -198,21 +200,21 @@
         let mut forgotten = Vec::new();
         for (id, record) in &mut self.records {
             let silence = now - record.renewed;
-            let grace = match &record.taker {
-                Some(taker) if is_silent(taker) => HANDOVER,
+            let grace = match &record.source {
+                Some(source) if is_silent(source) => HANDOVER_GRACE,
                 _ => Duration::ZERO,
             };
-            match record.state {
-                State::Alive if silence > SUSPECT_AFTER + grace => {
-                    record.state = State::Suspect;
-                    tell(out, id, Change::Suspect);
+            match record.liveness {
+                Liveness::Alive if silence > SUSPECT_AFTER + grace => {
+                    record.liveness = Liveness::Suspect;
+                    emit(out, id, Change::Suspect);
                 }
-                State::Suspect if silence > GONE_AFTER + grace => {
-                    self.digest ^= weight(record);
-                    record.state = State::Gone;
-                    tell(out, id, Change::Gone);
+                Liveness::Suspect if silence > GONE_AFTER + grace => {
+                    self.digest ^= digest_contribution(record);
+                    record.liveness = Liveness::Gone;
+                    emit(out, id, Change::Gone);
                 }
-                State::Gone if silence > FORGET_AFTER => forgotten.push(id.clone()),
+                Liveness::Gone if silence > FORGET_AFTER => forgotten.push(id.clone()),
                 _ => {}
             }
         }
@@ -226,40 +228,40 @@
         now: Moment,
         announcement: Announcement,
         renewed: Moment,
-        taker: Option<HostId>,
+        source: Option<HostId>,
         out: &mut Vec<Output>,
-    ) -> Novelty {
+    ) -> Outcome {
         let id = announcement.endpoint.clone();
         let key = Key::of(&announcement);
         let Some(record) = self.records.get_mut(&id) else {
-            return Novelty::Stale;
+            return Outcome::Stale;
         };
         let (changed, left) = (
             record.key != key,
             announcement.leaving && !record.announcement.leaving,
         );
         let had = record.announcement.leaving;
-        self.digest ^= weight(record);
-        let load = replace(&mut record.announcement, announcement);
+        self.digest ^= digest_contribution(record);
+        let has_new_load = replace_announcement(&mut record.announcement, announcement);
         // A life that has begun to leave doesn't come back.
         record.announcement.leaving |= had;
         let old_key = std::mem::replace(&mut record.key, key);
-        self.digest ^= weight(record);
+        self.digest ^= digest_contribution(record);
         record.renewed = record.renewed.max(renewed);
-        record.taker = taker;
-        record.revive(now, out);
-        tell(out, &id, Change::Refreshed(record.announcement.clone()));
+        record.source = source;
+        record.clear_suspicion(now, out);
+        emit(out, &id, Change::Renewed(record.announcement.clone()));
         if left {
-            tell(out, &id, Change::Leaving);
+            emit(out, &id, Change::Leaving);
         }
         if changed {
             self.unlink(old_key, &id);
             self.keys.entry(key).or_default().push(id);
         }
         match (left, changed) {
-            (true, _) => Novelty::Left,
-            (_, true) => Novelty::Joined,
-            _ => Novelty::Renewed { load },
+            (true, _) => Outcome::Leaving,
+            (_, true) => Outcome::Joined,
+            _ => Outcome::Renewed { has_new_load },
         }
     }
 
@@ -268,47 +270,47 @@
         now: Moment,
         announcement: Announcement,
         renewed: Moment,
-        taker: Option<HostId>,
+        source: Option<HostId>,
         out: &mut Vec<Output>,
     ) {
         let id = announcement.endpoint.clone();
         self.remove(&id);
         let leaving = announcement.leaving;
-        tell(out, &id, Change::Joined(announcement.clone()));
+        emit(out, &id, Change::Joined(announcement.clone()));
         if leaving {
-            tell(out, &id, Change::Leaving);
+            emit(out, &id, Change::Leaving);
         }
-        let state = if now - renewed > SUSPECT_AFTER {
-            State::Suspect
+        let liveness = if now - renewed > SUSPECT_AFTER {
+            Liveness::Suspect
         } else {
-            State::Alive
+            Liveness::Alive
         };
-        if state == State::Suspect {
-            tell(out, &id, Change::Suspect);
+        if liveness == Liveness::Suspect {
+            emit(out, &id, Change::Suspect);
         }
         let record = Record {
             key: Key::of(&announcement),
             announcement,
-            state,
+            liveness,
             renewed,
-            taker,
+            source,
             failures: Failures::default(),
         };
-        self.digest ^= weight(&record);
+        self.digest ^= digest_contribution(&record);
         self.keys.entry(record.key).or_default().push(id.clone());
         self.records.insert(id, record);
     }
 
-    fn leave(&mut self, id: &EndpointId, out: &mut Vec<Output>) -> Novelty {
+    fn mark_leaving(&mut self, id: &EndpointId, out: &mut Vec<Output>) -> Outcome {
         match self.records.get_mut(id) {
-            Some(record) if !record.announcement.leaving && record.state != State::Gone => {
-                self.digest ^= weight(record);
+            Some(record) if !record.announcement.leaving && record.liveness != Liveness::Gone => {
+                self.digest ^= digest_contribution(record);
                 record.announcement.leaving = true;
-                self.digest ^= weight(record);
-                tell(out, id, Change::Leaving);
-                Novelty::Left
+                self.digest ^= digest_contribution(record);
+                emit(out, id, Change::Leaving);
+                Outcome::Leaving
             }
-            _ => Novelty::Stale,
+            _ => Outcome::Stale,
         }
     }
 
@@ -316,8 +318,8 @@
         let Some(record) = self.records.swap_remove(id) else {
             return;
         };
-        if record.state != State::Gone {
-            self.digest ^= weight(&record);
+        if record.liveness != Liveness::Gone {
+            self.digest ^= digest_contribution(&record);
         }
         self.unlink(record.key, id);
     }
@@ -326,36 +328,36 @@
         if let Some(ids) = self.keys.get_mut(&key) {
             ids.retain(|other| other != id);
         }
-        if self.with_key(key).is_empty() {
+        if self.endpoints_with_key(key).is_empty() {
             self.keys.swap_remove(&key);
         }
     }
 }
 
 impl Record {
-    fn revive(&mut self, now: Moment, out: &mut Vec<Output>) {
+    fn clear_suspicion(&mut self, now: Moment, out: &mut Vec<Output>) {
         let held = self
             .failures
             .last
             .is_some_and(|last| now - last < FAILURE_HOLD);
         let fresh = now - self.renewed <= SUSPECT_AFTER;
-        if self.state == State::Suspect && fresh && !held {
-            self.state = State::Alive;
+        if self.liveness == Liveness::Suspect && fresh && !held {
+            self.liveness = Liveness::Alive;
             self.failures = Failures::default();
-            tell(out, &self.announcement.endpoint, Change::Returned);
+            emit(out, &self.announcement.endpoint, Change::Recovered);
         }
     }
 }
 
-fn order(record: &Record) -> (kumquatdrum_types::BootId, u64) {
+fn ordering_key(record: &Record) -> (kumquatdrum_types::BootId, u64) {
     (record.announcement.boot, record.announcement.sequence)
 }
 
-fn weight(record: &Record) -> u32 {
-    record.key.weight(record.announcement.leaving)
+fn digest_contribution(record: &Record) -> u32 {
+    record.key.digest_contribution(record.announcement.leaving)
 }
 
-fn tell(out: &mut Vec<Output>, id: &EndpointId, change: Change) {
+fn emit(out: &mut Vec<Output>, id: &EndpointId, change: Change) {
     out.push(Output::Endpoint {
         id: id.clone(),
         change,
@@ -364,7 +366,7 @@
 
 /// Replaces an announcement by a newer one of the same life, but keeps the newer load of the two.
 /// Returns whether the load is new.
-fn replace(old: &mut Announcement, mut new: Announcement) -> bool {
+fn replace_announcement(old: &mut Announcement, mut new: Announcement) -> bool {
     let known = load_mut(old).and_then(Option::take);
     let is_new = match (load_mut(&mut new), known) {
         (Some(Some(load)), Some(known)) if load.sequence <= known.sequence => {
@@ -384,12 +386,12 @@
 
 fn load_mut(announcement: &mut Announcement) -> Option<&mut Option<Load>> {
     match &mut announcement.kind {
-        Kind::Engine(engine) => Some(&mut engine.load),
-        Kind::Plain => None,
+        endpoint::Kind::Engine(engine) => Some(&mut engine.load),
+        endpoint::Kind::Plain => None,
     }
 }
 
-fn before(now: Moment, age: Duration) -> Moment {
+fn moment_before(now: Moment, age: Duration) -> Moment {
     let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
     Moment {
         micros: now.micros.saturating_sub(age),
--- a/crates/kumquatdrum_membership/src/timing.rs
+++ b/crates/kumquatdrum_membership/src/timing.rs
@@ -10,7 +10,7 @@
 pub const GONE_AFTER: Duration = Duration::from_secs(10);
 /// An endpoint whose last renewal came through a host that fell silent gets this much longer, as
 /// it has to find another host first.
-pub const HANDOVER: Duration = Duration::from_secs(3);
+pub const HANDOVER_GRACE: Duration = Duration::from_secs(3);
 /// A gone endpoint is remembered this long, so that late messages don't bring it back.
 pub const FORGET_AFTER: Duration = Duration::from_secs(60);
 /// A renewal older than this makes one failed dispatch enough for suspicion.
@@ -23,7 +23,7 @@
 pub const FAILURE_HOLD: Duration = Duration::from_secs(2);
 
 /// The daemon should tick about this often; one peer is pushed to in each such slot.
-pub const SLOT: Duration = Duration::from_millis(40);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(40);
 /// No peer is pushed to more often than this.
 pub const PUSH_INTERVAL_MIN: Duration = Duration::from_millis(200);
 /// Each peer of the data centre is pushed to at least this often.
@@ -38,11 +38,11 @@
 /// A peer not heard for this long counts as silent.
 pub const SILENT_AFTER: Duration = Duration::from_secs(3);
 /// What a peer said of others counts for this long.
-pub const RECENT: Duration = Duration::from_millis(2_500);
+pub const REPORT_VALIDITY: Duration = Duration::from_millis(2_500);
 /// A suspect peer is dead after this long.
 pub const DEAD_AFTER: Duration = Duration::from_secs(7);
 /// A gap between two ticks longer than this is the daemon's own; nothing is suspected for a while.
-pub const STALL: Duration = Duration::from_secs(1);
+pub const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Hosts that must hold a leaving notice before the endpoint is told so, where there are as many.
 pub const NOTICE_COPIES: usize = 2;
@@ -54,15 +54,15 @@
 /// Tables that differ for this long are compared.
 pub const MISMATCH_AFTER: Duration = Duration::from_secs(1);
 /// Tables are compared at most this often.
-pub const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
+pub const TABLE_COMPARISON_INTERVAL: Duration = Duration::from_secs(1);
 /// Rosters are compared at most this often.
 pub const ROSTER_INTERVAL: Duration = Duration::from_secs(5);
 /// Records, keys or members of one message.
-pub const CHUNK: usize = 100;
+pub const ITEMS_PER_MESSAGE: usize = 100;
 
 /// Relays tell each other the state of their data centres this often.
 pub const SUMMARY_INTERVAL: Duration = Duration::from_secs(2);
 /// A data centre without a summary for this long is cut off.
 pub const CUT_OFF_AFTER: Duration = Duration::from_secs(8);
 /// A changed summary is passed on within the data centre at most this often.
-pub const SUMMARY_PASS_INTERVAL: Duration = Duration::from_secs(5);
+pub const SUMMARY_FORWARD_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/kumquatdrum_membership/tests/it/cluster.rs
+++ b/crates/kumquatdrum_membership/tests/it/cluster.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use kumquatdrum_membership::{Change, Input, Member, Membership, Message, Output, State};
-use kumquatdrum_types::endpoint::{Engine, Kind};
+use kumquatdrum_membership::{Change, Input, Liveness, Member, Membership, Message, Output};
+use kumquatdrum_types::endpoint::{self, Engine};
 use kumquatdrum_types::{
     Announcement, BootId, DataCentre, EndpointId, HostId, Load, ModelName, Moment, ServiceName,
 };
@@ -26,7 +26,7 @@
 pub struct Endpoint {
     pub announcement: Announcement,
     /// The host that takes its announcements.
-    pub taker: HostId,
+    pub receiver: HostId,
     pub is_up: bool,
     due: Moment,
 }
@@ -60,7 +60,7 @@
         service: ServiceName::new("formula-llm"),
         address: ([127, 0, 0, 1], 9_000).into(),
         data_centre: DataCentre::new(data_centre),
-        kind: Kind::Engine(Engine {
+        kind: endpoint::Kind::Engine(Engine {
             model: ModelName::new("formula"),
             memory_tokens: 500_000,
             batch_limit: 64,
@@ -128,7 +128,7 @@
     }
 
     /// Adds a host that no other one's settings name.
-    pub fn add_stranger(&mut self, member: Member, known: Member) {
+    pub fn add_unlisted_host(&mut self, member: Member, known: Member) {
         let host = member.host.clone();
         self.add(member);
         self.start(&host, vec![known]);
@@ -137,7 +137,7 @@
     /// A daemon dies, and what it had under way is lost.
     pub fn kill(&mut self, host: &HostId) {
         self.daemons[host].is_up = false;
-        self.network.forget(host);
+        self.network.drop_in_flight(host);
     }
 
     pub fn host(&self, index: usize) -> HostId {
@@ -165,10 +165,10 @@
     }
 
     /// Adds an endpoint that announces itself to a host from now on.
-    pub fn add_endpoint(&mut self, announcement: Announcement, taker: &HostId) {
+    pub fn add_endpoint(&mut self, announcement: Announcement, receiver: &HostId) {
         let jitter = self.network.pick(0, 999);
         let endpoint = Endpoint {
-            taker: taker.clone(),
+            receiver: receiver.clone(),
             is_up: true,
             due: self.network.now + Duration::from_millis(jitter),
             announcement,
@@ -269,24 +269,26 @@
                 endpoint.due = now + seconds(1);
                 endpoint.announcement.sequence += 1;
                 renew_load(&mut endpoint.announcement);
-                renewals.push((endpoint.taker.clone(), endpoint.announcement.clone()));
+                renewals.push((endpoint.receiver.clone(), endpoint.announcement.clone()));
             }
         }
-        for (taker, announcement) in renewals {
-            self.announce(&taker, announcement);
+        for (receiver, announcement) in renewals {
+            self.announce(&receiver, announcement);
         }
     }
 
     /// The state of an endpoint on a host.
-    pub fn state(&self, host: &HostId, endpoint: &str) -> Option<State> {
+    pub fn liveness(&self, host: &HostId, endpoint: &str) -> Option<Liveness> {
         let record = self.daemons[host].core.endpoint(&endpoint.into())?;
-        Some(record.state)
+        Some(record.liveness)
     }
 
     /// Whether a host would give an endpoint new work.
     pub fn takes_work(&self, host: &HostId, endpoint: &str) -> bool {
         let record = self.daemons[host].core.endpoint(&endpoint.into());
-        record.is_some_and(|record| record.state == State::Alive && !record.announcement.leaving)
+        record.is_some_and(|record| {
+            record.liveness == Liveness::Alive && !record.announcement.leaving
+        })
     }
 
     /// The changes of an endpoint that a host gave out.
@@ -310,7 +312,7 @@
 /// A load as a busy engine reports it, with a counter for each owner.
 fn renew_load(announcement: &mut Announcement) {
     let number = announcement.sequence;
-    if let Kind::Engine(engine) = &mut announcement.kind {
+    if let endpoint::Kind::Engine(engine) = &mut announcement.kind {
         engine.load = Some(Load {
             sequence: number,
             running: 30 + (number % 20) as u32,
--- a/crates/kumquatdrum_membership/tests/it/endpoints.rs
+++ b/crates/kumquatdrum_membership/tests/it/endpoints.rs
@@ -2,19 +2,19 @@
 
 use std::time::Duration;
 
-use kumquatdrum_membership::{Change, Full, Input, Message, Output, Reason, State};
-use kumquatdrum_types::endpoint::Kind;
+use kumquatdrum_membership::{Change, Input, Liveness, Message, Output, Refusal, Snapshot};
+use kumquatdrum_types::endpoint;
 use kumquatdrum_types::{BootId, EndpointId, HostId, Load};
 
 use crate::cluster::{Cluster, announcement, seconds};
-use crate::network::{CALM, Faults, ROUGH};
+use crate::network::{Faults, LOSSY, RELIABLE};
 
-const LIMIT: Duration = Duration::from_secs(2);
+const LEAVING_TIMEOUT: Duration = Duration::from_secs(2);
 
-fn steady(seed: u64, faults: Faults, hosts: usize) -> Cluster {
+fn steady_cluster(seed: u64, faults: Faults, hosts: usize) -> Cluster {
     let mut cluster = Cluster::new(seed, faults, &["ikeja"], hosts);
-    let taker = cluster.host(0);
-    cluster.add_endpoint(announcement("engine", "ikeja"), &taker);
+    let receiver = cluster.host(0);
+    cluster.add_endpoint(announcement("engine", "ikeja"), &receiver);
     cluster.run(seconds(6));
     for host in cluster.hosts_of("ikeja") {
         assert!(cluster.takes_work(&host, "engine"), "seed {seed}");
@@ -23,7 +23,7 @@
 }
 
 /// The endpoint leaves by a notice to one host, which dies as soon as it has acknowledged it.
-fn leave_through(cluster: &mut Cluster, taker: &HostId, context: &str) {
+fn leave_through(cluster: &mut Cluster, receiver: &HostId, context: &str) {
     let endpoint = &mut cluster.endpoints["engine"];
     endpoint.is_up = false;
     endpoint.announcement.sequence += 1;
@@ -31,57 +31,59 @@
     let notice = endpoint.announcement.clone();
     let sequence = notice.sequence;
     let start = cluster.network.now;
-    cluster.announce(taker, notice);
+    cluster.announce(receiver, notice);
     assert!(
-        !cluster.has_acked(taker, sequence),
-        "{context}: acked alone"
+        !cluster.has_acked(receiver, sequence),
+        "{context}: acknowledged without confirmations"
     );
-    let acked = cluster.run_until(LIMIT, |cluster| cluster.has_acked(taker, sequence));
+    let acked = cluster.run_until(LEAVING_TIMEOUT, |cluster| {
+        cluster.has_acked(receiver, sequence)
+    });
     assert!(acked, "{context}: no acknowledgement");
-    cluster.kill(taker);
+    cluster.kill(receiver);
     let passed = cluster.network.now - start;
-    cluster.run(LIMIT.saturating_sub(passed));
+    cluster.run(LEAVING_TIMEOUT.saturating_sub(passed));
     for host in cluster.hosts_of("ikeja") {
-        let is_told = host == *taker || !cluster.takes_work(&host, "engine");
-        assert!(is_told, "{context}: {host} still gives work");
+        let is_told = host == *receiver || !cluster.takes_work(&host, "engine");
+        assert!(is_told, "{context}: {host} still dispatches work");
     }
 }
 
 #[test]
 fn leaving_reaches_nine_hosts_within_two_seconds_though_the_taker_dies() {
-    for taker in 0..9 {
-        let mut cluster = steady(taker as u64, CALM, 9);
-        let taker = cluster.host(taker);
-        leave_through(&mut cluster, &taker, taker.as_str());
+    for receiver in 0..9 {
+        let mut cluster = steady_cluster(receiver as u64, RELIABLE, 9);
+        let receiver = cluster.host(receiver);
+        leave_through(&mut cluster, &receiver, receiver.as_str());
     }
 }
 
 #[test]
-fn leaving_reaches_a_small_data_centre_though_the_taker_dies() {
-    for taker in 0..3 {
-        let mut cluster = steady(taker as u64, CALM, 3);
-        let taker = cluster.host(taker);
-        leave_through(&mut cluster, &taker, taker.as_str());
+fn a_leaving_notice_reaches_a_small_data_centre_if_its_receiver_dies() {
+    for receiver in 0..3 {
+        let mut cluster = steady_cluster(receiver as u64, RELIABLE, 3);
+        let receiver = cluster.host(receiver);
+        leave_through(&mut cluster, &receiver, receiver.as_str());
     }
 }
 
 #[test]
-fn leaving_reaches_all_through_the_two_hosts_that_the_taker_reached() {
-    for taker in 0..9 {
-        let mut cluster = steady(taker as u64, CALM, 9);
+fn a_leaving_notice_reaches_all_hosts_via_the_two_that_its_receiver_reached() {
+    for receiver in 0..9 {
+        let mut cluster = steady_cluster(receiver as u64, RELIABLE, 9);
         let hosts = cluster.hosts_of("ikeja");
-        let unreached = (3..9).map(|step| &hosts[(taker + step) % 9]);
+        let unreached = (3..9).map(|step| &hosts[(receiver + step) % 9]);
         for host in unreached {
-            cluster.network.cut(&hosts[taker], host);
+            cluster.network.cut(&hosts[receiver], host);
         }
-        leave_through(&mut cluster, &hosts[taker], hosts[taker].as_str());
+        leave_through(&mut cluster, &hosts[receiver], hosts[receiver].as_str());
     }
 }
 
 #[test]
-fn a_leaving_notice_that_a_renewal_overtook_counts() {
-    let mut cluster = steady(1, CALM, 2);
-    let (taker, other) = (cluster.host(0), cluster.host(1));
+fn a_leaving_notice_counts_after_a_later_renewal() {
+    let mut cluster = steady_cluster(1, RELIABLE, 2);
+    let (receiver, other) = (cluster.host(0), cluster.host(1));
     cluster.endpoints["engine"].is_up = false;
     let mut notice = cluster.endpoints["engine"].announcement.clone();
     let mut renewal = notice.clone();
@@ -92,9 +94,9 @@
     cluster.input(
         &other,
         Input::Peer {
-            from: taker,
+            from: receiver,
             boot: BootId(1),
-            message: Message::Leaving(Full {
+            message: Message::Leaving(Snapshot {
                 announcement: notice,
                 age_millis: 0,
             }),
@@ -104,8 +106,8 @@
 }
 
 #[test]
-fn leaving_is_not_lost_where_the_taker_dies_unacknowledged() {
-    let mut cluster = steady(3, CALM, 9);
+fn a_leaving_notice_is_repeated_at_another_host_if_its_receiver_dies_unacknowledged() {
+    let mut cluster = steady_cluster(3, RELIABLE, 9);
     let (first, second) = (cluster.host(4), cluster.host(5));
     let mut notice = cluster.endpoints["engine"].announcement.clone();
     notice.leaving = true;
@@ -113,22 +115,22 @@
     cluster.announce(&first, notice);
     cluster.kill(&first);
     // No acknowledgement, so the endpoint tells another host.
-    leave_through(&mut cluster, &second, "second taker");
+    leave_through(&mut cluster, &second, "second receiver");
 }
 
 #[test]
-fn leaving_reaches_all_over_a_lossy_network() {
+fn a_leaving_notice_reaches_all_hosts_over_a_lossy_network() {
     for seed in 0..50 {
-        let mut cluster = steady(seed, ROUGH, 9);
-        let taker = cluster.host(seed as usize % 9);
+        let mut cluster = steady_cluster(seed, LOSSY, 9);
+        let receiver = cluster.host(seed as usize % 9);
         let endpoint = &mut cluster.endpoints["engine"];
         endpoint.announcement.leaving = true;
-        endpoint.taker = taker.clone();
+        endpoint.receiver = receiver.clone();
         let is_told = |cluster: &Cluster| {
             let hosts = cluster.hosts_of("ikeja");
             hosts
                 .iter()
-                .filter(|host| **host != taker)
+                .filter(|host| **host != receiver)
                 .all(|host| !cluster.takes_work(host, "engine"))
         };
         assert!(cluster.run_until(seconds(4), is_told), "seed {seed}");
@@ -136,8 +138,8 @@
 }
 
 #[test]
-fn a_host_alone_acknowledges_leaving_at_once() {
-    let mut cluster = steady(1, CALM, 1);
+fn a_single_host_acknowledges_a_leaving_notice_at_once() {
+    let mut cluster = steady_cluster(1, RELIABLE, 1);
     let host = cluster.host(0);
     let mut notice = cluster.endpoints["engine"].announcement.clone();
     notice.leaving = true;
@@ -148,8 +150,8 @@
 }
 
 #[test]
-fn a_leaving_life_stays_leaving_and_the_next_one_starts_afresh() {
-    let mut cluster = steady(1, CALM, 3);
+fn leaving_is_final_until_the_next_incarnation() {
+    let mut cluster = steady_cluster(1, RELIABLE, 3);
     let (host, other) = (cluster.host(0), cluster.host(2));
     cluster.endpoints["engine"].announcement.leaving = true;
     cluster.run(seconds(2));
@@ -167,26 +169,26 @@
 
 #[test]
 fn a_dead_endpoint_is_suspect_after_five_seconds_and_gone_after_eleven() {
-    let mut cluster = steady(1, CALM, 9);
+    let mut cluster = steady_cluster(1, RELIABLE, 9);
     cluster.endpoints["engine"].is_up = false;
     cluster.run(seconds(5));
     for host in cluster.hosts_of("ikeja") {
-        assert_eq!(cluster.state(&host, "engine"), Some(State::Suspect));
+        assert_eq!(cluster.liveness(&host, "engine"), Some(Liveness::Suspect));
     }
     cluster.run(seconds(6));
     for host in cluster.hosts_of("ikeja") {
-        assert_eq!(cluster.state(&host, "engine"), Some(State::Gone));
+        assert_eq!(cluster.liveness(&host, "engine"), Some(Liveness::Gone));
     }
     cluster.run(seconds(60));
     for host in cluster.hosts_of("ikeja") {
-        assert_eq!(cluster.state(&host, "engine"), None);
+        assert_eq!(cluster.liveness(&host, "engine"), None);
     }
 }
 
 #[test]
 fn a_slow_endpoint_is_never_suspect() {
-    let mut cluster = steady(1, CALM, 9);
-    let (taker, mut slow) = (
+    let mut cluster = steady_cluster(1, RELIABLE, 9);
+    let (receiver, mut slow) = (
         cluster.host(0),
         cluster.endpoints["engine"].announcement.clone(),
     );
@@ -195,7 +197,7 @@
         cluster.run(Duration::from_millis(2_500));
         slow.sequence += 1;
         // No load: it only says that it lives.
-        cluster.announce(&taker, slow.clone());
+        cluster.announce(&receiver, slow.clone());
     }
     for host in cluster.hosts_of("ikeja") {
         assert!(!cluster.changes(&host, "engine").contains(&Change::Suspect));
@@ -203,16 +205,16 @@
 }
 
 #[test]
-fn an_endpoint_whose_taker_dies_has_time_to_find_another() {
-    let mut cluster = steady(1, CALM, 9);
-    let taker = cluster.host(0);
-    cluster.kill(&taker);
+fn an_endpoint_has_time_to_switch_hosts_after_its_receiver_dies() {
+    let mut cluster = steady_cluster(1, RELIABLE, 9);
+    let receiver = cluster.host(0);
+    cluster.kill(&receiver);
     cluster.endpoints["engine"].is_up = false;
     // Beyond the bound for silence: the taker's death may explain it.
     cluster.run(Duration::from_millis(5_500));
     let other = cluster.host(7);
     let endpoint = &mut cluster.endpoints["engine"];
-    endpoint.taker = other;
+    endpoint.receiver = other;
     endpoint.is_up = true;
     cluster.run(seconds(3));
     for host in cluster.hosts_of("ikeja").iter().skip(1) {
@@ -222,8 +224,8 @@
 }
 
 #[test]
-fn a_daemon_that_stood_still_suspects_nobody_for_it() {
-    let mut cluster = steady(1, CALM, 3);
+fn a_stalled_daemon_suspects_nobody_after_it_resumes() {
+    let mut cluster = steady_cluster(1, RELIABLE, 3);
     let frozen = cluster.host(2);
     let events = cluster.daemons[&frozen].events.len();
     cluster.daemons[&frozen].frozen_until = cluster.network.now + seconds(30);
@@ -244,9 +246,9 @@
 }
 
 #[test]
-fn a_new_life_carries_no_old_state_and_late_word_of_the_old_one_is_refused() {
-    let mut cluster = steady(1, CALM, 3);
-    let (taker, other) = (cluster.host(0), cluster.host(2));
+fn a_new_incarnation_discards_old_state_and_the_old_incarnation_is_refused() {
+    let mut cluster = steady_cluster(1, RELIABLE, 3);
+    let (receiver, other) = (cluster.host(0), cluster.host(2));
     let old = cluster.endpoints["engine"].announcement.clone();
     let mut next = announcement("engine", "ikeja");
     next.boot = BootId(2);
@@ -255,12 +257,12 @@
     let changes = cluster.changes(&other, "engine");
     let gone = changes.iter().position(|change| *change == Change::Gone);
     let joined = changes.iter().rposition(
-        |change| matches!(change, Change::Joined(next) if next.boot == BootId(2) && load(&next.kind).is_none_or(|load| load.sequence < 10)),
+        |change| matches!(change, Change::Joined(next) if next.boot == BootId(2) && load_of(&next.kind).is_none_or(|load| load.sequence < 10)),
     );
     assert!(gone.is_some() && joined > gone, "{changes:?}");
     let late = old.sequence + 50;
     cluster.announce(
-        &taker,
+        &receiver,
         kumquatdrum_types::Announcement {
             sequence: late,
             ..old
@@ -270,39 +272,39 @@
         endpoint: EndpointId::new("engine"),
         boot: BootId(1),
         sequence: late,
-        reason: Reason::OldBoot,
+        reason: Refusal::OldBoot,
     };
-    let (_, last) = cluster.daemons[&taker].events.last().unwrap();
+    let (_, last) = cluster.daemons[&receiver].events.last().unwrap();
     assert_eq!(*last, refusal);
 }
 
-fn load(kind: &Kind) -> Option<&Load> {
+fn load_of(kind: &endpoint::Kind) -> Option<&Load> {
     match kind {
-        Kind::Engine(engine) => engine.load.as_ref(),
-        Kind::Plain => None,
+        endpoint::Kind::Engine(engine) => engine.load.as_ref(),
+        endpoint::Kind::Plain => None,
     }
 }
 
 #[test]
 fn an_endpoint_of_another_data_centre_is_refused() {
-    let mut cluster = steady(1, CALM, 1);
+    let mut cluster = steady_cluster(1, RELIABLE, 1);
     let host = cluster.host(0);
     cluster.announce(&host, announcement("stray", "lekki"));
     let (_, last) = cluster.daemons[&host].events.last().unwrap();
     assert!(matches!(
         last,
         Output::RefuseAnnounce {
-            reason: Reason::OtherDataCentre,
+            reason: Refusal::OtherDataCentre,
             ..
         }
     ));
 }
 
 #[test]
-fn one_failed_dispatch_is_no_suspicion_three_are_and_renewals_lift_it() {
-    let mut cluster = steady(1, CALM, 3);
+fn three_failed_dispatches_make_an_endpoint_suspect_until_it_renews() {
+    let mut cluster = steady_cluster(1, RELIABLE, 3);
     let host = cluster.host(1);
-    let failed = Input::Failed {
+    let failed = Input::DispatchFailed {
         endpoint: EndpointId::new("engine"),
     };
     cluster.input(&host, failed.clone());
@@ -311,22 +313,29 @@
     cluster.input(&host, failed);
     assert!(!cluster.takes_work(&host, "engine"));
     cluster.run(seconds(1));
-    assert!(!cluster.takes_work(&host, "engine"), "held for a while");
+    assert!(
+        !cluster.takes_work(&host, "engine"),
+        "suspicion was lifted too early"
+    );
     cluster.run(seconds(3));
     assert!(cluster.takes_work(&host, "engine"));
-    assert!(cluster.changes(&host, "engine").contains(&Change::Returned));
+    assert!(
+        cluster
+            .changes(&host, "engine")
+            .contains(&Change::Recovered)
+    );
 }
 
 #[test]
 fn a_failed_dispatch_speeds_up_the_suspicion_of_a_late_endpoint() {
-    let mut cluster = steady(1, CALM, 3);
+    let mut cluster = steady_cluster(1, RELIABLE, 3);
     let host = cluster.host(0);
     cluster.endpoints["engine"].is_up = false;
     cluster.run(seconds(3));
     assert!(cluster.takes_work(&host, "engine"));
     cluster.input(
         &host,
-        Input::Failed {
+        Input::DispatchFailed {
             endpoint: EndpointId::new("engine"),
         },
     );
@@ -334,11 +343,11 @@
 }
 
 #[test]
-fn a_load_travels_with_the_receivers_own_counter_and_an_older_one_never_counts() {
-    let mut cluster = steady(1, CALM, 3);
-    let (taker, other) = (cluster.host(0), cluster.host(2));
+fn a_load_carries_only_the_receivers_counters_and_an_older_load_is_ignored() {
+    let mut cluster = steady_cluster(1, RELIABLE, 3);
+    let (receiver, other) = (cluster.host(0), cluster.host(2));
     let seen = vec![
-        (taker.to_string(), 7),
+        (receiver.to_string(), 7),
         (other.to_string(), 9),
         (format!("{other}/4"), 11),
         (format!("{other}0"), 13),
@@ -355,41 +364,41 @@
         report.sequence += 1;
         sent.sequence = sequence;
         sent.running = running;
-        if let Kind::Engine(engine) = &mut report.kind {
+        if let endpoint::Kind::Engine(engine) = &mut report.kind {
             engine.load = Some(sent.clone());
         }
-        cluster.announce(&taker, report.clone());
+        cluster.announce(&receiver, report.clone());
         cluster.run(seconds(1));
     }
     let record = cluster.daemons[&other]
         .core
         .endpoint(&EndpointId::new("engine"));
-    let known = load(&record.unwrap().announcement.kind).unwrap();
+    let known = load_of(&record.unwrap().announcement.kind).unwrap();
     assert_eq!((known.sequence, known.running), (500, 3));
     let own = vec![(other.to_string(), 9), (format!("{other}/4"), 11)];
     assert_eq!(known.seen, own);
 }
 
-fn crowd(seed: u64, takers: usize) -> Cluster {
-    let mut cluster = Cluster::new(seed, CALM, &["hall-raatuse"], 25);
+fn large_cluster(seed: u64, receivers: usize) -> Cluster {
+    let mut cluster = Cluster::new(seed, RELIABLE, &["hall-raatuse"], 25);
     for number in 0..300 {
-        let taker = cluster.host(number % takers);
+        let receiver = cluster.host(number % receivers);
         let name = format!("engine-{number:03}");
-        cluster.add_endpoint(announcement(&name, "hall-raatuse"), &taker);
+        cluster.add_endpoint(announcement(&name, "hall-raatuse"), &receiver);
     }
     cluster
 }
 
 /// 25 hosts and 300 endpoints: pushes keep to their bound, all hosts know all endpoints alive.
-fn check_crowd(takers: usize) {
-    let mut cluster = crowd(1, takers);
+fn check_large_cluster(receivers: usize) {
+    let mut cluster = large_cluster(1, receivers);
     cluster.run(seconds(9));
     cluster.largest_push = 0;
     cluster.run(seconds(5));
     assert!(cluster.largest_push <= 1_600, "{}", cluster.largest_push);
     for (host, daemon) in &cluster.daemons {
         assert_eq!(daemon.core.endpoints().count(), 300, "{host}");
-        let is_alive = |record: &kumquatdrum_membership::Record| record.state == State::Alive;
+        let is_alive = |record: &kumquatdrum_membership::Record| record.liveness == Liveness::Alive;
         assert!(daemon.core.endpoints().all(is_alive), "{host}");
         let is_suspicion = |(_, event): &(_, Output)| {
             matches!(
@@ -406,25 +415,25 @@
 
 #[test]
 fn pushes_keep_to_their_bytes_and_nobody_is_suspected_at_the_target_size() {
-    check_crowd(25);
+    check_large_cluster(25);
 }
 
 #[test]
 fn pushes_keep_to_their_bytes_and_nobody_is_suspected_with_all_endpoints_at_one_host() {
-    check_crowd(1);
+    check_large_cluster(1);
 }
 
 #[test]
-fn leaving_goes_first_when_a_whole_data_centre_is_busy() {
-    let mut cluster = crowd(2, 1);
+fn leaving_notices_take_precedence_in_a_busy_data_centre() {
+    let mut cluster = large_cluster(2, 1);
     cluster.run(seconds(12));
-    let taker = cluster.host(0);
+    let receiver = cluster.host(0);
     let mut notice = cluster.endpoints["engine-250"].announcement.clone();
     notice.leaving = true;
     notice.sequence += 1;
     cluster.endpoints["engine-250"].is_up = false;
-    cluster.announce(&taker, notice);
-    cluster.run(LIMIT);
+    cluster.announce(&receiver, notice);
+    cluster.run(LEAVING_TIMEOUT);
     for host in cluster.hosts_of("hall-raatuse") {
         assert!(!cluster.takes_work(&host, "engine-250"), "{host}");
     }
--- a/crates/kumquatdrum_membership/tests/it/hosts.rs
+++ b/crates/kumquatdrum_membership/tests/it/hosts.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use kumquatdrum_membership::{Condition, Output, Reach};
+use kumquatdrum_membership::{Condition, Output, Reachability};
 use kumquatdrum_types::{DataCentre, HostId};
 
 use crate::cluster::{Cluster, announcement, member, seconds};
-use crate::network::{CALM, ROUGH};
+use crate::network::{LOSSY, RELIABLE};
 
-const CENTRES: [&str; 3] = ["ikeja", "lekki", "marina"];
+const DATA_CENTRES: [&str; 3] = ["ikeja", "lekki", "marina"];
 
 fn condition(cluster: &Cluster, on: &HostId, of: &HostId) -> Condition {
     let mut hosts = cluster.daemons[on].core.hosts();
@@ -16,18 +16,23 @@
     view.expect("known").condition
 }
 
-fn says(cluster: &Cluster, host: &HostId, data_centre: &str, reach: Reach) -> bool {
+fn has_reported(
+    cluster: &Cluster,
+    host: &HostId,
+    data_centre: &str,
+    reachability: Reachability,
+) -> bool {
     let event = Output::DataCentre {
         id: DataCentre::new(data_centre),
-        reach,
+        reachability,
     };
     let mut events = cluster.daemons[host].events.iter();
-    events.any(|(_, said)| *said == event)
+    events.any(|(_, reported)| *reported == event)
 }
 
 #[test]
 fn a_dead_host_is_suspect_after_five_seconds_and_dead_after_thirteen() {
-    let mut cluster = Cluster::new(1, CALM, &["ikeja"], 9);
+    let mut cluster = Cluster::new(1, RELIABLE, &["ikeja"], 9);
     cluster.run(seconds(3));
     let dead = cluster.host(4);
     cluster.kill(&dead);
@@ -59,46 +64,61 @@
 }
 
 #[test]
-fn a_broken_path_between_two_hosts_is_no_death() {
-    let mut cluster = Cluster::new(1, CALM, &["ikeja"], 3);
+fn two_hosts_that_cannot_reach_each_other_are_not_suspected() {
+    let mut cluster = Cluster::new(1, RELIABLE, &["ikeja"], 3);
     cluster.run(seconds(3));
     let (one, other) = (cluster.host(0), cluster.host(1));
     cluster.network.cut(&one, &other);
     cluster.network.cut(&other, &one);
     cluster.run(seconds(30));
     for daemon in cluster.daemons.values() {
-        let is_quiet = daemon
+        let is_unchanged = daemon
             .events
             .iter()
             .all(|(_, event)| !matches!(event, Output::Host { .. }));
-        assert!(is_quiet, "{:?}", daemon.events);
+        assert!(is_unchanged, "{:?}", daemon.events);
     }
 }
 
 #[test]
-fn a_host_that_hears_nobody_says_that_it_is_cut_off() {
-    let mut cluster = Cluster::new(1, CALM, &["ikeja"], 3);
+fn an_isolated_host_reports_that_it_is_cut_off() {
+    let mut cluster = Cluster::new(1, RELIABLE, &["ikeja"], 3);
     cluster.run(seconds(3));
-    let (lone, others) = (cluster.host(0), [cluster.host(1), cluster.host(2)]);
+    let (isolated, others) = (cluster.host(0), [cluster.host(1), cluster.host(2)]);
     for other in &others {
-        cluster.network.cut(&lone, other);
-        cluster.network.cut(other, &lone);
+        cluster.network.cut(&isolated, other);
+        cluster.network.cut(other, &isolated);
     }
     cluster.run(seconds(5));
-    assert!(says(&cluster, &lone, "ikeja", Reach::CutOff));
+    assert!(has_reported(
+        &cluster,
+        &isolated,
+        "ikeja",
+        Reachability::CutOff
+    ));
     for other in &others {
-        assert!(!says(&cluster, other, "ikeja", Reach::CutOff));
-        assert_eq!(condition(&cluster, other, &lone), Condition::Suspect);
+        assert!(!has_reported(
+            &cluster,
+            other,
+            "ikeja",
+            Reachability::CutOff
+        ));
+        assert_eq!(condition(&cluster, other, &isolated), Condition::Suspect);
     }
     cluster.network.heal();
     cluster.run(seconds(2));
-    assert!(says(&cluster, &lone, "ikeja", Reach::Reachable));
+    assert!(has_reported(
+        &cluster,
+        &isolated,
+        "ikeja",
+        Reachability::Reachable
+    ));
 }
 
 #[test]
-fn a_cut_off_data_centre_keeps_its_own_endpoints_and_says_so() {
-    let mut cluster = Cluster::new(1, CALM, &CENTRES, 3);
-    for data_centre in CENTRES {
+fn a_cut_off_data_centre_keeps_its_endpoints_and_reports_the_cut_off() {
+    let mut cluster = Cluster::new(1, RELIABLE, &DATA_CENTRES, 3);
+    for data_centre in DATA_CENTRES {
         let hosts = cluster.hosts_of(data_centre);
         for number in 0..5 {
             let name = format!("{data_centre}-engine-{number}");
@@ -124,7 +144,10 @@
             assert!(cluster.takes_work(&host, &name), "{host} {name}");
         }
         for other in ["ikeja", "marina"] {
-            assert!(says(&cluster, &host, other, Reach::CutOff), "{host}");
+            assert!(
+                has_reported(&cluster, &host, other, Reachability::CutOff),
+                "{host}"
+            );
             for remote in cluster.hosts_of(other) {
                 assert_eq!(condition(&cluster, &host, &remote), Condition::Suspect);
             }
@@ -146,19 +169,22 @@
 }
 
 #[test]
-fn a_cut_off_is_told_within_twelve_seconds_of_it() {
-    let mut cluster = Cluster::new(1, CALM, &CENTRES, 3);
+fn a_cut_off_is_reported_within_twelve_seconds() {
+    let mut cluster = Cluster::new(1, RELIABLE, &DATA_CENTRES, 3);
     cluster.run(seconds(10));
     cluster.cut_off("lekki");
     cluster.run(seconds(12));
     for host in cluster.hosts_of("lekki") {
-        assert!(says(&cluster, &host, "ikeja", Reach::CutOff), "{host}");
+        assert!(
+            has_reported(&cluster, &host, "ikeja", Reachability::CutOff),
+            "{host}"
+        );
     }
 }
 
 #[test]
 fn the_next_relay_takes_over_without_a_false_cut_off() {
-    let mut cluster = Cluster::new(1, CALM, &CENTRES, 3);
+    let mut cluster = Cluster::new(1, RELIABLE, &DATA_CENTRES, 3);
     cluster.run(seconds(10));
     let relay = cluster.hosts_of("ikeja")[0].clone();
     cluster.kill(&relay);
@@ -166,42 +192,48 @@
     let next = cluster.hosts_of("ikeja")[1].clone();
     assert!(cluster.daemons[&next].core.is_relay());
     for host in cluster.hosts_of("lekki") {
-        assert!(!says(&cluster, &host, "ikeja", Reach::CutOff), "{host}");
+        assert!(
+            !has_reported(&cluster, &host, "ikeja", Reachability::CutOff),
+            "{host}"
+        );
         assert_eq!(condition(&cluster, &host, &relay), Condition::Dead);
     }
     for host in cluster.hosts_of("ikeja") {
-        assert!(!says(&cluster, &host, "lekki", Reach::CutOff), "{host}");
+        assert!(
+            !has_reported(&cluster, &host, "lekki", Reachability::CutOff),
+            "{host}"
+        );
     }
 }
 
 #[test]
-fn a_host_that_no_settings_name_becomes_known_everywhere() {
-    let mut cluster = Cluster::new(1, ROUGH, &CENTRES, 3);
+fn a_host_missing_from_all_settings_becomes_known_everywhere() {
+    let mut cluster = Cluster::new(1, LOSSY, &DATA_CENTRES, 3);
     cluster.run(seconds(5));
-    let stranger = member("lekki", 77, 0);
+    let unlisted = member("lekki", 77, 0);
     let known = cluster.daemons[&cluster.hosts_of("lekki")[1]]
         .member
         .clone();
-    cluster.add_stranger(stranger.clone(), known);
+    cluster.add_unlisted_host(unlisted.clone(), known);
     cluster.run(seconds(60));
     for (host, daemon) in &cluster.daemons {
         let is_known = daemon
             .core
             .hosts()
-            .any(|view| view.member.host == stranger.host);
-        assert!(is_known || *host == stranger.host, "{host}");
+            .any(|view| view.member.host == unlisted.host);
+        assert!(is_known || *host == unlisted.host, "{host}");
         assert_eq!(daemon.core.hosts().count(), 9, "{host}");
     }
-    let is_told = cluster.daemons[&cluster.host(0)]
+    let is_reported = cluster.daemons[&cluster.host(0)]
         .events
         .iter()
-        .any(|(_, event)| matches!(event, Output::Member(member) if member.host == stranger.host));
-    assert!(is_told);
+        .any(|(_, event)| matches!(event, Output::Member(member) if member.host == unlisted.host));
+    assert!(is_reported);
 }
 
 #[test]
 fn a_moved_host_is_reached_at_its_new_address() {
-    let mut cluster = Cluster::new(1, CALM, &CENTRES, 3);
+    let mut cluster = Cluster::new(1, RELIABLE, &DATA_CENTRES, 3);
     cluster.run(seconds(5));
     let moved = cluster.hosts_of("marina")[2].clone();
     cluster.kill(&moved);
--- a/crates/kumquatdrum_membership/tests/it/network.rs
+++ b/crates/kumquatdrum_membership/tests/it/network.rs
@@ -15,14 +15,14 @@
 }
 
 /// A quiet network.
-pub const CALM: Faults = Faults {
+pub const RELIABLE: Faults = Faults {
     loss_percent: 0,
     duplicate_percent: 0,
     delay_millis: (1, 5),
 };
 
 /// A bad one; messages overtake each other by up to 400 ms.
-pub const ROUGH: Faults = Faults {
+pub const LOSSY: Faults = Faults {
     loss_percent: 15,
     duplicate_percent: 10,
     delay_millis: (1, 400),
@@ -117,7 +117,7 @@
     }
 
     /// Loses what a host that died had under way.
-    pub fn forget(&mut self, from: &HostId) {
+    pub fn drop_in_flight(&mut self, from: &HostId) {
         self.queue.retain(|_, delivery| delivery.from != *from);
     }
 }
--- a/crates/kumquatdrum_membership/tests/it/spread.rs
+++ b/crates/kumquatdrum_membership/tests/it/propagation.rs
@@ -3,11 +3,11 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use kumquatdrum_membership::spread::{Input, Message, News, Output, Setup, Text};
+use kumquatdrum_membership::propagation::{Input, Message, Output, Setup, Text, Transfer};
 use kumquatdrum_types::{BootId, HostId, Version};
 
-use crate::network::{CALM, Faults, ROUGH};
-use crate::spread_cluster::Cluster;
+use crate::network::{Faults, LOSSY, RELIABLE};
+use crate::propagation_cluster::Cluster;
 
 fn seconds(count: u64) -> Duration {
     Duration::from_secs(count)
@@ -28,7 +28,7 @@
 }
 
 /// Nine hosts in three data centres, three control replicas, version 1 in force.
-fn steady(seed: u64, faults: Faults) -> Cluster {
+fn steady_cluster(seed: u64, faults: Faults) -> Cluster {
     let mut cluster = Cluster::new(seed, faults, 3, 3, 3);
     accept(&mut cluster);
     assert!(cluster.run_until(seconds(8), |cluster| cluster.is_everywhere(Version(1))));
@@ -42,7 +42,7 @@
     version
 }
 
-fn first_ready(cluster: &Cluster, host: &HostId) -> Option<bool> {
+fn first_confirmation(cluster: &Cluster, host: &HostId) -> Option<bool> {
     let mut events = cluster.hosts[host].events.iter();
     events.find_map(|(_, event)| match event {
         Output::Ready { is_confirmed } => Some(*is_confirmed),
@@ -51,19 +51,19 @@
 }
 
 #[test]
-fn a_version_is_in_force_everywhere_within_a_second_and_control_knows() {
-    let mut cluster = steady(1, CALM);
+fn a_version_is_in_force_everywhere_within_a_second_and_control_replicas_know() {
+    let mut cluster = steady_cluster(1, RELIABLE);
     let version = accept(&mut cluster);
     let is_done = |cluster: &Cluster| cluster.is_everywhere(version);
     assert!(cluster.run_until(seconds(1), is_done));
-    let replica = cluster.control[1].clone();
+    let replica = cluster.control_replicas[1].clone();
     let is_known = |cluster: &Cluster| cluster.knows_everywhere(&replica, version);
     assert!(cluster.run_until(Duration::from_millis(500), is_known));
 }
 
 #[test]
-fn text_goes_once_to_those_who_lack_it_and_only_the_difference() {
-    let mut cluster = steady(1, CALM);
+fn each_host_receives_a_version_once_and_as_a_delta() {
+    let mut cluster = steady_cluster(1, RELIABLE);
     cluster.run(seconds(3));
     (cluster.texts, cluster.text_bytes) = (0, 0);
     for _ in 0..20 {
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn a_restarting_host_asks_before_it_serves() {
-    let mut cluster = steady(1, CALM);
+fn a_restarting_host_requests_the_version_before_it_serves() {
+    let mut cluster = steady_cluster(1, RELIABLE);
     accept(&mut cluster);
     cluster.run(seconds(3));
     let host = cluster.host(5);
@@ -93,12 +93,12 @@
     assert!(!is_ready(&cluster));
     assert!(cluster.run_until(seconds(3), is_ready));
     assert_eq!(cluster.hosts[&host].core.version(), version);
-    assert_eq!(first_ready(&cluster, &host), Some(true));
+    assert_eq!(first_confirmation(&cluster, &host), Some(true));
 }
 
 #[test]
-fn a_host_that_restarts_cut_off_serves_what_its_neighbours_have_and_says_so() {
-    let mut cluster = steady(1, CALM);
+fn a_host_that_restarts_while_cut_off_serves_its_neighbours_version_unconfirmed() {
+    let mut cluster = steady_cluster(1, RELIABLE);
     let host = cluster.host(8);
     cluster.cut_off("dc-02");
     cluster.run(seconds(15));
@@ -107,12 +107,12 @@
     cluster.start(&host);
     cluster.run(seconds(8));
     assert_eq!(cluster.hosts[&host].core.version(), Version(1));
-    assert_eq!(first_ready(&cluster, &host), Some(false));
+    assert_eq!(first_confirmation(&cluster, &host), Some(false));
 }
 
 #[test]
-fn a_restarting_host_without_anybody_does_not_serve() {
-    let mut cluster = steady(1, CALM);
+fn a_restarting_host_without_any_peer_does_not_serve() {
+    let mut cluster = steady_cluster(1, RELIABLE);
     for index in 0..8 {
         let host = cluster.host(index);
         cluster.kill(&host);
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn a_cut_off_data_centre_says_since_when_and_catches_up() {
-    let mut cluster = steady(1, CALM);
+fn a_cut_off_data_centre_reports_since_when_and_catches_up() {
+    let mut cluster = steady_cluster(1, RELIABLE);
     cluster.run(seconds(5));
     let cut_at = cluster.network.now;
     cluster.cut_off("dc-02");
@@ -151,8 +151,8 @@
 }
 
 #[test]
-fn a_data_centre_without_replica_says_that_it_is_cut_off_and_catches_up() {
-    let mut cluster = Cluster::new(1, CALM, 4, 5, 3);
+fn a_data_centre_without_replica_reports_a_cut_off_and_catches_up() {
+    let mut cluster = Cluster::new(1, RELIABLE, 4, 5, 3);
     accept(&mut cluster);
     cluster.run(seconds(8));
     cluster.cut_off("dc-03");
@@ -180,8 +180,8 @@
 }
 
 #[test]
-fn a_text_that_does_not_fit_its_digest_or_its_base_is_not_put_in_force() {
-    let mut cluster = steady(1, CALM);
+fn a_text_with_a_wrong_digest_or_base_is_not_put_in_force() {
+    let mut cluster = steady_cluster(1, RELIABLE);
     let (host, other) = (cluster.host(4), cluster.host(5));
     let held = Setup::new(Version(1), text(1));
     let next = Setup::new(Version(9), text(9));
@@ -191,7 +191,7 @@
         Text::between(Some(&elsewhere), &next),
     ];
     for text in texts {
-        let news = News {
+        let news = Transfer {
             version: next.version,
             digest: next.digest.clone(),
             text,
@@ -199,7 +199,7 @@
         let input = Input::Peer {
             from: other.clone(),
             boot: BootId(1),
-            message: Message::News(news),
+            message: Message::Transfer(news),
         };
         cluster.input(&host, input);
         assert_eq!(cluster.hosts[&host].core.version(), Version(1));
@@ -207,9 +207,9 @@
 }
 
 #[test]
-fn a_relay_that_dies_at_the_arrival_of_a_version_holds_nobody_up() {
+fn a_version_reaches_all_hosts_if_a_relay_dies_when_it_arrives() {
     for seed in 0..20 {
-        let mut cluster = Cluster::new(seed, CALM, 4, 5, 3);
+        let mut cluster = Cluster::new(seed, RELIABLE, 4, 5, 3);
         accept(&mut cluster);
         cluster.run(seconds(8));
         let relay = HostId::new("dc-03-00");
@@ -223,12 +223,12 @@
 }
 
 /// One random event; at least one replica of three applies each version soon.
-fn disturb(cluster: &mut Cluster) {
+fn inject_fault(cluster: &mut Cluster) {
     let hosts = cluster.hosts.len() as u64;
     let index = cluster.network.pick(0, hosts - 1) as usize;
     let other = cluster.network.pick(0, hosts - 1) as usize;
     let (host, other) = (cluster.host(index), cluster.host(other));
-    let replica = cluster.control[cluster.network.pick(0, 2) as usize].clone();
+    let replica = cluster.control_replicas[cluster.network.pick(0, 2) as usize].clone();
     match cluster.network.pick(0, 9) {
         0 => cluster.kill(&host),
         1 | 2 => cluster.start(&host),
@@ -250,7 +250,10 @@
         let mut highest = Version(0);
         for (_, event) in &host.events {
             if let Output::InForce(setup) = event {
-                assert!(setup.version > highest, "seed {seed}: {id} went back");
+                assert!(
+                    setup.version > highest,
+                    "seed {seed}: {id} returned to a lower version"
+                );
                 highest = setup.version;
                 let accepted = &cluster.accepted[setup.version.0 as usize - 1];
                 assert_eq!(setup, accepted, "seed {seed}: {id}");
@@ -260,26 +263,26 @@
 }
 
 #[test]
-fn nothing_reverts_and_all_is_in_force_after_healing_seeds_0_to_99() {
+fn versions_never_decrease_and_converge_after_healing_seeds_0_to_99() {
     run_seeds(0..100);
 }
 
 #[test]
-fn nothing_reverts_and_all_is_in_force_after_healing_seeds_100_to_199() {
+fn versions_never_decrease_and_converge_after_healing_seeds_100_to_199() {
     run_seeds(100..200);
 }
 
 fn run_seeds(seeds: Range<u64>) {
     for seed in seeds {
-        let mut cluster = Cluster::new(seed, ROUGH, 3, 3, 3);
+        let mut cluster = Cluster::new(seed, LOSSY, 3, 3, 3);
         for _ in 0..30 {
             let pause = cluster.network.pick(20, 800);
             cluster.run(Duration::from_millis(pause));
-            disturb(&mut cluster);
+            inject_fault(&mut cluster);
         }
         check(&cluster, seed);
         cluster.network.heal();
-        cluster.network.faults = CALM;
+        cluster.network.faults = RELIABLE;
         let down: Vec<HostId> = cluster
             .hosts
             .iter()
@@ -293,22 +296,22 @@
         let is_done = |cluster: &Cluster| cluster.is_everywhere(version);
         assert!(cluster.run_until(seconds(8), is_done), "seed {seed}");
         check(&cluster, seed);
-        let replica = cluster.control[0].clone();
+        let replica = cluster.control_replicas[0].clone();
         let is_known = |cluster: &Cluster| cluster.knows_everywhere(&replica, version);
         assert!(cluster.run_until(seconds(8), is_known), "seed {seed}");
     }
 }
 
 #[test]
-fn a_version_that_outruns_the_log_is_told_on_at_once() {
+fn a_version_that_arrives_before_its_log_entry_is_forwarded_at_once() {
     for leader in 0..3 {
-        let mut cluster = Cluster::new(7, CALM, 9, 3, 3);
+        let mut cluster = Cluster::new(7, RELIABLE, 9, 3, 3);
         accept(&mut cluster);
         assert!(cluster.run_until(seconds(8), |cluster| cluster.is_everywhere(Version(1))));
         // Past the exchange that any start brings.
         cluster.run(seconds(5));
         let version = cluster.accept(text(2));
-        cluster.apply(&cluster.control[leader].clone());
+        cluster.apply(&cluster.control_replicas[leader].clone());
         // The followers hear of the commit with the next heartbeat; the spread is faster.
         cluster.run(Duration::from_millis(100));
         cluster.apply_all();
--- a/crates/kumquatdrum_membership/tests/it/spread_cluster.rs
+++ b/crates/kumquatdrum_membership/tests/it/propagation_cluster.rs
@@ -3,17 +3,19 @@
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use kumquatdrum_membership::spread::{Config, Input, Message, News, Output, Setup, Spread, Status};
+use kumquatdrum_membership::propagation::{
+    Config, Input, Message, Output, Propagation, Setup, Status, Transfer,
+};
 use kumquatdrum_types::{BootId, DataCentre, HostId, Moment, Version};
 
 use crate::network::{Delivery, Faults, Network};
 
 pub const TICK: Duration = Duration::from_millis(40);
 /// Statuses ride on pushes, of which each host gets one a second at the least.
-const STATUS_EVERY: u32 = 25;
+const TICKS_PER_STATUS: u32 = 25;
 
 pub struct Host {
-    pub core: Spread,
+    pub core: Propagation,
     pub data_centre: DataCentre,
     pub boot: BootId,
     pub is_up: bool,
@@ -26,7 +28,7 @@
 pub struct Cluster {
     pub network: Network,
     pub hosts: IndexMap<HostId, Host>,
-    pub control: Vec<HostId>,
+    pub control_replicas: Vec<HostId>,
     /// All accepted versions, in order.
     pub accepted: Vec<Setup>,
     /// Bytes of text sent, and messages that carried any.
@@ -52,7 +54,7 @@
         let mut cluster = Self {
             network: Network::new(seed, faults),
             hosts: IndexMap::new(),
-            control: Vec::new(),
+            control_replicas: Vec::new(),
             accepted: Vec::new(),
             text_bytes: 0,
             texts: 0,
@@ -67,7 +69,7 @@
             }
         }
         let first = |centre| HostId::new(format!("dc-{centre:02}-00"));
-        cluster.control = (0..replicas).map(first).collect();
+        cluster.control_replicas = (0..replicas).map(first).collect();
         for index in 0..cluster.hosts.len() {
             let host = cluster.host(index);
             cluster.start(&host);
@@ -82,10 +84,10 @@
             host: host.clone(),
             data_centre: data_centre.clone(),
             boot: BootId(0),
-            held: None,
+            stored: None,
         };
         let state = Host {
-            core: Spread::new(config),
+            core: Propagation::new(config),
             data_centre,
             boot: BootId(0),
             is_up: true,
@@ -107,40 +109,40 @@
         state.is_up = true;
         state.status = None;
         state.events.clear();
-        state.core = Spread::new(Config {
+        state.core = Propagation::new(Config {
             host: host.clone(),
             data_centre: state.data_centre.clone(),
             boot: state.boot,
-            held: state.disk.clone(),
+            stored: state.disk.clone(),
         });
-        self.input(host, Input::Control(self.control.clone()));
+        self.input(host, Input::Control(self.control_replicas.clone()));
         let known: Vec<(HostId, DataCentre, bool)> = self
             .hosts
             .iter()
             .map(|(id, state)| (id.clone(), state.data_centre.clone(), state.is_up))
             .collect();
         for (id, data_centre, is_alive) in known {
-            self.tell_host(host, id.clone(), data_centre.clone(), is_alive);
+            self.inform_host(host, id.clone(), data_centre.clone(), is_alive);
         }
-        self.tell_all(host, true);
+        self.inform_all_hosts(host, true);
     }
 
     pub fn kill(&mut self, host: &HostId) {
         self.hosts[host].is_up = false;
-        self.network.forget(host);
-        self.tell_all(host, false);
+        self.network.drop_in_flight(host);
+        self.inform_all_hosts(host, false);
     }
 
     /// Membership tells all hosts of one.
-    fn tell_all(&mut self, host: &HostId, is_alive: bool) {
+    fn inform_all_hosts(&mut self, host: &HostId, is_alive: bool) {
         let data_centre = self.hosts[host].data_centre.clone();
         let all: Vec<HostId> = self.hosts.keys().cloned().collect();
         for other in all {
-            self.tell_host(&other, host.clone(), data_centre.clone(), is_alive);
+            self.inform_host(&other, host.clone(), data_centre.clone(), is_alive);
         }
     }
 
-    fn tell_host(&mut self, to: &HostId, host: HostId, data_centre: DataCentre, is_alive: bool) {
+    fn inform_host(&mut self, to: &HostId, host: HostId, data_centre: DataCentre, is_alive: bool) {
         let input = Input::Host {
             host,
             data_centre,
@@ -169,7 +171,7 @@
     }
 
     pub fn apply_all(&mut self) {
-        for replica in self.control.clone() {
+        for replica in self.control_replicas.clone() {
             self.apply(&replica);
         }
     }
@@ -184,7 +186,10 @@
         let before = state.core.version();
         let mut out = Vec::new();
         state.core.step(now, input, &mut out);
-        assert!(state.core.version() >= before, "{host} went back");
+        assert!(
+            state.core.version() >= before,
+            "{host} returned to a lower version"
+        );
         for output in out {
             match output {
                 Output::Send { to, message } => {
@@ -192,7 +197,9 @@
                     self.send(host, boot, &to, &Frame::Message(message));
                 }
                 Output::Status(status) => self.hosts[host].status = Some(status),
-                Output::Conflict { version, from } => panic!("{host}: {from} differs on {version}"),
+                Output::Conflict { version, from } => {
+                    panic!("{host}: {from} has another text for {version}")
+                }
                 other => self.hosts[host].events.push((now, other)),
             }
         }
@@ -220,9 +227,9 @@
     }
 
     fn count_text(&mut self, message: &Message) {
-        if let Message::News(News { text, .. }) = message {
+        if let Message::Transfer(Transfer { text, .. }) = message {
             self.texts += 1;
-            self.text_bytes += text.own_bytes() as u64;
+            self.text_bytes += text.literal_bytes() as u64;
         }
     }
 
@@ -270,11 +277,11 @@
         for index in 0..self.hosts.len() {
             let host = self.host(index);
             self.input(&host, Input::Tick);
-            if (self.ticks + index as u32).is_multiple_of(STATUS_EVERY) {
+            if (self.ticks + index as u32).is_multiple_of(TICKS_PER_STATUS) {
                 self.push_status(&host);
             }
         }
-        for replica in self.control.clone() {
+        for replica in self.control_replicas.clone() {
             self.input_majority(&replica);
         }
     }
@@ -289,11 +296,11 @@
 
     fn has_majority(&self, replica: &HostId) -> bool {
         let reached = self
-            .control
+            .control_replicas
             .iter()
             .filter(|other| self.hosts[*other].is_up && !self.network.is_cut(replica, other))
             .count();
-        self.hosts[replica].is_up && reached > self.control.len() / 2
+        self.hosts[replica].is_up && reached > self.control_replicas.len() / 2
     }
 
     fn push_status(&mut self, host: &HostId) {
@@ -302,13 +309,13 @@
             return;
         };
         let (boot, data_centre) = (state.boot, state.data_centre.clone());
-        let near: Vec<HostId> = self
+        let local_hosts: Vec<HostId> = self
             .hosts
             .iter()
             .filter(|(id, other)| *id != host && other.data_centre == data_centre)
             .map(|(id, _)| id.clone())
             .collect();
-        for to in near {
+        for to in local_hosts {
             self.send(host, boot, &to, &Frame::Status(status));
         }
     }
@@ -335,8 +342,8 @@
 
     /// Whether a host knows that all hosts have a version.
     pub fn knows_everywhere(&self, host: &HostId, version: Version) -> bool {
-        let holdings = self.hosts[host].core.holdings();
-        let count = holdings
+        let installations = self.hosts[host].core.installations();
+        let count = installations
             .filter(|(_, known)| known.version == version)
             .count();
         count == self.hosts.len()
--- a/crates/kumquatdrum_membership/tests/it/schedules.rs
+++ b/crates/kumquatdrum_membership/tests/it/schedules.rs
@@ -4,11 +4,11 @@
 use std::ops::Range;
 use std::time::Duration;
 
-use kumquatdrum_membership::State;
+use kumquatdrum_membership::Liveness;
 use kumquatdrum_types::{BootId, EndpointId, HostId};
 
 use crate::cluster::{Cluster, announcement, seconds};
-use crate::network::{CALM, ROUGH};
+use crate::network::{LOSSY, RELIABLE};
 
 const HOSTS: usize = 5;
 const ENDPOINTS: usize = 6;
@@ -27,15 +27,18 @@
                 continue;
             };
             let is_forward = (boot, sequence) <= (now.boot, now.sequence);
-            assert!(is_forward, "seed {seed}: {host} went back on {now:?}");
+            assert!(is_forward, "seed {seed}: {host} reverted to {now:?}");
             let stays = boot != now.boot || !leaving || now.leaving;
-            assert!(stays, "seed {seed}: {host} forgot that {now:?} leaves");
+            assert!(
+                stays,
+                "seed {seed}: {host} lost the leaving flag of {now:?}"
+            );
         }
     }
 }
 
 /// One random event.
-fn disturb(cluster: &mut Cluster) {
+fn inject_fault(cluster: &mut Cluster) {
     let picks = [(); 2].map(|()| cluster.network.pick(0, HOSTS as u64 - 1) as usize);
     let [host, other] = picks.map(|index| cluster.host(index));
     let number = cluster.network.pick(0, ENDPOINTS as u64 - 1) as usize;
@@ -46,7 +49,7 @@
         4 => cluster.network.heal(),
         5 => cluster.daemons[&host].frozen_until = cluster.network.now + seconds(4),
         6 => cluster.endpoints[number].is_up ^= true,
-        7 => cluster.endpoints[number].taker = host,
+        7 => cluster.endpoints[number].receiver = host,
         8 => cluster.endpoints[number].announcement.leaving = true,
         _ => {
             let endpoint = &mut cluster.endpoints[number].announcement;
@@ -58,9 +61,9 @@
 }
 
 /// Ends all disturbance; endpoints that stay renew with hosts that live.
-fn settle(cluster: &mut Cluster) {
+fn recover(cluster: &mut Cluster) {
     cluster.network.heal();
-    cluster.network.faults = CALM;
+    cluster.network.faults = RELIABLE;
     for index in 0..HOSTS {
         let host = cluster.host(index);
         if !cluster.daemons[&host].is_up {
@@ -71,31 +74,31 @@
 }
 
 #[test]
-fn nothing_goes_back_and_all_agree_after_healing_seeds_0_to_49() {
+fn records_never_go_back_and_converge_after_healing_seeds_0_to_49() {
     run_seeds(0..50);
 }
 
 #[test]
-fn nothing_goes_back_and_all_agree_after_healing_seeds_50_to_99() {
+fn records_never_go_back_and_converge_after_healing_seeds_50_to_99() {
     run_seeds(50..100);
 }
 
 fn run_seeds(seeds: Range<u64>) {
     for seed in seeds {
-        let mut cluster = Cluster::new(seed, ROUGH, &["ikeja"], HOSTS);
+        let mut cluster = Cluster::new(seed, LOSSY, &["ikeja"], HOSTS);
         for number in 0..ENDPOINTS {
-            let taker = cluster.host(number % HOSTS);
+            let receiver = cluster.host(number % HOSTS);
             let name = format!("engine-{number}");
-            cluster.add_endpoint(announcement(&name, "ikeja"), &taker);
+            cluster.add_endpoint(announcement(&name, "ikeja"), &receiver);
         }
         let mut known = Known::new();
         for _ in 0..25 {
             let pause = cluster.network.pick(50, 1_500);
             cluster.run(Duration::from_millis(pause));
             check(&cluster, &mut known, seed);
-            disturb(&mut cluster);
+            inject_fault(&mut cluster);
         }
-        settle(&mut cluster);
+        recover(&mut cluster);
         cluster.run(seconds(12));
         check(&cluster, &mut known, seed);
         for endpoint in cluster.endpoints.values() {
@@ -105,8 +108,8 @@
                 let context = format!("seed {seed}: {id} on {host}");
                 assert_eq!(cluster.takes_work(&host, id), takes_work, "{context}");
                 let is_gone = !matches!(
-                    cluster.state(&host, id),
-                    Some(State::Alive | State::Suspect)
+                    cluster.liveness(&host, id),
+                    Some(Liveness::Alive | Liveness::Suspect)
                 );
                 assert_eq!(is_gone, !endpoint.is_up, "{context}");
             }
--- a/crates/kumquatdrum_membership/tests/it/texts.rs
+++ b/crates/kumquatdrum_membership/tests/it/texts.rs
@@ -1,9 +1,9 @@
 //! Differences between texts.
 
-use kumquatdrum_membership::spread::{Setup, Text};
+use kumquatdrum_membership::propagation::{Setup, Text};
 use kumquatdrum_types::Version;
 
-use crate::network::{CALM, Network};
+use crate::network::{Network, RELIABLE};
 
 fn delta(old: &str, new: &str) -> Text {
     let old = Setup::new(Version(1), old.to_owned());
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn changes_in_several_places_carry_little_text() {
+fn several_small_changes_give_a_small_delta() {
     let line = |index: u32, weight: u32| {
         format!("{{\"name\": \"salon-{index}\", \"weight\": {weight}, \"concurrency\": 8}}")
     };
@@ -26,14 +26,14 @@
         new.remove(300);
         new.insert(400, line(1_000, 5));
         let text = delta(&old.join(separator), &new.join(separator));
-        assert!(text.own_bytes() < 250, "{}", text.own_bytes());
+        assert!(text.literal_bytes() < 250, "{}", text.literal_bytes());
     }
 }
 
 #[test]
-fn any_two_texts_differ_by_what_makes_one_from_the_other() {
+fn a_delta_between_any_two_texts_restores_the_new_one() {
     for seed in 0..300 {
-        let mut random = Network::new(seed, CALM);
+        let mut random = Network::new(seed, RELIABLE);
         let mut text = || {
             let count = random.pick(0, 40);
             let mut pieces = String::new();
