--- a/crates/kumquatdrum_membership/benches/gossip.rs
+++ b/crates/kumquatdrum_membership/benches/gossip.rs
@@ -1,8 +1,7 @@
-//! What gossip and the spread of the setup cost a daemon, at several sizes, in virtual time.
+//! Measures the cost of gossip and setup propagation per daemon and second in virtual time.
 //!
-//! Bytes are those of the messages' bodies; what frames, HTTP/2 and TCP add is measured by the
-//! `wire` bench of `kumquatdrum_peer`. Processor time is that of the whole run, the network's and
-//! the encoding's included, and so an upper bound. Figures per daemon and second.
+//! Bytes are message bodies; the `wire` bench of `kumquatdrum_peer` measures the overhead of
+//! frames, HTTP/2 and TCP. CPU time includes the simulated network and the encoding.
 
 use std::time::{Duration, Instant};
 
@@ -23,7 +22,7 @@
 #[path = "../tests/it/propagation_cluster.rs"]
 mod propagation_cluster;
 
-/// Virtual time until all know all, and then under measurement.
+/// Virtual seconds before the measurement, until all tables agree.
 const WARM_UP_SECONDS: u64 = 20;
 const MEASURED_SECONDS: u64 = 20;
 const WIDE_AREA: Faults = Faults {
@@ -31,7 +30,7 @@
     duplicate_percent: 0,
     delay_millis: (1, 60),
 };
-/// What the spread lets ride on each push.
+/// Propagation status piggybacked on each push.
 const STATUS: Status = Status {
     version: Version(100_000),
     digest_prefix: u64::MAX,
@@ -93,8 +92,8 @@
     let cpu = start.elapsed().as_secs_f64();
     let daemons = (centres * hosts) as u64;
     let sums = cluster.network.sent.values();
-    let (messages, bytes) = sums.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-    let maximum_bytes = cluster.network.sent.values().map(|one| one.1).max();
+    let (messages, bytes) = sums.fold((0, 0), |sum, sent| (sum.0 + sent.0, sum.1 + sent.1));
+    let maximum_bytes = cluster.network.sent.values().map(|sent| sent.1).max();
     println!(
         "| {centres} | {daemons} | {endpoints} | {:.1} | {} | {} | {:.3} |",
         messages as f64 / (daemons * MEASURED_SECONDS) as f64,
@@ -104,7 +103,7 @@
     );
 }
 
-/// A cluster whose endpoints renew each second, after its warm-up.
+/// Creates a cluster whose endpoints renew every second, and runs its warm-up.
 fn busy_cluster(
     centres: usize,
     hosts: usize,
@@ -130,7 +129,7 @@
     cluster
 }
 
-/// Runs without keeping the outputs.
+/// Runs the cluster and discards its outputs.
 fn run(cluster: &mut cluster::Cluster, seconds: u64) {
     for _ in 0..seconds * 5 {
         cluster.run(Duration::from_millis(200));
@@ -140,7 +139,7 @@
     }
 }
 
-/// An engine counts what each daemon sent it.
+/// Sets a `seen` counter for each owner.
 fn set_seen(
     announcement: &mut kumquatdrum_types::Announcement,
     owners: &[kumquatdrum_types::HostId],
@@ -183,7 +182,7 @@
                 .network
                 .sent
                 .values()
-                .map(|one| one.1)
+                .map(|sent| sent.1)
                 .max()
                 .unwrap_or(0),
         );
@@ -213,7 +212,7 @@
     (cluster.texts, cluster.text_bytes) = (0, 0);
 }
 
-/// A majority accepts a declaration that changed in some places, as far from each other as can be.
+/// Accepts a declaration that changed in `places` places at equal distances.
 fn accept_change(
     cluster: &mut propagation_cluster::Cluster,
     declaration: &mut [u64],
@@ -235,7 +234,7 @@
     version
 }
 
-/// What the process has in memory.
+/// Returns the resident memory of the process in KiB.
 fn resident_kib() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1);
--- a/crates/kumquatdrum_membership/src/anti_entropy.rs
+++ b/crates/kumquatdrum_membership/src/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Comparing tables: what lost messages and dead hosts left out is made up for.
+//! Anti-entropy: compares endpoint tables between hosts and transfers missing records.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::{Membership, Output};
 
 impl Membership {
-    /// Sends this host's digest to one host whose table has differed for long.
+    /// Sends this host's digest to one host whose table has differed for a while.
     pub(crate) fn compare_tables(&mut self, now: Moment, out: &mut Vec<Output>) {
         let is_due = self
             .digest_sent_at
@@ -52,7 +52,7 @@
         });
     }
 
-    /// Answers a digest with the records that it lacks, and asks for those that this host lacks.
+    /// Sends the records that a digest lacks, and requests those that this host lacks.
     pub(crate) fn handle_digest(
         &mut self,
         now: Moment,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Answers with the records of some keys.
+    /// Sends the records with the requested keys.
     pub(crate) fn handle_want(
         &mut self,
         now: Moment,
@@ -129,7 +129,8 @@
     }
 }
 
-/// The host that is later by name waits longer, so that two don't compare the same at once.
+/// Returns how long the tables of two hosts may differ before `local` sends its digest. The host
+/// that sorts later waits longer, so that only one of the two sends it.
 fn mismatch_delay(local: &HostId, other: &HostId) -> Duration {
     if local < other {
         MISMATCH_AFTER
--- a/crates/kumquatdrum_membership/src/backlog.rs
+++ b/crates/kumquatdrum_membership/src/backlog.rs
@@ -1,25 +1,25 @@
-//! What one peer still has to be told, in the order of its weight.
+//! Updates that remain to be sent to a peer.
 
 use indexmap::IndexMap;
 use kumquatdrum_types::{DataCentre, EndpointId};
 
-/// How often a leaving notice is told, in case one telling is lost.
+/// Number of pushes that carry a leaving notice, in case one is lost.
 pub(crate) const LEAVING_TRANSMISSIONS: u8 = 2;
 
-/// What a peer has to be told of an endpoint; the greater covers the lesser.
+/// Update about an endpoint; a greater one includes the lesser ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Update {
-    /// That it renewed its announcement.
+    /// Renewal without load.
     Renewal,
-    /// Its load too.
+    /// Renewal with load.
     Load,
-    /// Its whole record.
+    /// Full record.
     Record,
-    /// That it is leaving, this many times.
+    /// Leaving notice, with the number of pushes that still have to carry it.
     Leaving(u8),
 }
 
-/// The needs of one peer; one for each endpoint at most, so that its size is bounded.
+/// Pending updates for one peer, at most one for each endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
     pub(crate) endpoints: IndexMap<EndpointId, Update>,
--- a/crates/kumquatdrum_membership/src/data_centre.rs
+++ b/crates/kumquatdrum_membership/src/data_centre.rs
@@ -1,20 +1,20 @@
-//! Other data centres, as this one's relay sees them.
+//! Reachability and summaries of the other data centres.
 
 use kumquatdrum_types::{DataCentre, HostId, Moment};
 
 use crate::Summary;
 use crate::timing::{CUT_OFF_AFTER, SUMMARY_FORWARD_INTERVAL, SUMMARY_INTERVAL};
 
-/// Whether a data centre can be spoken to.
+/// Reachability of a data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// It is heard.
+    /// Summaries of the data centre arrive.
     Reachable,
-    /// It isn't.
+    /// No summary has arrived for [`CUT_OFF_AFTER`].
     CutOff,
 }
 
-/// Another data centre.
+/// State of another data centre.
 #[derive(Debug)]
 pub(crate) struct Remote {
     pub(crate) id: DataCentre,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes a summary; returns whether it differs from the former.
+    /// Stores a summary and returns whether it differs from the previous one.
     pub(crate) fn update(&mut self, now: Moment, summary: Summary, relay: HostId) -> bool {
         self.last_heard = now;
         self.relay = Some(relay);
@@ -53,7 +53,7 @@
         is_new
     }
 
-    /// Whether the data centre can be spoken to, seen from a relay.
+    /// Returns the reachability of the data centre from the relay's point of view.
     pub(crate) fn reachability(&self, now: Moment) -> Reachability {
         if now - self.last_heard > CUT_OFF_AFTER {
             Reachability::CutOff
@@ -62,14 +62,14 @@
         }
     }
 
-    /// A host becomes relay: it hasn't listened so far, and all have to be told anew.
+    /// Restarts all timers when this host becomes the relay, and forwards the summary again.
     pub(crate) fn reset_for_takeover(&mut self, now: Moment) {
         self.last_heard = now;
         self.next_report = now;
         self.is_forwarded = false;
     }
 
-    /// Whether the changed summary is to be passed on within the data centre now.
+    /// Returns whether a changed summary is due to be forwarded, and marks it as forwarded.
     pub(crate) fn start_forwarding(&mut self, now: Moment) -> bool {
         let is_due = !self.is_forwarded && now - self.last_forwarded >= SUMMARY_FORWARD_INTERVAL;
         if is_due {
@@ -79,8 +79,8 @@
         is_due
     }
 
-    /// The host to send this data centre's summary to, where it is due: its relay while that
-    /// answers, else each host in turn.
+    /// Returns the host to send the next report to, if one is due: the data centre's relay while
+    /// it responds, otherwise each host in turn.
     pub(crate) fn select_contact(&mut self, now: Moment, hosts: &[&HostId]) -> Option<HostId> {
         if now < self.next_report || hosts.is_empty() {
             return None;
--- a/crates/kumquatdrum_membership/src/event.rs
+++ b/crates/kumquatdrum_membership/src/event.rs
@@ -1,124 +1,124 @@
-//! What goes into the membership core and what comes out.
+//! Inputs and outputs of the membership state machine.
 
 use kumquatdrum_types::{Announcement, BootId, DataCentre, EndpointId, HostId};
 
 use crate::propagation::Status;
 use crate::{Condition, Member, Message, Reachability, Summary};
 
-/// What the shell hands in.
+/// Input of [`Membership::step`](crate::Membership::step).
 #[derive(Debug, Clone)]
 pub enum Input {
     /// An endpoint announced itself to this host.
     Announce(Announcement),
-    /// A peer spoke.
+    /// A message from a peer arrived.
     Peer {
-        /// The host.
+        /// Sending host.
         from: HostId,
-        /// The life of its daemon.
+        /// Incarnation of the sending daemon.
         boot: BootId,
-        /// What it said.
+        /// Message.
         message: Message,
     },
-    /// A dispatch to an endpoint failed in a way that speaks against the endpoint.
+    /// A dispatch failed in a way that indicates a faulty endpoint.
     DispatchFailed {
-        /// The endpoint.
+        /// Endpoint.
         endpoint: EndpointId,
     },
-    /// The spread's status, to be told to the other hosts of the data centre.
+    /// Propagation status to piggyback on pushes to the other hosts of the data centre.
     SetupStatus(Status),
-    /// Time has passed; due about every [`crate::timing::TICK_INTERVAL`].
+    /// Timer tick, expected about every [`crate::timing::TICK_INTERVAL`].
     Tick,
 }
 
-/// What the shell has to do or to pass on.
+/// Action or notification emitted by [`Membership::step`](crate::Membership::step).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Send a message.
     Send {
-        /// The receiver.
+        /// Receiving host.
         to: HostId,
-        /// The message.
+        /// Message.
         message: Message,
     },
     /// An endpoint changed.
     Endpoint {
-        /// The endpoint.
+        /// Endpoint.
         id: EndpointId,
-        /// How.
+        /// Kind of change.
         change: Change,
     },
     /// A host's condition changed.
     Host {
-        /// The host.
+        /// Host.
         id: HostId,
-        /// How it is now.
+        /// New condition.
         condition: Condition,
     },
-    /// A data centre came into reach, or was cut off.
+    /// The reachability of a data centre changed.
     DataCentre {
-        /// The data centre; this host's own where it hears no other host of it.
+        /// Data centre; this host's own if this host is isolated within it.
         id: DataCentre,
-        /// Whether it is in reach.
+        /// New reachability.
         reachability: Reachability,
     },
-    /// A host became known or moved.
+    /// A host was discovered or changed its address or data centre.
     Member(Member),
-    /// A data centre's summary changed.
+    /// The summary of another data centre changed.
     Summary(Summary),
-    /// A peer's spread said this.
+    /// A push carried the propagation status of a peer.
     SetupStatus {
-        /// The host.
+        /// Sending host.
         from: HostId,
-        /// The life of its daemon.
+        /// Incarnation of the sending daemon.
         boot: BootId,
-        /// The status.
+        /// Propagation status.
         status: Status,
     },
-    /// Tell the endpoint that its announcement was taken; a leaving notice only once enough
-    /// hosts hold it.
+    /// Acknowledge an announcement to its endpoint. Leaving notices are acknowledged once enough
+    /// hosts have confirmed them.
     AckAnnounce {
-        /// The endpoint.
+        /// Endpoint.
         endpoint: EndpointId,
-        /// Its life.
+        /// Incarnation of the endpoint.
         boot: BootId,
-        /// The announcement.
+        /// Sequence number of the announcement.
         sequence: u64,
     },
-    /// Tell the endpoint that its announcement was not taken.
+    /// Refuse an announcement to its endpoint.
     RefuseAnnounce {
-        /// The endpoint.
+        /// Endpoint.
         endpoint: EndpointId,
-        /// Its life.
+        /// Incarnation of the endpoint.
         boot: BootId,
-        /// The announcement.
+        /// Sequence number of the announcement.
         sequence: u64,
-        /// Why.
+        /// Reason for the refusal.
         reason: Refusal,
     },
 }
 
-/// What changed about an endpoint.
+/// Change of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// It is new, or back after it was gone; nothing known before counts.
+    /// The endpoint is new, or returned after it was gone; earlier state is obsolete.
     Joined(Announcement),
-    /// It renewed its announcement; its load may be new.
+    /// The endpoint renewed its announcement, possibly with a new load.
     Renewed(Announcement),
-    /// It may be dead; no new work.
+    /// The endpoint may be dead and must not receive new work.
     Suspect,
-    /// It was suspect and is not any more.
+    /// The endpoint is alive again after a suspicion.
     Recovered,
-    /// It takes no new work and finishes what it runs.
+    /// The endpoint accepts no new work and completes what it runs.
     Leaving,
-    /// It is dead, or this life of it is over.
+    /// The endpoint is dead, or this incarnation of it has ended.
     Gone,
 }
 
-/// Why an announcement was not taken.
+/// Reason that an announcement was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// The endpoint stands in another data centre.
+    /// The endpoint belongs to another data centre.
     OtherDataCentre,
-    /// A later life of the endpoint is known.
+    /// A later incarnation of the endpoint is known.
     OldBoot,
 }
--- a/crates/kumquatdrum_membership/src/host.rs
+++ b/crates/kumquatdrum_membership/src/host.rs
@@ -1,4 +1,4 @@
-//! The other hosts of the data centre: heartbeats, suspicion confirmed through others.
+//! Failure detection for the other hosts of the data centre, by direct and indirect heartbeats.
 
 use indexmap::IndexSet;
 use kumquatdrum_types::{BootId, HostId, Moment};
@@ -7,54 +7,54 @@
 use crate::backlog::Backlog;
 use crate::timing::{DEAD_AFTER, REPORT_VALIDITY, SILENT_AFTER};
 
-/// Whether a host lives, as far as this host knows.
+/// Liveness of a host from this host's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// It is heard, by this host or by another one of the data centre.
+    /// Heartbeats arrive at this host or at another host of the data centre.
     Alive,
-    /// No host that this one hears has heard it for a while.
+    /// No heartbeat has arrived recently, at this host or at any host that it hears from.
     Suspect,
-    /// So for long.
+    /// The host was suspect for longer than [`DEAD_AFTER`].
     Dead,
 }
 
-/// A host as `status` shows it.
+/// A known host and its condition.
 #[derive(Debug, Clone, Copy)]
 pub struct Peer<'a> {
-    /// Who and where it is.
+    /// Identity and location of the host.
     pub member: &'a Member,
-    /// Whether it lives.
+    /// Condition of the host.
     pub condition: Condition,
 }
 
-/// Another host.
+/// State of another host of the data centre.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) member: Member,
-    /// The life of its daemon that speaks.
+    /// Latest known incarnation of its daemon.
     pub(crate) boot: BootId,
     pub(crate) condition: Condition,
-    /// When its daemon last spoke; the start of this one where it never did.
+    /// Time of the last message from the host, initially the start of this daemon.
     pub(crate) last_heard: Moment,
-    /// The hosts that it didn't hear, as of its last push.
+    /// Hosts that the host reported as silent in its last push.
     pub(crate) silent_hosts: IndexSet<HostId>,
-    /// The last push taken from it.
+    /// Sequence number of the last push received from the host.
     pub(crate) last_push_received: u64,
-    /// The last push sent to it.
+    /// Sequence number of the last push sent to the host.
     pub(crate) last_push_sent: u64,
     pub(crate) next_push: Moment,
     pub(crate) backlog: Backlog,
-    /// Since when its table differs from this host's.
+    /// Time since which the host's table differs from this host's.
     pub(crate) differs_since: Option<Moment>,
     suspect_since: Moment,
 }
 
-/// What others say of a host that this one doesn't hear.
+/// Evidence from other hosts about a host that is silent towards this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Evidence {
-    /// Some host that this one hears has heard it.
+    /// At least one host has heard from it recently.
     Heard,
-    /// All hosts that this one hears say it is silent; true also where there are none.
+    /// All hosts that reported recently list it as silent, or no host reported.
     Silent,
 }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Forgets all that belonged to the daemon's former life.
+    /// Resets the state that belongs to the daemon's previous incarnation.
     pub(crate) fn restart(&mut self) {
         self.silent_hosts.clear();
         self.last_push_received = 0;
@@ -83,17 +83,17 @@
         self.differs_since = None;
     }
 
-    /// Whether this host hasn't heard it for a while.
+    /// Returns whether nothing was heard from the host for [`SILENT_AFTER`].
     pub(crate) fn is_silent(&self, now: Moment) -> bool {
         now - self.last_heard > SILENT_AFTER
     }
 
-    /// Whether what it says of others counts.
+    /// Returns whether the host's reports about other hosts are still valid.
     pub(crate) fn is_recently_heard(&self, now: Moment) -> bool {
         now - self.last_heard <= REPORT_VALIDITY
     }
 
-    /// The condition that follows from what is heard.
+    /// Returns the condition that follows from direct and indirect evidence.
     pub(crate) fn evaluate(&mut self, now: Moment, indirect_evidence: Evidence) -> Condition {
         match (self.is_silent(now), indirect_evidence, self.condition) {
             (false, _, _) | (true, Evidence::Heard, _) => Condition::Alive,
--- a/crates/kumquatdrum_membership/src/key.rs
+++ b/crates/kumquatdrum_membership/src/key.rs
@@ -1,19 +1,17 @@
-//! Short names of endpoints' records, so that renewals cost few bytes.
+//! Compact keys that identify endpoint records in gossip messages.
 
 use std::fmt::Write;
 
-use kumquatdrum_types::endpoint;
-use kumquatdrum_types::{Announcement, hash};
+use kumquatdrum_types::{Announcement, endpoint, hash};
 use serde::{Deserialize, Serialize};
 
-/// A digest of the lasting part of an announcement: all but sequence, load and leaving. A host
-/// that doesn't know a key asks for the record; two records with the same key are told apart by
-/// asking for both.
+/// Digest of an announcement without its sequence number, load and leaving flag. A host requests
+/// the record of an unknown key; the response contains every record with a colliding key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key([u8; 4]);
 
 impl Key {
-    /// The key of an announcement.
+    /// Returns the key of an announcement.
     pub fn of(announcement: &Announcement) -> Self {
         let mut fnv = Fnv(hash::OFFSET_BASIS);
         let _ = write!(
@@ -38,14 +36,14 @@
         Self(fold(mix(fnv.0)).to_le_bytes())
     }
 
-    /// What a record with this key adds to the digest of a table.
+    /// Returns the value that a record with this key contributes to the digest of a table.
     pub(crate) fn digest_contribution(self, leaving: bool) -> u32 {
         let number = u64::from(u32::from_le_bytes(self.0));
         fold(mix(number << 1 | u64::from(leaving)))
     }
 }
 
-/// A digest of a text, for rosters.
+/// Returns a 32-bit digest of a formatted text.
 pub(crate) fn digest(text: std::fmt::Arguments<'_>) -> u32 {
     let mut fnv = Fnv(hash::OFFSET_BASIS);
     let _ = fnv.write_fmt(text);
@@ -61,7 +59,7 @@
     }
 }
 
-/// The finalizer of splitmix64.
+/// Mixes the bits of a number with the finaliser of `SplitMix64`.
 fn mix(mut number: u64) -> u64 {
     number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/kumquatdrum_membership/src/lib.rs
+++ b/crates/kumquatdrum_membership/src/lib.rs
@@ -1,9 +1,8 @@
-//! Core: which hosts and endpoints there are and which of them live, and the spread of the setup
-//! in force. Pure state machines, without clocks, sockets or randomness.
+//! Membership and failure detection of hosts and endpoints, and propagation of the setup in force.
 //!
-//! [`Membership`] takes announcements of endpoints, messages of peers and ticks, and gives out
-//! messages and changes. [`propagation::Propagation`] does the same for the setup in force. The two share
-//! frames: [`Input::SetupStatus`] and [`Output::SetupStatus`] carry the spread's status along.
+//! [`Membership`] and [`propagation::Propagation`] are state machines without clocks, sockets or
+//! randomness: they consume announcements, peer messages and ticks, and emit messages and changes.
+//! [`Input::SetupStatus`] and [`Output::SetupStatus`] piggyback the propagation status on pushes.
 
 mod anti_entropy;
 mod backlog;
--- a/crates/kumquatdrum_membership/src/machine.rs
+++ b/crates/kumquatdrum_membership/src/machine.rs
@@ -1,4 +1,4 @@
-//! The membership core: takes inputs, keeps the state, gives out messages and changes.
+//! The membership state machine.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::timing::{STALL_THRESHOLD, SUSPECT_AFTER};
 use crate::{Condition, Input, Member, Message, Output, Peer, Reachability, Refusal, Summary};
 
-/// Hosts and endpoints, as one host knows them.
+/// Hosts and endpoints from the point of view of one host.
 ///
 /// ```
 /// use kumquatdrum_membership::{Input, Member, Membership};
@@ -36,9 +36,9 @@
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) local: Member,
-    /// The other hosts of the data centre.
+    /// Other hosts of the data centre.
     pub(crate) hosts: IndexMap<HostId, Host>,
-    /// The hosts of other data centres.
+    /// Hosts of other data centres.
     pub(crate) remote_hosts: IndexMap<HostId, RemoteHost>,
     pub(crate) remote_data_centres: IndexMap<DataCentre, data_centre::Remote>,
     pub(crate) table: Table,
@@ -54,8 +54,8 @@
 }
 
 impl Membership {
-    /// The core of a host that knows of these others by its settings; `local` carries the life of
-    /// its own daemon.
+    /// Creates the state machine of host `local`, with the other hosts listed in its settings.
+    /// `local.boot` is the incarnation of its daemon.
     pub fn new(local: Member, others: impl IntoIterator<Item = Member>) -> Self {
         let mut membership = Self {
             local,
@@ -80,7 +80,7 @@
         membership
     }
 
-    /// Takes one input. `now` never goes back.
+    /// Processes one input. `now` must not decrease between calls.
     pub fn step(&mut self, now: Moment, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Announce(announcement) => self.handle_announcement(now, announcement, out),
@@ -95,17 +95,17 @@
         }
     }
 
-    /// The endpoints of the data centre, gone ones that are still remembered among them.
+    /// Returns the endpoints of the data centre, including gone ones that are still remembered.
     pub fn endpoints(&self) -> impl Iterator<Item = &Record> {
         self.table.records()
     }
 
-    /// One endpoint.
+    /// Returns the record of an endpoint.
     pub fn endpoint(&self, id: &EndpointId) -> Option<&Record> {
         self.table.get(id)
     }
 
-    /// All other hosts.
+    /// Returns all other hosts.
     pub fn hosts(&self) -> impl Iterator<Item = Peer<'_>> {
         let local = self.hosts.values().map(|host| Peer {
             member: &host.member,
@@ -114,14 +114,15 @@
         local.chain(self.remote_hosts.values().map(RemoteHost::peer))
     }
 
-    /// What is known of the other data centres.
+    /// Returns the known summaries of the other data centres.
     pub fn summaries(&self) -> impl Iterator<Item = &Summary> {
         self.remote_data_centres
             .values()
             .filter_map(|data_centre| data_centre.summary.as_ref())
     }
 
-    /// The data centres that can't be reached; the own one where no other host of it is heard.
+    /// Returns the unreachable data centres, including this host's own if this host is isolated
+    /// within it.
     pub fn cut_off(&self) -> impl Iterator<Item = &DataCentre> {
         let own =
             (self.own_reachability == Reachability::CutOff).then_some(&self.local.data_centre);
@@ -133,7 +134,8 @@
             .chain(remote.map(|data_centre| &data_centre.id))
     }
 
-    /// The host that speaks for the data centre to the others: the first one alive, by name.
+    /// Returns the relay, which represents the data centre towards the others: the first live
+    /// host by name.
     pub fn relay(&self) -> &HostId {
         self.hosts
             .values()
@@ -142,7 +144,7 @@
             .fold(&self.local.host, std::cmp::min)
     }
 
-    /// Whether this host speaks for the data centre.
+    /// Returns whether this host is the relay of its data centre.
     pub fn is_relay(&self) -> bool {
         *self.relay() == self.local.host
     }
@@ -155,7 +157,8 @@
             .collect()
     }
 
-    /// Passes on what a merge brought: a host's own takings to all, a leaving notice in any case.
+    /// Queues the result of a merge for the other hosts. Only leaving notices are forwarded if they
+    /// came from another host.
     pub(crate) fn enqueue_update(
         &mut self,
         id: &EndpointId,
@@ -289,7 +292,7 @@
         }
     }
 
-    /// Notes that a host spoke; false where it was a former life of its daemon.
+    /// Records that a host was heard. Returns `false` for an earlier incarnation of its daemon.
     fn record_contact(
         &mut self,
         now: Moment,
@@ -322,7 +325,7 @@
     fn tick(&mut self, now: Moment, out: &mut Vec<Output>) {
         match self.last_tick.replace(now) {
             None => self.handle_first_tick(now, out),
-            // The daemon itself stood still: what it didn't hear meanwhile says nothing.
+            // This daemon was stalled, so silence in the meantime is no evidence of failure.
             Some(last) if now - last > STALL_THRESHOLD => self.grace_until = now + SUSPECT_AFTER,
             Some(_) => {}
         }
@@ -342,7 +345,7 @@
         self.send_due_pushes(now, out);
     }
 
-    /// The first tick: asks neighbours for what they know.
+    /// Starts all timers and requests the tables of two hosts.
     fn handle_first_tick(&mut self, now: Moment, out: &mut Vec<Output>) {
         self.stagger(now);
         for host in self.hosts.values_mut() {
@@ -389,9 +392,9 @@
     }
 
     fn update_own_reachability(&mut self, now: Moment, out: &mut Vec<Output>) {
-        let is_alone =
+        let is_isolated =
             !self.hosts.is_empty() && self.hosts.values().all(|host| host.is_silent(now));
-        let reachability = if is_alone {
+        let reachability = if is_isolated {
             Reachability::CutOff
         } else {
             Reachability::Reachable
--- a/crates/kumquatdrum_membership/src/member.rs
+++ b/crates/kumquatdrum_membership/src/member.rs
@@ -1,19 +1,20 @@
-//! A host as other hosts know it.
+//! Identity and location of a host.
 
 use std::net::SocketAddr;
 
 use kumquatdrum_types::{BootId, DataCentre, HostId};
 use serde::{Deserialize, Serialize};
 
-/// A host, where it stands and where its daemon takes peers' calls.
+/// Identity, location and address of a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The host.
+    /// Name of the host.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Where its daemon listens to peers.
+    /// Address on which its daemon accepts peer connections.
     pub address: SocketAddr,
-    /// The life of its daemon that said so; 0 where only settings do. The higher one counts.
+    /// Incarnation of its daemon that published this entry, or 0 for an entry from settings. The
+    /// entry with the highest incarnation wins.
     pub boot: BootId,
 }
--- a/crates/kumquatdrum_membership/src/message.rs
+++ b/crates/kumquatdrum_membership/src/message.rs
@@ -1,4 +1,4 @@
-//! What daemons say to each other about hosts and endpoints.
+//! Messages between daemons about hosts and endpoints.
 
 use kumquatdrum_types::{Announcement, BootId, DataCentre, EndpointId, HostId, Load};
 use serde::{Deserialize, Serialize};
@@ -6,106 +6,106 @@
 use crate::propagation::Status;
 use crate::{Key, Member, Summary};
 
-/// One message between daemons.
+/// Message between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Heartbeat and news, to each host of the data centre in turn.
+    /// Periodic heartbeat with updates, sent to each host of the data centre in turn.
     Push(Push),
-    /// A leaving notice that waits for confirmation.
+    /// Leaving notice that the receiver confirms.
     Leaving(Snapshot),
-    /// The leaving notice of this endpoint's life is held.
+    /// Confirms that the sender holds a leaving notice.
     Confirm {
-        /// The endpoint.
+        /// Endpoint.
         endpoint: EndpointId,
-        /// Its life.
+        /// Incarnation of the endpoint.
         boot: BootId,
     },
-    /// The sender's whole table, by keys; what the receiver misses and what it has beyond it
-    /// follow in both directions.
+    /// Keys of the sender's whole table. The receiver sends the records that the sender lacks and
+    /// requests those that it lacks itself.
     Digest {
-        /// Endpoints that take work.
+        /// Endpoints that accept new work.
         staying: Vec<Key>,
         /// Endpoints that are leaving.
         leaving: Vec<Key>,
     },
-    /// Asks for the records of these keys.
+    /// Requests the records with these keys.
     Want(Vec<Key>),
-    /// Whole records.
+    /// Full records.
     Records(Vec<Snapshot>),
-    /// From relay to relay: the state of the sender's data centre.
+    /// State of the sender's data centre, sent between relays.
     Summary(Box<Report>),
-    /// The hosts that the sender knows.
+    /// Hosts known to the sender.
     Members {
-        /// The hosts, or a chunk of them.
+        /// Hosts, or a chunk of them.
         members: Vec<Member>,
-        /// Whether the sender wants the receiver's in return.
+        /// Whether the sender requests the receiver's hosts in return.
         wanted: bool,
     },
 }
 
-/// Heartbeat and news to one host of the same data centre.
+/// Heartbeat with updates for one host of the same data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Push {
-    /// Grows with each push of one life of the sender to this receiver.
+    /// Increases with each push from one incarnation of the sender to this receiver.
     pub sequence: u64,
     /// Digest of the sender's table.
     pub table: u32,
     /// Digest of the sender's roster.
     pub roster: u32,
-    /// Hosts that the sender hasn't heard for a while.
+    /// Hosts that the sender hasn't heard from recently.
     pub silent: Vec<HostId>,
-    /// From the relay only: data centres it can't reach.
+    /// Data centres that the relay can't reach; set by the relay only.
     pub cut_off: Option<Vec<DataCentre>>,
-    /// The setup in force on the sender.
+    /// Status of the setup in force on the sender.
     pub setup: Option<Status>,
     /// Endpoints that are leaving.
     pub leaving: Vec<Departure>,
     /// New or changed endpoints.
     pub records: Vec<Snapshot>,
-    /// Renewals that the sender took, with load where it changed.
+    /// Renewals received by the sender, with the load if it changed.
     #[serde(rename = "refreshes")]
     pub renewals: Vec<Renewal>,
-    /// From the relay only: other data centres.
+    /// Summaries of other data centres; set by the relay only.
     pub summaries: Vec<Summary>,
 }
 
-/// A short word on an endpoint.
+/// Leaving notice for an endpoint that the receiver is expected to know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
-    /// The endpoint's record.
+    /// Key of the endpoint's record.
     pub key: Key,
-    /// The sequence of its announcement.
+    /// Sequence number of its announcement.
     pub sequence: u64,
 }
 
-/// A renewal.
+/// Renewal of an endpoint's announcement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
-    /// The endpoint's record.
+    /// Key of the endpoint's record.
     pub key: Key,
-    /// The sequence of its announcement.
+    /// Sequence number of its announcement.
     pub sequence: u64,
-    /// Its load, where it changed and there is room. Its `seen` holds only what the receiver
-    /// sent, with the receiver's name left out of the owners.
+    /// Load, if it changed and fits into the push. Its `seen` contains only the counters of the
+    /// receiver, with the receiver's name removed as a prefix of the owners.
     pub load: Option<Load>,
 }
 
-/// A whole record.
+/// Full record of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The announcement; its load's `seen` is cut as in [`Renewal::load`].
+    /// Announcement; the `seen` counters of its load are reduced as in [`Renewal::load`].
     pub announcement: Announcement,
-    /// How long ago it was renewed, in milliseconds.
+    /// Time since the last renewal, in milliseconds.
     pub age_millis: u32,
 }
 
-/// The state of a data centre, from its relay.
+/// State of a data centre, as reported by its relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The relay that speaks for the data centre.
+    /// Relay that sent the report.
     pub relay: HostId,
     /// Digest of the sender's roster.
     pub roster: u32,
-    /// The state.
+    /// Summary of the data centre.
     pub summary: Summary,
 }
--- a/crates/kumquatdrum_membership/src/notice.rs
+++ b/crates/kumquatdrum_membership/src/notice.rs
@@ -1,4 +1,4 @@
-//! Leaving notices that this host took and that others have to hold before the endpoint is told.
+//! Leaving notices that other hosts must confirm before they are acknowledged to the endpoint.
 
 use indexmap::IndexSet;
 use kumquatdrum_types::{BootId, EndpointId, HostId, Moment};
@@ -6,12 +6,12 @@
 use crate::Output;
 use crate::timing::{NOTICE_COPIES, NOTICE_EXPIRY, NOTICE_RETRY};
 
-/// A leaving notice on its way.
+/// Leaving notice that is being replicated to other hosts.
 #[derive(Debug)]
 pub(crate) struct Notice {
     pub(crate) endpoint: EndpointId,
     pub(crate) boot: BootId,
-    /// Announcements of it that still wait for their acknowledgement.
+    /// Sequence numbers of the announcements that await an acknowledgement.
     pub(crate) unacknowledged: Vec<u64>,
     confirmed: IndexSet<HostId>,
     received_at: Moment,
@@ -34,7 +34,7 @@
         self.confirmed.insert(host);
     }
 
-    /// The hosts that it is to be sent to now, of those alive.
+    /// Returns the live hosts that the notice is due to be sent to.
     pub(crate) fn due_receivers(&mut self, now: Moment, alive: &[HostId]) -> Vec<HostId> {
         let is_due = self
             .last_sent
@@ -50,7 +50,7 @@
             .collect()
     }
 
-    /// Acknowledges the announcements, once enough hosts hold the notice.
+    /// Acknowledges the announcements once enough hosts have confirmed the notice.
     pub(crate) fn acknowledge(&mut self, alive: &[HostId], out: &mut Vec<Output>) {
         let copies = alive
             .iter()
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Whether nothing is left to do for it.
+    /// Returns whether the notice can be discarded.
     pub(crate) fn is_complete(&self, now: Moment, alive: &[HostId]) -> bool {
         let is_everywhere = alive.iter().all(|host| self.confirmed.contains(host));
         self.unacknowledged.is_empty() && (is_everywhere || now - self.received_at > NOTICE_EXPIRY)
--- a/crates/kumquatdrum_membership/src/propagation/delta.rs
+++ b/crates/kumquatdrum_membership/src/propagation/delta.rs
@@ -1,25 +1,25 @@
-//! Differences between two texts, in several places at once.
+//! Deltas between two texts that differ in several places.
 //!
-//! Both texts are taken as pieces that end with a comma or a line. A piece that occurs once in the
-//! old text is an anchor: from there on the two are compared byte by byte, in both directions.
-//! What no anchor reaches travels as it is.
+//! Both texts are split into tokens that end with a comma or a newline. A token that occurs exactly
+//! once in the old text is an anchor. Matches are extended from anchors byte by byte in both
+//! directions, and bytes outside of matches are included literally.
 
 use std::collections::HashMap;
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// A part of a new text.
+/// Part of a new text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Part {
-    /// Bytes of the old text.
+    /// Range of the old text.
     Copy {
-        /// Where they begin.
+        /// Offset of the range in bytes.
         start: u32,
-        /// How many there are.
+        /// Length of the range in bytes.
         length: u32,
     },
-    /// New bytes.
+    /// Literal bytes.
     Insert(Bytes),
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// The parts that make the new text from the old one.
+/// Returns the parts that construct the new text from the old one.
 pub(crate) fn parts(old: &[u8], new: &Bytes) -> Vec<Part> {
     let prefix = common_length(old.iter(), new.iter());
     let suffix = common_length(old[prefix..].iter().rev(), new[prefix..].iter().rev());
@@ -48,7 +48,7 @@
     builder.parts
 }
 
-/// Puts a text together; `None` where a part lies outside the old text.
+/// Constructs the new text. Returns `None` if a part lies outside the old text.
 pub(crate) fn join(old: &[u8], parts: &[Part]) -> Option<Bytes> {
     let mut text = Vec::with_capacity(old.len());
     for part in parts {
@@ -68,12 +68,12 @@
     old: &'a [u8],
     new: &'a Bytes,
     parts: Vec<Part>,
-    /// The new text up to here is made of the parts so far.
+    /// Length of the new text that the parts cover.
     covered: usize,
 }
 
 impl Builder<'_> {
-    /// Makes the new text up to `end`.
+    /// Extends the parts to cover the new text up to `end`.
     fn fill(&mut self, end: usize) {
         if self.covered == end {
             return;
@@ -120,7 +120,7 @@
     }
 }
 
-/// Where each piece of a text begins; `None` for those that occur more than once.
+/// Returns the offset of each token in a text, or `None` for tokens that occur more than once.
 fn anchors(text: &[u8]) -> HashMap<&[u8], Option<usize>> {
     let mut anchors = HashMap::new();
     let mut at = 0;
--- a/crates/kumquatdrum_membership/src/propagation/event.rs
+++ b/crates/kumquatdrum_membership/src/propagation/event.rs
@@ -1,86 +1,86 @@
-//! What goes into the spread and what comes out.
+//! Inputs and outputs of the propagation state machine.
 
 use kumquatdrum_types::{BootId, DataCentre, HostId, Moment, Version};
 
 use super::{Message, Setup, Status};
 
-/// What the shell hands in.
+/// Input of [`Propagation::step`](super::Propagation::step).
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// A host is known, and whether it is alive.
+    /// A host was discovered, or its liveness changed.
     Host {
-        /// The host.
+        /// Host.
         host: HostId,
-        /// Its data centre.
+        /// Data centre of the host.
         data_centre: DataCentre,
-        /// Whether it is alive.
+        /// Whether the host is alive.
         is_alive: bool,
     },
-    /// The hosts that hold control replicas.
+    /// Hosts that run control replicas.
     Control(Vec<HostId>),
     /// The control replica of this host has applied an accepted version.
     Offer(Setup),
-    /// The control replica of this host is in touch with a majority and up to date.
+    /// The control replica of this host is up to date and in contact with a majority.
     Majority,
-    /// The status of a host, which rode on another message.
+    /// Status of a host, piggybacked on a push.
     Status {
-        /// The host.
+        /// Sending host.
         from: HostId,
-        /// The life of its daemon.
+        /// Incarnation of the sending daemon.
         boot: BootId,
-        /// The status.
+        /// Status.
         status: Status,
     },
-    /// A peer spoke.
+    /// A message from a peer arrived.
     Peer {
-        /// The host.
+        /// Sending host.
         from: HostId,
-        /// The life of its daemon.
+        /// Incarnation of the sending daemon.
         boot: BootId,
-        /// What it said.
+        /// Message.
         message: Message,
     },
-    /// Time has passed; due about every 40 ms.
+    /// Timer tick, expected about every 40 ms.
     Tick,
 }
 
-/// What the shell has to do or to pass on.
+/// Action or notification emitted by [`Propagation::step`](super::Propagation::step).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Send a message.
     Send {
-        /// The receiver.
+        /// Receiving host.
         to: HostId,
-        /// The message.
+        /// Message.
         message: Message,
     },
-    /// This version is in force from now on; each is higher than the one before.
+    /// A version, higher than all previous ones, is now in force on this host.
     InForce(Setup),
-    /// The host may serve. Given once.
+    /// The host may serve; emitted once.
     Ready {
-        /// Whether a majority of control replicas has been asked; if not, this is the last
-        /// version known here.
+        /// Whether a majority of control replicas confirmed the version; if not, it may be
+        /// outdated.
         is_confirmed: bool,
     },
-    /// Hand this to the membership core, to ride on its messages.
+    /// Status of this host, to piggyback on membership messages.
     Status(Status),
-    /// A host is known to have this version in force.
+    /// The known version of a host increased.
     Installed {
-        /// The host.
+        /// Host.
         host: HostId,
-        /// The version.
+        /// Version in force on the host.
         version: Version,
     },
-    /// Since when no majority of control replicas has been heard; `None` once it is again.
+    /// Contact with a majority of control replicas was lost or restored.
     CutOff {
-        /// The last word of a majority; the start of the daemon where there was none.
+        /// Time of the last contact, initially the start of the daemon; `None` if restored.
         since: Option<Moment>,
     },
-    /// Two texts under one version: a fault that must never be, told as it is found.
+    /// Two hosts have different texts for the same version, which violates an invariant.
     Conflict {
-        /// The version.
+        /// Version.
         version: Version,
-        /// Who has the other text.
+        /// Host with the other text.
         from: HostId,
     },
 }
--- a/crates/kumquatdrum_membership/src/propagation/fetch.rs
+++ b/crates/kumquatdrum_membership/src/propagation/fetch.rs
@@ -1,4 +1,4 @@
-//! Getting a version: questions to those who have it, and answers to questions.
+//! Requests for versions and the responses to them.
 
 use kumquatdrum_types::{BootId, HostId, Moment, Version};
 
@@ -8,7 +8,7 @@
 use super::{Message, Output, Propagation, Setup, Text, Transfer};
 
 impl Propagation {
-    /// Learns that a host has a version; asks for it where it is higher.
+    /// Records that a host has a version and requests it if it is higher than the current one.
     pub(super) fn request_version(
         &mut self,
         now: Moment,
@@ -40,7 +40,7 @@
         self.fetch(now, out);
     }
 
-    /// Asks a holder of the wanted version, one at a time.
+    /// Requests the pending version from one of its holders in turn.
     pub(super) fn fetch(&mut self, now: Moment, out: &mut Vec<Output>) {
         let Some(pending_fetch) = &mut self.pending_fetch else {
             return;
@@ -104,7 +104,7 @@
                 self.install(now, setup, Some(from), out);
                 send(out, from, self.have_message(now));
             }
-            // A difference to a version that this host held when it asked, but holds no more.
+            // The delta is based on a version that has since been replaced.
             None => self.request_version(now, from, transfer.version, out),
         }
     }
--- a/crates/kumquatdrum_membership/src/propagation/installation.rs
+++ b/crates/kumquatdrum_membership/src/propagation/installation.rs
@@ -1,28 +1,28 @@
-//! Which hosts have which version in force.
+//! Versions in force on all hosts.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 use kumquatdrum_types::{BootId, HostId, Moment, Version};
 
-/// What is known of one host.
+/// Known version of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Installation {
-    /// The life of its daemon.
+    /// Incarnation of the host's daemon.
     pub boot: BootId,
-    /// The version in force on it.
+    /// Version in force on the host.
     pub version: Version,
     pub(crate) changed_at: Moment,
 }
 
-/// What is known of all hosts; only upwards within one life.
+/// Known versions of all hosts, which never decrease within an incarnation.
 #[derive(Debug, Default)]
 pub(crate) struct Installations {
     hosts: IndexMap<HostId, Installation>,
 }
 
 impl Installations {
-    /// Takes word of a host; returns whether it is news.
+    /// Updates the version of a host and returns whether it changed.
     pub(crate) fn update(
         &mut self,
         now: Moment,
@@ -51,7 +51,7 @@
         self.hosts.iter()
     }
 
-    /// When the latest news came.
+    /// Returns the time of the latest change.
     pub(crate) fn last_change(&self) -> Option<Moment> {
         self.hosts
             .values()
@@ -59,7 +59,7 @@
             .max()
     }
 
-    /// What changed within `age`, of the hosts that `is_local` names.
+    /// Returns the changes within the last `age` on hosts that satisfy `is_local`.
     pub(crate) fn recent_changes(
         &self,
         now: Moment,
--- a/crates/kumquatdrum_membership/src/propagation/machine.rs
+++ b/crates/kumquatdrum_membership/src/propagation/machine.rs
@@ -1,4 +1,4 @@
-//! The spread: takes inputs, keeps the highest version, gives out messages and changes.
+//! The propagation state machine.
 
 use std::collections::VecDeque;
 
@@ -11,20 +11,20 @@
 use super::topology::Topology;
 use super::{Have, Input, Message, Output, Setup, Status};
 
-/// What a host knows at its start.
+/// Initial state of a host.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The host.
+    /// Name of the host.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// The life of its daemon.
+    /// Incarnation of its daemon.
     pub boot: BootId,
-    /// The version that its disk holds, where it has one.
+    /// Version stored on disk, if any.
     pub stored: Option<Setup>,
 }
 
-/// The setup in force, as one host holds it.
+/// Propagation of the setup in force from the point of view of one host.
 ///
 /// ```
 /// use kumquatdrum_membership::propagation::{Config, Input, Output, Setup, Propagation};
@@ -51,14 +51,14 @@
     pub(super) installations: Installations,
     pub(super) startup: Option<Startup>,
     pub(super) has_ticked: bool,
-    /// The highest version known to exist, and who has it.
+    /// Highest version known to exist, if it is higher than the current one.
     pub(super) pending_fetch: Option<Fetch>,
-    /// Data centres that the current version has to be told to, and how often it was.
+    /// Pending notifications about the current version, by data centre.
     pub(super) notifications: IndexMap<DataCentre, Notification>,
     pub(super) own_majority_at: Option<Moment>,
-    /// First-hand word of a majority from a control replica.
+    /// Latest contact with a majority reported directly by a control replica.
     pub(super) direct_majority_at: Option<Moment>,
-    /// Any word of a majority; the start of the daemon where there was none.
+    /// Latest contact with a majority from any source, initially the start of the daemon.
     pub(super) majority_at: Moment,
     pub(super) cut_off: Option<Moment>,
     pub(super) last_status: Option<(Moment, Version)>,
@@ -68,7 +68,7 @@
     pub(super) last_full_report: Option<Moment>,
 }
 
-/// A version to get.
+/// Version to fetch and the hosts that have it.
 #[derive(Debug)]
 pub(super) struct Fetch {
     pub(super) version: Version,
@@ -76,7 +76,7 @@
     pub(super) last_asked: Option<Moment>,
 }
 
-/// A version to tell.
+/// Notifications sent to a data centre about the current version.
 #[derive(Debug)]
 pub(super) struct Notification {
     pub(super) count: u8,
@@ -84,7 +84,7 @@
 }
 
 impl Propagation {
-    /// The spread of a host that has just started.
+    /// Creates the state machine of a starting host.
     pub fn new(config: Config) -> Self {
         Self {
             topology: Topology::new(config.host.clone(), config.data_centre.clone()),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes one input. `now` never goes back.
+    /// Processes one input. `now` must not decrease between calls.
     pub fn step(&mut self, now: Moment, input: Input, out: &mut Vec<Output>) {
         match input {
             Input::Host {
@@ -134,27 +134,28 @@
         }
     }
 
-    /// The version in force; 0 where there is none.
+    /// Returns the version in force, or 0 if there is none.
     pub fn version(&self) -> Version {
         self.current().map_or(Version(0), |setup| setup.version)
     }
 
-    /// What is in force.
+    /// Returns the setup in force.
     pub fn current(&self) -> Option<&Setup> {
         self.history.back()
     }
 
-    /// Whether the host may serve.
+    /// Returns whether the host may serve.
     pub fn is_ready(&self) -> bool {
         self.startup.is_none()
     }
 
-    /// Since when no majority of control replicas has been heard, where that is so for long.
+    /// Returns the time of the last contact with a majority of control replicas if this host is cut
+    /// off from them.
     pub fn cut_off_since(&self) -> Option<Moment> {
         self.cut_off
     }
 
-    /// Which hosts are known to have which version.
+    /// Returns the known version of each host.
     pub fn installations(&self) -> impl Iterator<Item = (&HostId, &Installation)> {
         self.installations.iter()
     }
@@ -224,8 +225,8 @@
         self.request_version(now, from, status.version, out);
     }
 
-    /// Word of a majority counts at first hand from a control replica, and at second hand from a
-    /// host that heard one. It goes no further, so that it can't circle.
+    /// Records a contact with a majority, reported by a control replica or by a host in contact
+    /// with one. Hosts forward only direct reports, so that reports can't circulate.
     fn record_majority(&mut self, now: Moment, from: &HostId, age: Option<u32>) {
         let Some(age) = age else {
             return;
@@ -239,7 +240,7 @@
         self.majority_at = self.majority_at.max(at);
     }
 
-    /// Puts a higher version in force and tells those who may lack it.
+    /// Puts a higher version in force and notifies hosts that may lack it.
     pub(super) fn install(
         &mut self,
         now: Moment,
@@ -266,11 +267,12 @@
         }
         let (host, boot) = (self.config.host.clone(), self.config.boot);
         self.record_version(now, &host, boot, version, out);
-        // Within the data centre the first that has it tells all; the statuses do the rest.
+        // Only the first host of a data centre with the version notifies the others; statuses
+        // compensate for lost notifications.
         if source.is_none_or(|source| !self.topology.is_local(source)) {
             self.notify_data_centre(now, out);
         }
-        // A replica may hear of a version from another one before its own log brings it.
+        // A replica may receive a version from another one before its own log contains it.
         if source.is_none() || self.control_replicas.contains(&self.config.host) {
             self.schedule_notifications(now);
             self.notify_remote_data_centres(now, out);
--- a/crates/kumquatdrum_membership/src/propagation/message.rs
+++ b/crates/kumquatdrum_membership/src/propagation/message.rs
@@ -1,60 +1,60 @@
-//! What daemons say to each other about the setup in force.
+//! Messages between daemons about the setup in force.
 
 use kumquatdrum_types::{BootId, HostId, Version};
 use serde::{Deserialize, Serialize};
 
 use super::Text;
 
-/// One message between daemons.
+/// Message between daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// What the sender has; the answer to a question that brings nothing higher too.
+    /// Version in force on the sender; also the response to a request without a higher version.
     Have(Have),
-    /// What the sender holds, asking for anything higher.
+    /// Request for any version higher than the sender's.
     Ask {
-        /// The version; 0 where it holds none.
+        /// Version in force on the sender, or 0 if there is none.
         version: Version,
-        /// The beginning of its digest.
+        /// First eight bytes of the digest of its text.
         #[serde(rename = "mark")]
         digest_prefix: u64,
     },
-    /// A version that the receiver lacks.
+    /// Version that the receiver lacks.
     #[serde(rename = "News")]
     Transfer(Transfer),
 }
 
-/// What a host has.
+/// Status of a host and known versions of others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Have {
-    /// The host's own status.
+    /// Status of the sender.
     pub status: Status,
-    /// Versions in force on hosts of the sender's data centre, as far as they are news.
+    /// Versions in force on hosts of the sender's data centre, if they changed recently.
     pub hosts: Vec<(HostId, BootId, Version)>,
-    /// Whether the sender wants to know what the receiver has.
+    /// Whether the sender requests the receiver's status in return.
     pub reply: bool,
 }
 
-/// The short word on a host's setup that rides on other messages.
+/// Status of a host's setup, piggybacked on other messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The version in force; 0 where there is none.
+    /// Version in force, or 0 if there is none.
     pub version: Version,
-    /// The beginning of its digest.
+    /// First eight bytes of the digest of its text.
     #[serde(rename = "mark")]
     pub digest_prefix: u64,
-    /// Whether it serves: it has asked around since its start.
+    /// Whether the host has completed its startup and serves.
     pub is_ready: bool,
-    /// How long ago it had first-hand word of a majority of control replicas, in milliseconds.
+    /// Time since the last direct contact with a majority of control replicas, in milliseconds.
     pub majority_age_millis: Option<u32>,
 }
 
-/// A version on its way.
+/// Version with its text or a delta.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
-    /// The version.
+    /// Version.
     pub version: Version,
-    /// The digest of its text.
+    /// Digest of the complete text.
     pub digest: String,
-    /// The text.
+    /// Text or delta.
     pub text: Text,
 }
--- a/crates/kumquatdrum_membership/src/propagation/mod.rs
+++ b/crates/kumquatdrum_membership/src/propagation/mod.rs
@@ -1,9 +1,9 @@
-//! The spread of the setup in force: every host takes the highest accepted version and never goes
-//! back, and text travels only to those who lack it.
+//! Propagation of the setup in force to all hosts.
 //!
-//! A control replica that has applied a version offers it. It tells its data centre and one host
-//! of each other data centre that it has it; whoever lacks it asks, and is sent the difference to
-//! what it holds. Statuses and periodic exchange make up for lost messages.
+//! A control replica that has applied a version notifies its data centre and one host of each other
+//! data centre. A host that lacks the version requests it and receives a delta to the version that
+//! it has. Statuses and periodic exchanges compensate for lost messages. A host never returns to a
+//! lower version.
 
 mod delta;
 mod event;
--- a/crates/kumquatdrum_membership/src/propagation/notification.rs
+++ b/crates/kumquatdrum_membership/src/propagation/notification.rs
@@ -1,4 +1,4 @@
-//! Telling a version on, and telling control replicas who has it.
+//! Notifications about a new version, and reports to control replicas about hosts that have it.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::{Output, Propagation};
 
 impl Propagation {
-    /// Tells the version to the hosts of the data centre that aren't known to have it.
+    /// Notifies the hosts of the data centre that aren't known to have the version.
     pub(super) fn notify_data_centre(&mut self, now: Moment, out: &mut Vec<Output>) {
         let version = self.version();
         let message = self.have_message(now);
@@ -24,8 +24,8 @@
         }
     }
 
-    /// The replicas all learn a version by themselves. The first of them by name tells it to the
-    /// other data centres; each further one waits a while and only fills in.
+    /// Schedules notifications to the other data centres. Each replica applies a version on its
+    /// own: the first one by name notifies at once, the others are delayed as a fallback.
     pub(super) fn schedule_notifications(&mut self, now: Moment) {
         let local = &self.config.host;
         let rank = self
@@ -43,21 +43,22 @@
             .collect();
     }
 
-    /// Tells the version to each data centre that isn't known to have it, a few times.
+    /// Notifies each data centre that isn't known to have the version, up to
+    /// [`NOTIFICATION_LIMIT`] times.
     pub(super) fn notify_remote_data_centres(&mut self, now: Moment, out: &mut Vec<Output>) {
         let version = self.version();
         let (topology, installations) = (&self.topology, &self.installations);
-        self.notifications.retain(|id, state| {
-            let is_told = topology.hosts_of(id).iter().any(|host| {
+        self.notifications.retain(|id, notification| {
+            let is_notified = topology.hosts_of(id).iter().any(|host| {
                 let known = installations.get(host);
                 known.is_some_and(|known| known.version >= version)
             });
-            !is_told && state.count < NOTIFICATION_LIMIT
+            !is_notified && notification.count < NOTIFICATION_LIMIT
         });
         let due: Vec<DataCentre> = self
             .notifications
             .iter()
-            .filter(|(_, state)| state.due <= now)
+            .filter(|(_, notification)| notification.due <= now)
             .map(|(id, _)| id.clone())
             .collect();
         for id in due {
@@ -66,22 +67,22 @@
     }
 
     fn notify_remote_data_centre(&mut self, now: Moment, id: &DataCentre, out: &mut Vec<Output>) {
-        let Some(state) = self.notifications.get_mut(id) else {
+        let Some(notification) = self.notifications.get_mut(id) else {
             return;
         };
-        // A second telling goes to another host: the contact may have just died.
-        let since = match state.count {
+        // A retry goes to another host, because the contact may have died.
+        let since = match notification.count {
             0 => moment_before(now, EXCHANGE_INTERVAL * 2),
             _ => Moment::NEVER,
         };
-        state.count += 1;
-        state.due = now + NOTIFICATION_RETRY;
+        notification.count += 1;
+        notification.due = now + NOTIFICATION_RETRY;
         if let Some(to) = self.topology.select_contact(id, since) {
             send(out, &to, self.have_message_with(now, Vec::new(), true));
         }
     }
 
-    /// The relay's exchange with control replicas elsewhere, and with one other data centre.
+    /// Exchanges versions with remote control replicas and with one other data centre in turn.
     pub(super) fn exchange(&mut self, now: Moment, out: &mut Vec<Output>) {
         let is_due = |at: Option<Moment>, interval| at.is_none_or(|at| now - at >= interval);
         if !is_due(self.last_exchange, EXCHANGE_INTERVAL) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Tells control replicas at once which hosts have got a version.
+    /// Reports recent version changes of the data centre's hosts to remote control replicas.
     pub(super) fn report(&mut self, now: Moment, out: &mut Vec<Output>) {
         let is_due = self
             .last_report
--- a/crates/kumquatdrum_membership/src/propagation/startup.rs
+++ b/crates/kumquatdrum_membership/src/propagation/startup.rs
@@ -1,11 +1,11 @@
-//! A start: others are asked before the host serves.
+//! Startup: a host requests the version of other hosts before it serves.
 
 use indexmap::IndexSet;
 use kumquatdrum_types::{HostId, Moment};
 
 use super::timing::{ASK_RETRY, START_CONFIRMATION_TIMEOUT, START_FETCH_TIMEOUT};
 
-/// What a starting host has learnt so far.
+/// Progress of a starting host.
 #[derive(Debug)]
 pub(crate) struct Startup {
     since: Moment,
@@ -13,15 +13,15 @@
     answered: IndexSet<HostId>,
 }
 
-/// What a starting host knows when it asks itself whether it may serve.
+/// State that decides whether a starting host may serve.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Observations<'a> {
     pub(crate) control_replicas: &'a IndexSet<HostId>,
-    /// It holds a version.
+    /// Whether a version is in force on the host.
     pub(crate) has_version: bool,
-    /// It knows of a higher version and is getting it.
+    /// Whether the host is fetching a higher version.
     pub(crate) is_fetching: bool,
-    /// Its own control replica is up to date.
+    /// Whether the host's own control replica is up to date.
     pub(crate) has_majority: bool,
 }
 
@@ -38,12 +38,12 @@
         self.answered.insert(host.clone());
     }
 
-    /// A version came: what others have is asked anew at once.
+    /// Makes the next request due at once, after a version was installed.
     pub(crate) fn ask_again(&mut self) {
         self.last_asked = None;
     }
 
-    /// Whether it is time to ask those who haven't answered.
+    /// Returns whether requests to unresponsive hosts are due, and restarts the retry timer if so.
     pub(crate) fn is_due(&mut self, now: Moment) -> bool {
         let is_due = self
             .last_asked
@@ -58,7 +58,8 @@
         self.answered.contains(host)
     }
 
-    /// Whether the host may serve, and whether a majority has confirmed it.
+    /// Returns `None` while the host may not serve, otherwise whether a majority of control
+    /// replicas confirmed its version.
     pub(crate) fn readiness(&self, now: Moment, observations: Observations<'_>) -> Option<bool> {
         let waited = now - self.since;
         match observations {
--- a/crates/kumquatdrum_membership/src/propagation/text.rs
+++ b/crates/kumquatdrum_membership/src/propagation/text.rs
@@ -1,4 +1,4 @@
-//! Texts of the setup and the differences between them.
+//! Setup texts and deltas between them.
 
 use bytes::Bytes;
 use kumquatdrum_types::{Version, digest};
@@ -6,36 +6,36 @@
 
 use super::delta::{self, Part};
 
-/// The most bytes of a part beyond its own text.
+/// Maximum encoded size of a part without its literal bytes.
 const PART_OVERHEAD_BYTES: usize = 11;
 
-/// One accepted version of the declaration.
+/// Accepted version of the declaration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Setup {
-    /// The version.
+    /// Version.
     pub version: Version,
-    /// The digest of the text, as [`kumquatdrum_types::digest::hex`] has it.
+    /// Digest of the text, from [`kumquatdrum_types::digest::hex`].
     pub digest: String,
-    /// The text.
+    /// Text of the declaration.
     pub text: Bytes,
 }
 
-/// A text on its way.
+/// Encoding of a text for transfer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Text {
-    /// All of it.
+    /// Complete text.
     Whole(Bytes),
-    /// The parts that it is made of, some of which are copied from another version's text.
+    /// Parts of the text, some of which are ranges of another version's text.
     Delta {
-        /// The other version.
+        /// Version that ranges refer to.
         base: Version,
-        /// The parts, in order.
+        /// Parts in order.
         parts: Vec<Part>,
     },
 }
 
 impl Setup {
-    /// A version with its digest worked out.
+    /// Creates a setup and computes its digest.
     ///
     /// ```
     /// use kumquatdrum_membership::propagation::Setup;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The beginning of the digest.
+    /// Returns the first eight bytes of the digest as a number.
     pub fn digest_prefix(&self) -> u64 {
         self.digest
             .get(..16)
@@ -62,7 +62,7 @@
 }
 
 impl Text {
-    /// The difference to a base, or the whole where that is no longer.
+    /// Returns the delta to a base, or the complete text unless the delta is shorter.
     ///
     /// ```
     /// use kumquatdrum_membership::propagation::{Setup, Text};
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The text that this stands for; `None` where it is a difference to another base.
+    /// Returns the decoded text, or `None` if the delta has another base than `current`.
     pub fn apply(&self, current: Option<&Setup>) -> Option<Bytes> {
         match (self, current) {
             (Self::Whole(text), _) => Some(text.clone()),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The bytes of text that it carries itself.
+    /// Returns the number of literal text bytes.
     pub fn literal_bytes(&self) -> usize {
         match self {
             Self::Whole(text) => text.len(),
--- a/crates/kumquatdrum_membership/src/propagation/timing.rs
+++ b/crates/kumquatdrum_membership/src/propagation/timing.rs
@@ -1,30 +1,30 @@
-//! The times that the spread is built on.
+//! Intervals, timeouts and limits of propagation.
 
 use std::time::Duration;
 
-/// A question without answer is put to another host after this long.
+/// Time after which an unanswered request is sent to another host.
 pub const ASK_RETRY: Duration = Duration::from_millis(500);
-/// A relay tells control replicas, and one other data centre in turn, what it has this often.
+/// Interval at which a relay exchanges versions with control replicas and one data centre in turn.
 pub const EXCHANGE_INTERVAL: Duration = Duration::from_secs(2);
-/// News on which hosts have which version are told at most this often.
+/// Minimum interval between reports of version changes to control replicas.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// What changed this long ago at most is told again, in case a telling was lost.
+/// Age up to which version changes are repeated in exchanges, in case a report is lost.
 pub const REPORT_REPEAT_WINDOW: Duration = Duration::from_secs(6);
-/// A relay tells the versions of all hosts of its data centre this often.
+/// Interval at which a relay reports the versions of all hosts of its data centre.
 pub const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(30);
-/// A new version is told to other data centres again until they have it.
+/// Interval at which notifications to another data centre are repeated.
 pub const NOTIFICATION_RETRY: Duration = Duration::from_millis(500);
-/// How often a new version is told to a data centre at its arrival; later the exchange does it.
+/// Number of notifications to a data centre, after which it depends on exchanges.
 pub const NOTIFICATION_LIMIT: u8 = 6;
-/// A status is given out at least this often.
+/// Maximum interval between two statuses.
 pub const STATUS_INTERVAL: Duration = Duration::from_millis(200);
-/// No word of a majority of control replicas for this long is a cut-off.
+/// Time without contact to a majority of control replicas after which a host is cut off.
 pub const CUT_OFF_AFTER: Duration = Duration::from_secs(10);
-/// A restarting host waits this long for a majority of control replicas.
+/// Time that a starting host waits for a majority of control replicas.
 pub const START_CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longer where it knows of a higher version that it can't get.
+/// Time that a starting host waits if a higher version is known but can't be fetched.
 pub const START_FETCH_TIMEOUT: Duration = Duration::from_secs(6);
-/// Former texts kept to work out differences from, by count.
+/// Maximum number of texts kept as bases of deltas.
 pub const HISTORY_COUNT: usize = 16;
-/// Former texts kept to work out differences from, by bytes.
+/// Maximum total size of texts kept as bases of deltas, in bytes.
 pub const HISTORY_BYTES: usize = 4 << 20;
--- a/crates/kumquatdrum_membership/src/propagation/topology.rs
+++ b/crates/kumquatdrum_membership/src/propagation/topology.rs
@@ -1,9 +1,9 @@
-//! Whom a host speaks to: its data centre, its relay, one host of each other data centre.
+//! Selection of peers: local hosts, the relay, and a contact in each other data centre.
 
 use indexmap::IndexMap;
 use kumquatdrum_types::{DataCentre, HostId, Moment};
 
-/// The hosts and data centres around a host.
+/// Known hosts by data centre.
 #[derive(Debug)]
 pub(crate) struct Topology {
     local: HostId,
@@ -62,7 +62,7 @@
                 .is_some_and(|neighbour| neighbour.data_centre == self.data_centre)
     }
 
-    /// The hosts of the data centre that are alive, without this one.
+    /// Returns the other live hosts of the data centre.
     pub(crate) fn local_hosts(&self) -> impl Iterator<Item = &HostId> {
         self.hosts
             .iter()
@@ -70,7 +70,7 @@
             .map(|(id, _)| id)
     }
 
-    /// The first host of the data centre that is alive, by name.
+    /// Returns the first live host of the data centre by name.
     pub(crate) fn relay(&self) -> &HostId {
         self.local_hosts().fold(&self.local, std::cmp::min)
     }
@@ -83,7 +83,7 @@
         self.remote_data_centres.keys().cloned().collect()
     }
 
-    /// A host of another data centre spoke.
+    /// Records a message from a host of another data centre.
     pub(crate) fn record_contact(&mut self, now: Moment, from: &HostId) {
         let Some(neighbour) = self.hosts.get(from) else {
             return;
@@ -93,8 +93,8 @@
         }
     }
 
-    /// The host to speak to in a data centre: the one that spoke last if that was since `since`,
-    /// else each in turn.
+    /// Returns the host to contact in another data centre: the sender of the last message if that
+    /// arrived after `since`, otherwise each host in turn.
     pub(crate) fn select_contact(
         &mut self,
         data_centre: &DataCentre,
--- a/crates/kumquatdrum_membership/src/push.rs
+++ b/crates/kumquatdrum_membership/src/push.rs
@@ -1,9 +1,8 @@
-//! Pushes: heartbeat and news to each host of the data centre in turn, in bounded bytes.
+//! Pushes: periodic heartbeats with updates, bounded in size.
 
 use std::time::Duration;
 
-use kumquatdrum_types::endpoint;
-use kumquatdrum_types::{Announcement, BootId, EndpointId, HostId, Load, Moment};
+use kumquatdrum_types::{Announcement, BootId, EndpointId, HostId, Load, Moment, endpoint};
 use postcard::experimental::serialized_size;
 use serde::Serialize;
 
@@ -16,13 +15,14 @@
 };
 use crate::{Key, Membership, Output, Summary};
 
-/// The most bytes of a renewal without load.
+/// Maximum encoded size of a renewal without load.
 const RENEWAL_BYTES: usize = 9;
-/// Separates a host's name from what an owner's name has beyond it.
+/// Separates the host name from the suffix in the name of an owner.
 const OWNER_SEPARATOR: char = '/';
 
 impl Membership {
-    /// How often each host of the data centre is pushed to: one a slot, within bounds.
+    /// Returns the interval between two pushes to one host: one push per tick over all hosts,
+    /// within bounds.
     fn push_interval(&self) -> Duration {
         let count = u32::try_from(self.hosts.len()).unwrap_or(u32::MAX);
         TICK_INTERVAL
@@ -30,7 +30,7 @@
             .clamp(PUSH_INTERVAL_MIN, PUSH_INTERVAL_MAX)
     }
 
-    /// Spreads the first pushes over one interval.
+    /// Distributes the first pushes over one interval.
     pub(crate) fn stagger(&mut self, now: Moment) {
         let interval = self.push_interval();
         let count = self.hosts.len().max(1) as u32;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Pushes to the hosts whose turn it is.
+    /// Sends a push to each host that is due.
     pub(crate) fn send_due_pushes(&mut self, now: Moment, out: &mut Vec<Output>) {
         let interval = self.push_interval();
         for index in 0..self.hosts.len() {
@@ -47,7 +47,7 @@
                 continue;
             }
             self.hosts[index].next_push = now + interval;
-            let push = self.make_push(now, index);
+            let push = self.build_push(now, index);
             out.push(Output::Send {
                 to: self.hosts[index].member.host.clone(),
                 message: Message::Push(push),
@@ -55,7 +55,7 @@
         }
     }
 
-    fn make_push(&mut self, now: Moment, index: usize) -> Push {
+    fn build_push(&mut self, now: Moment, index: usize) -> Push {
         let is_relay = self.is_relay();
         let silent = self.silent_hosts(now);
         let cut_off = is_relay.then(|| self.unreachable_data_centres());
@@ -103,9 +103,9 @@
             let summary = self
                 .remote_data_centres
                 .get(id)
-                .and_then(|one| one.summary.clone());
+                .and_then(|data_centre| data_centre.summary.clone());
             let bytes = summary.as_ref().map_or(0, encoded_size);
-            // One that exceeds the room by itself goes alone.
+            // A summary larger than the limit is sent on its own.
             if bytes > remaining && !packed.is_empty() {
                 break;
             }
@@ -116,7 +116,7 @@
         packed
     }
 
-    /// Takes a push.
+    /// Merges a push and requests records that are not known.
     pub(crate) fn handle_push(
         &mut self,
         now: Moment,
@@ -166,7 +166,7 @@
         let Some(host) = self.hosts.get_mut(from) else {
             return;
         };
-        // A push that was overtaken says nothing about the present.
+        // A reordered push has outdated digests and lists.
         if push.sequence <= host.last_push_received {
             return;
         }
@@ -179,7 +179,7 @@
         self.handle_relayed(from, push.cut_off, push.summaries, out);
     }
 
-    /// Takes a whole record from a peer.
+    /// Merges a full record from a peer.
     pub(crate) fn merge_snapshot(
         &mut self,
         now: Moment,
@@ -204,7 +204,7 @@
         }
     }
 
-    /// An endpoint's whole record, cut for its receiver.
+    /// Returns an endpoint's full record for one receiver.
     pub(crate) fn snapshot(&self, now: Moment, id: &EndpointId, to: &HostId) -> Option<Snapshot> {
         self.table
             .get(id)
@@ -212,7 +212,7 @@
     }
 }
 
-/// Fills a push by the weight of its parts.
+/// Fills a push with updates in order of priority.
 struct Packer<'a> {
     now: Moment,
     table: &'a Table,
@@ -221,7 +221,7 @@
 }
 
 impl Packer<'_> {
-    /// Leaving notices go before all else and without a limit of their own; each is short.
+    /// Adds leaving notices, which come first and have no limit because they are small.
     fn pack_leaving(&mut self, backlog: &mut Backlog, packed: &mut Vec<Departure>) {
         let table = self.table;
         backlog.endpoints.retain(|id, update| {
@@ -238,8 +238,8 @@
         self.remaining = self.remaining.saturating_sub(encoded_size(packed));
     }
 
-    /// New records take half of the room at most, so that renewals never wait for them. One that
-    /// doesn't fit goes as a renewal: whoever lacks its key asks for the record.
+    /// Adds new records, which take at most half of the remaining bytes so that they don't delay
+    /// renewals. A record that doesn't fit is sent as a renewal, and the receiver requests it.
     fn pack_records(&mut self, backlog: &mut Backlog, packed: &mut Vec<Snapshot>) {
         let (now, table, receiver) = (self.now, self.table, self.receiver);
         let mut remaining = self.remaining / 2;
@@ -260,8 +260,8 @@
         self.remaining = self.remaining.saturating_sub(encoded_size(packed));
     }
 
-    /// Renewals come first, as they say who lives; loads fill what is left. A renewal that went
-    /// without its load goes to the end and takes its load along at the next occasion.
+    /// Adds renewals first, because liveness depends on them, and loads to the remaining bytes. A
+    /// renewal whose load doesn't fit is queued again at the end.
     fn pack_renewals(&mut self, backlog: &mut Backlog, packed: &mut Vec<Renewal>) {
         let updates: Vec<(EndpointId, Update)> = backlog
             .endpoints
@@ -308,7 +308,7 @@
     }
 }
 
-/// A record for one receiver.
+/// Returns a record for one receiver.
 pub(crate) fn snapshot_for(now: Moment, record: &Record, receiver: &HostId) -> Snapshot {
     let age = (now - record.renewed).as_millis();
     let announcement = record.announcement.clone();
@@ -325,7 +325,7 @@
     announcement
 }
 
-/// Keeps only what the receiver sent, and leaves its name out: nobody else needs that counter.
+/// Reduces the `seen` counters to those of the receiver, and removes its name from the owners.
 fn strip_load(mut load: Load, receiver: &HostId) -> Load {
     load.seen = load
         .seen
@@ -346,7 +346,7 @@
     load
 }
 
-/// The bytes of a value on the wire.
+/// Returns the encoded size of a value in bytes.
 fn encoded_size<T: Serialize>(value: &T) -> usize {
     serialized_size(value).unwrap_or(0)
 }
--- a/crates/kumquatdrum_membership/src/relay.rs
+++ b/crates/kumquatdrum_membership/src/relay.rs
@@ -1,5 +1,5 @@
-//! Between data centres: one relay a data centre tells its summary to the others' relays, and
-//! passes theirs on within its own.
+//! Exchange between data centres: the relay of each data centre sends its summary to the other
+//! relays and forwards theirs to the hosts of its own data centre.
 
 use kumquatdrum_types::{BootId, DataCentre, HostId, Moment};
 
@@ -9,7 +9,7 @@
 use crate::summary;
 use crate::{Condition, Member, Membership, Output, Peer, Reachability, Summary};
 
-/// A host of another data centre.
+/// State of a host of another data centre.
 #[derive(Debug)]
 pub(crate) struct RemoteHost {
     pub(crate) member: Member,
@@ -35,7 +35,8 @@
 }
 
 impl Membership {
-    /// Notes the life of a remote host's daemon; false where a former one spoke.
+    /// Records that a remote host was heard. Returns `false` for an earlier incarnation of its
+    /// daemon or an unknown host.
     pub(crate) fn record_remote_contact(&mut self, from: &HostId, boot: BootId) -> bool {
         match self.remote_hosts.get_mut(from) {
             Some(remote) if boot >= remote.boot => {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// What a relay has to do at each tick.
+    /// Performs the periodic work of the relay, if this host is the relay.
     pub(crate) fn run_relay(&mut self, now: Moment, may_suspect: bool, out: &mut Vec<Output>) {
         let is_relay = self.is_relay();
         let was_relay = std::mem::replace(&mut self.was_relay, is_relay);
@@ -79,7 +80,8 @@
             .collect()
     }
 
-    /// Takes the report of another data centre; a host that isn't the relay hands it on.
+    /// Processes the report of another data centre, and forwards it to the relay if this host
+    /// isn't the relay.
     pub(crate) fn handle_report(
         &mut self,
         now: Moment,
@@ -108,7 +110,7 @@
         self.update_remote_conditions(&id, out);
     }
 
-    /// Takes what the own data centre's relay says of the others.
+    /// Processes the state of other data centres that this data centre's relay forwarded.
     pub(crate) fn handle_relayed(
         &mut self,
         from: &HostId,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// A host is back, or its daemon has restarted: it lacks the summaries.
+    /// Queues all summaries for a host that has returned or restarted.
     pub(crate) fn enqueue_summaries_for(&mut self, host: &HostId) {
         let is_relay = self.is_relay();
         let Some(host) = self.hosts.get_mut(host).filter(|_| is_relay) else {
@@ -224,7 +226,7 @@
         self.update_remote_conditions(id, out);
     }
 
-    /// Derives the condition of a data centre's hosts from its reach and its summary.
+    /// Derives the conditions of a data centre's hosts from its reachability and its summary.
     fn update_remote_conditions(&mut self, id: &DataCentre, out: &mut Vec<Output>) {
         let Some(data_centre) = self.remote_data_centres.get(id) else {
             return;
--- a/crates/kumquatdrum_membership/src/roster.rs
+++ b/crates/kumquatdrum_membership/src/roster.rs
@@ -1,4 +1,4 @@
-//! Which hosts there are: from the settings, and learnt from other hosts.
+//! Roster of all hosts, from settings and from other hosts.
 
 use kumquatdrum_types::{HostId, Moment};
 
@@ -13,13 +13,13 @@
         self.hosts.contains_key(host) || self.remote_hosts.contains_key(host)
     }
 
-    /// Asks a stranger who it is.
+    /// Requests the roster of an unknown host.
     pub(crate) fn request_members(&self, from: &HostId, out: &mut Vec<Output>) {
         self.send_members(from, true, out);
     }
 
-    /// Takes over the members of another host. What a host says of itself carries the life of its
-    /// daemon, so that it counts above what settings say.
+    /// Merges the roster of another host. An entry that a host published about itself carries its
+    /// incarnation and therefore overrides one from settings.
     pub(crate) fn handle_members(
         &mut self,
         now: Moment,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Exchanges members with a host whose roster differs.
+    /// Exchanges rosters with a host whose digest differs.
     pub(crate) fn compare_roster(
         &mut self,
         now: Moment,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Adds a member or moves it; returns whether that changed anything.
+    /// Adds or updates a member. Returns whether its address or data centre changed.
     pub(crate) fn add_member(&mut self, now: Moment, member: Member) -> bool {
         match self.member(&member.host) {
             Some(known) if !is_newer(&member, known) => return false,
--- a/crates/kumquatdrum_membership/src/summary.rs
+++ b/crates/kumquatdrum_membership/src/summary.rs
@@ -1,40 +1,39 @@
-//! What one data centre tells the others of itself.
+//! Summaries of the state of a data centre.
 
 use indexmap::IndexMap;
-use kumquatdrum_types::endpoint;
-use kumquatdrum_types::{DataCentre, HostId, ServiceName};
+use kumquatdrum_types::{DataCentre, HostId, ServiceName, endpoint};
 use serde::{Deserialize, Serialize};
 
 use crate::table::{Liveness, Record};
 
-/// The state of a data centre. Sums are rounded down to two significant bits, so that small
-/// movements cost no messages.
+/// State of a data centre. Sums are rounded down to two significant bits, so that small changes
+/// don't cause messages.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The data centre.
+    /// Data centre.
     pub data_centre: DataCentre,
-    /// Its services, by name.
+    /// Services of the data centre, sorted by name.
     pub services: Vec<Service>,
-    /// Its hosts that are not alive.
+    /// Hosts of the data centre that are not alive.
     pub down: Vec<HostId>,
 }
 
-/// One service in one data centre.
+/// State of one service in one data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// The service.
+    /// Service.
     pub service: ServiceName,
-    /// Endpoints that take new work.
+    /// Number of endpoints that accept new work.
     pub alive: u32,
-    /// KV memory that they have free, in tokens, rounded.
+    /// Free KV cache of these endpoints in tokens, rounded.
     pub free_memory_tokens: u64,
-    /// Requests that they run or queue, rounded.
+    /// Running and queued requests of these endpoints, rounded.
     pub requests: u64,
-    /// Prompt tokens that they still have to compute, rounded.
+    /// Prompt tokens that these endpoints have yet to prefill, rounded.
     pub prefill_tokens: u64,
 }
 
-/// Sums up the endpoints that take new work.
+/// Returns the sums over the endpoints that accept new work, by service.
 pub(crate) fn services<'a>(records: impl Iterator<Item = &'a Record>) -> Vec<Service> {
     let mut services: IndexMap<&ServiceName, Service> = IndexMap::new();
     for record in records {
@@ -79,7 +78,7 @@
     }
 }
 
-/// Keeps the two highest bits.
+/// Rounds a number down to its two most significant bits.
 fn round(number: u64) -> u64 {
     let low = (u64::BITS - number.leading_zeros()).saturating_sub(2);
     number >> low << low
--- a/crates/kumquatdrum_membership/src/table.rs
+++ b/crates/kumquatdrum_membership/src/table.rs
@@ -1,10 +1,9 @@
-//! The endpoints of the data centre: the newest announcement of each, and whether it lives.
+//! Table of the data centre's endpoints, with the newest announcement and liveness of each.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use kumquatdrum_types::endpoint;
-use kumquatdrum_types::{Announcement, EndpointId, HostId, Load, Moment};
+use kumquatdrum_types::{Announcement, EndpointId, HostId, Load, Moment, endpoint};
 
 use crate::timing::{
     FAILURE_HOLD, FAILURE_LIMIT, FAILURE_WINDOW, FORGET_AFTER, GONE_AFTER, HANDOVER_GRACE,
@@ -12,27 +11,27 @@
 };
 use crate::{Change, Key, Output};
 
-/// Whether an endpoint lives, as far as this host knows.
+/// Liveness of an endpoint from this host's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// It renews its announcement.
+    /// The endpoint renews its announcement.
     Alive,
-    /// It doesn't, or dispatches to it fail.
+    /// Renewals are overdue, or dispatches to the endpoint fail.
     Suspect,
-    /// It didn't for long.
+    /// Renewals have been missing for [`GONE_AFTER`].
     Gone,
 }
 
-/// One endpoint.
+/// Record of an endpoint.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// Its newest announcement.
+    /// Newest announcement of the endpoint.
     pub announcement: Announcement,
-    /// Whether it lives.
+    /// Liveness of the endpoint.
     pub liveness: Liveness,
     pub(crate) key: Key,
     pub(crate) renewed: Moment,
-    /// The host that took the newest announcement; none where it was this one.
+    /// Host that the newest announcement came from; `None` if the endpoint sent it to this host.
     source: Option<HostId>,
     failures: Failures,
 }
@@ -44,20 +43,20 @@
     last: Option<Moment>,
 }
 
-/// What a merge brought.
+/// Result of merging an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// Nothing new.
+    /// The announcement contained nothing new.
     Stale,
-    /// A renewal; with a new load or without.
+    /// The announcement was renewed.
     Renewed { has_new_load: bool },
-    /// A new endpoint, a new life, or a changed record.
+    /// The endpoint or its incarnation is new, or its record changed.
     Joined,
-    /// A leaving notice.
+    /// The endpoint began to leave.
     Leaving,
 }
 
-/// All endpoints of the data centre.
+/// Endpoints of the data centre.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     records: IndexMap<EndpointId, Record>,
@@ -78,17 +77,17 @@
         self.records.values()
     }
 
-    /// The digest of all endpoints that aren't gone.
+    /// Returns the digest of all endpoints that aren't gone.
     pub(crate) fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// The endpoints with this key; more than one where keys collide.
+    /// Returns the endpoints with a key; several if keys collide.
     pub(crate) fn endpoints_with_key(&self, key: Key) -> &[EndpointId] {
         self.keys.get(&key).map_or(&[], Vec::as_slice)
     }
 
-    /// The endpoint with this key, where there is exactly one.
+    /// Returns the endpoint with a key, or `None` unless there is exactly one.
     pub(crate) fn endpoint_with_key(&self, key: Key) -> Option<&EndpointId> {
         match self.endpoints_with_key(key) {
             [id] => Some(id),
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Takes an announcement that is `age` old, unless a newer one is known.
+    /// Merges an announcement that was renewed `age` ago, unless a newer one is known.
     pub(crate) fn merge(
         &mut self,
         now: Moment,
@@ -108,7 +107,7 @@
         let renewed = moment_before(now, age);
         let known = self.records.get(&announcement.endpoint);
         match known.map(|record| (ordering_key(record), record.liveness)) {
-            // Late, but a leaving notice counts whenever it comes.
+            // A leaving notice is never outdated within an incarnation.
             Some(((boot, sequence), _))
                 if announcement.boot == boot && announcement.sequence <= sequence =>
             {
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Takes a renewal of the record with this key; `None` where it isn't known.
+    /// Merges a renewal of the record with a key. Returns `None` if the key is unknown.
     pub(crate) fn merge_renewal(
         &mut self,
         now: Moment,
@@ -156,7 +155,7 @@
         Some(self.merge(now, announcement, Duration::ZERO, Some(source.clone()), out))
     }
 
-    /// Takes a leaving notice on the record with this key; `None` where it isn't known.
+    /// Merges a leaving notice for the record with a key. Returns `None` if the key is unknown.
     pub(crate) fn merge_leaving(
         &mut self,
         key: Key,
@@ -169,7 +168,7 @@
         Some(self.mark_leaving(&id, out))
     }
 
-    /// Notes a failed dispatch.
+    /// Records a failed dispatch.
     pub(crate) fn record_failure(&mut self, now: Moment, id: &EndpointId, out: &mut Vec<Output>) {
         let Some(record) = self.records.get_mut(id) else {
             return;
@@ -182,22 +181,23 @@
         }
         record.failures.count += 1;
         record.failures.last = Some(now);
-        let late = now - record.renewed > LATE_AFTER;
-        if record.liveness == Liveness::Alive && (late || record.failures.count >= FAILURE_LIMIT) {
+        let is_late = now - record.renewed > LATE_AFTER;
+        if record.liveness == Liveness::Alive && (is_late || record.failures.count >= FAILURE_LIMIT)
+        {
             record.liveness = Liveness::Suspect;
             emit(out, id, Change::Suspect);
         }
     }
 
-    /// Suspects and buries endpoints that weren't renewed. `is_silent` tells whether a host that
-    /// took a renewal has fallen silent since.
+    /// Marks endpoints without renewals as suspect or gone, and removes those that have been gone
+    /// for long. `is_silent` returns whether the host that a renewal came from is silent.
     pub(crate) fn expire(
         &mut self,
         now: Moment,
         is_silent: impl Fn(&HostId) -> bool,
         out: &mut Vec<Output>,
     ) {
-        let mut forgotten = Vec::new();
+        let mut expired = Vec::new();
         for (id, record) in &mut self.records {
             let silence = now - record.renewed;
             let grace = match &record.source {
@@ -214,11 +214,11 @@
                     record.liveness = Liveness::Gone;
                     emit(out, id, Change::Gone);
                 }
-                Liveness::Gone if silence > FORGET_AFTER => forgotten.push(id.clone()),
+                Liveness::Gone if silence > FORGET_AFTER => expired.push(id.clone()),
                 _ => {}
             }
         }
-        for id in forgotten {
+        for id in expired {
             self.remove(&id);
         }
     }
@@ -236,29 +236,29 @@
         let Some(record) = self.records.get_mut(&id) else {
             return Outcome::Stale;
         };
-        let (changed, left) = (
+        let (has_new_key, starts_leaving) = (
             record.key != key,
             announcement.leaving && !record.announcement.leaving,
         );
-        let had = record.announcement.leaving;
+        let was_leaving = record.announcement.leaving;
         self.digest ^= digest_contribution(record);
         let has_new_load = replace_announcement(&mut record.announcement, announcement);
-        // A life that has begun to leave doesn't come back.
-        record.announcement.leaving |= had;
+        // Leaving is final within an incarnation.
+        record.announcement.leaving |= was_leaving;
         let old_key = std::mem::replace(&mut record.key, key);
         self.digest ^= digest_contribution(record);
         record.renewed = record.renewed.max(renewed);
         record.source = source;
         record.clear_suspicion(now, out);
         emit(out, &id, Change::Renewed(record.announcement.clone()));
-        if left {
+        if starts_leaving {
             emit(out, &id, Change::Leaving);
         }
-        if changed {
+        if has_new_key {
             self.unlink(old_key, &id);
             self.keys.entry(key).or_default().push(id);
         }
-        match (left, changed) {
+        match (starts_leaving, has_new_key) {
             (true, _) => Outcome::Leaving,
             (_, true) => Outcome::Joined,
             _ => Outcome::Renewed { has_new_load },
@@ -336,12 +336,12 @@
 
 impl Record {
     fn clear_suspicion(&mut self, now: Moment, out: &mut Vec<Output>) {
-        let held = self
+        let is_held = self
             .failures
             .last
             .is_some_and(|last| now - last < FAILURE_HOLD);
-        let fresh = now - self.renewed <= SUSPECT_AFTER;
-        if self.liveness == Liveness::Suspect && fresh && !held {
+        let is_fresh = now - self.renewed <= SUSPECT_AFTER;
+        if self.liveness == Liveness::Suspect && is_fresh && !is_held {
             self.liveness = Liveness::Alive;
             self.failures = Failures::default();
             emit(out, &self.announcement.endpoint, Change::Recovered);
@@ -364,7 +364,7 @@
     });
 }
 
-/// Replaces an announcement by a newer one of the same life, but keeps the newer load of the two.
+/// Replaces an announcement by a newer one of the same incarnation and keeps the newer load.
 /// Returns whether the load is new.
 fn replace_announcement(old: &mut Announcement, mut new: Announcement) -> bool {
     let known = load_mut(old).and_then(Option::take);
--- a/crates/kumquatdrum_membership/src/timing.rs
+++ b/crates/kumquatdrum_membership/src/timing.rs
@@ -1,68 +1,68 @@
-//! The times and sizes that liveness and gossip are built on.
+//! Intervals, timeouts and size limits of membership and failure detection.
 
 use std::time::Duration;
 
-/// Endpoints are asked to renew their announcement this often.
+/// Interval at which endpoints are expected to renew their announcement.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
-/// An endpoint without renewal for this long is suspect.
+/// Time without renewal after which an endpoint is suspect.
 pub const SUSPECT_AFTER: Duration = Duration::from_secs(4);
-/// An endpoint without renewal for this long is gone.
+/// Time without renewal after which an endpoint is gone.
 pub const GONE_AFTER: Duration = Duration::from_secs(10);
-/// An endpoint whose last renewal came through a host that fell silent gets this much longer, as
-/// it has to find another host first.
+/// Additional time for an endpoint whose last renewal came from a host that is now silent, so that
+/// the endpoint can switch to another host.
 pub const HANDOVER_GRACE: Duration = Duration::from_secs(3);
-/// A gone endpoint is remembered this long, so that late messages don't bring it back.
+/// Time for which a gone endpoint is remembered, so that late messages don't add it again.
 pub const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// A renewal older than this makes one failed dispatch enough for suspicion.
+/// Age of the last renewal at which a single failed dispatch makes an endpoint suspect.
 pub const LATE_AFTER: Duration = Duration::from_millis(2_500);
-/// Failed dispatches within [`FAILURE_WINDOW`] that make an endpoint suspect.
+/// Number of failed dispatches within [`FAILURE_WINDOW`] that make an endpoint suspect.
 pub const FAILURE_LIMIT: u32 = 3;
-/// The time over which failed dispatches are counted.
+/// Window over which failed dispatches are counted.
 pub const FAILURE_WINDOW: Duration = Duration::from_secs(5);
-/// An endpoint suspected for its failures stays so at least this long after the last of them.
+/// Minimum time for which an endpoint stays suspect after its last failed dispatch.
 pub const FAILURE_HOLD: Duration = Duration::from_secs(2);
 
-/// The daemon should tick about this often; one peer is pushed to in each such slot.
+/// Expected interval between ticks; about one push is sent per tick.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(40);
-/// No peer is pushed to more often than this.
+/// Minimum interval between two pushes to the same peer.
 pub const PUSH_INTERVAL_MIN: Duration = Duration::from_millis(200);
-/// Each peer of the data centre is pushed to at least this often.
+/// Maximum interval between two pushes to the same peer.
 pub const PUSH_INTERVAL_MAX: Duration = Duration::from_secs(1);
-/// The bytes of one push, where the data centre is small.
+/// Minimum size limit of a push.
 pub const PUSH_BYTES: usize = 1_000;
-/// The bytes of one push that each endpoint of the data centre adds, where it is large.
+/// Size limit of a push per endpoint of the data centre, if above [`PUSH_BYTES`].
 pub const PUSH_BYTES_PER_ENDPOINT: usize = 5;
-/// The bytes of one push that other data centres' summaries may take.
+/// Size limit for the summaries of other data centres in a push.
 pub const PUSH_SUMMARY_BYTES: usize = 400;
 
-/// A peer not heard for this long counts as silent.
+/// Time without a message after which a peer is silent.
 pub const SILENT_AFTER: Duration = Duration::from_secs(3);
-/// What a peer said of others counts for this long.
+/// Time for which a peer's report about other hosts is valid.
 pub const REPORT_VALIDITY: Duration = Duration::from_millis(2_500);
-/// A suspect peer is dead after this long.
+/// Time after which a suspect peer is dead.
 pub const DEAD_AFTER: Duration = Duration::from_secs(7);
-/// A gap between two ticks longer than this is the daemon's own; nothing is suspected for a while.
+/// Gap between two ticks that indicates a stall of this daemon; suspicions are then suspended.
 pub const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// Hosts that must hold a leaving notice before the endpoint is told so, where there are as many.
+/// Number of other live hosts that must confirm a leaving notice, or all if there are fewer.
 pub const NOTICE_COPIES: usize = 2;
-/// An unconfirmed leaving notice is sent again after this long.
+/// Interval at which unconfirmed leaving notices are resent.
 pub const NOTICE_RETRY: Duration = Duration::from_millis(200);
-/// A leaving notice is no longer sent again after this long; the exchange of digests does the rest.
+/// Time after which leaving notices are left to anti-entropy.
 pub const NOTICE_EXPIRY: Duration = Duration::from_secs(5);
 
-/// Tables that differ for this long are compared.
+/// Time for which two tables must differ before they are compared.
 pub const MISMATCH_AFTER: Duration = Duration::from_secs(1);
-/// Tables are compared at most this often.
+/// Minimum interval between table comparisons.
 pub const TABLE_COMPARISON_INTERVAL: Duration = Duration::from_secs(1);
-/// Rosters are compared at most this often.
+/// Minimum interval between roster exchanges.
 pub const ROSTER_INTERVAL: Duration = Duration::from_secs(5);
-/// Records, keys or members of one message.
+/// Maximum number of records or members in a message.
 pub const ITEMS_PER_MESSAGE: usize = 100;
 
-/// Relays tell each other the state of their data centres this often.
+/// Interval at which relays send each other the state of their data centres.
 pub const SUMMARY_INTERVAL: Duration = Duration::from_secs(2);
-/// A data centre without a summary for this long is cut off.
+/// Time without a summary after which a data centre is cut off.
 pub const CUT_OFF_AFTER: Duration = Duration::from_secs(8);
-/// A changed summary is passed on within the data centre at most this often.
+/// Minimum interval between two forwards of a summary within the data centre.
 pub const SUMMARY_FORWARD_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/kumquatdrum_membership/tests/it/cluster.rs
+++ b/crates/kumquatdrum_membership/tests/it/cluster.rs
@@ -1,4 +1,4 @@
-//! Membership cores of some data centres on one network, with endpoints that renew.
+//! Simulated membership cluster with endpoints that renew their announcements.
 
 use std::time::Duration;
 
@@ -18,14 +18,14 @@
     pub member: Member,
     pub is_up: bool,
     pub frozen_until: Moment,
-    /// All outputs but messages, with their moments.
+    /// All outputs other than messages, with their times.
     pub events: Vec<(Moment, Output)>,
 }
 
-/// An endpoint that renews each second.
+/// Endpoint that renews its announcement every second.
 pub struct Endpoint {
     pub announcement: Announcement,
-    /// The host that takes its announcements.
+    /// Host that receives its announcements.
     pub receiver: HostId,
     pub is_up: bool,
     due: Moment,
@@ -72,7 +72,7 @@
 }
 
 impl Cluster {
-    /// `hosts` hosts in each data centre.
+    /// Creates a cluster with `hosts` hosts in each data centre.
     pub fn new(seed: u64, faults: Faults, data_centres: &[&str], hosts: usize) -> Self {
         let mut cluster = Self {
             network: Network::new(seed, faults),
@@ -105,7 +105,7 @@
         self.daemons.insert(member.host, daemon);
     }
 
-    /// Starts a new life of a daemon, with nothing but its settings: all hosts.
+    /// Restarts a daemon with all hosts in its settings.
     pub fn restart(&mut self, host: &HostId) {
         let others: Vec<Member> = self
             .daemons
@@ -119,7 +119,7 @@
         self.start(host, others);
     }
 
-    /// Starts a new life of a daemon that knows only these others.
+    /// Starts a new incarnation of a daemon with the given hosts in its settings.
     pub fn start(&mut self, host: &HostId, others: Vec<Member>) {
         let daemon = &mut self.daemons[host];
         daemon.member.boot.0 += 1;
@@ -127,14 +127,14 @@
         daemon.is_up = true;
     }
 
-    /// Adds a host that no other one's settings name.
+    /// Adds a host that is missing from the settings of all others.
     pub fn add_unlisted_host(&mut self, member: Member, known: Member) {
         let host = member.host.clone();
         self.add(member);
         self.start(&host, vec![known]);
     }
 
-    /// A daemon dies, and what it had under way is lost.
+    /// Stops a daemon and drops its in-flight messages.
     pub fn kill(&mut self, host: &HostId) {
         self.daemons[host].is_up = false;
         self.network.drop_in_flight(host);
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Adds an endpoint that announces itself to a host from now on.
+    /// Adds an endpoint that announces itself to a host.
     pub fn add_endpoint(&mut self, announcement: Announcement, receiver: &HostId) {
         let jitter = self.network.pick(0, 999);
         let endpoint = Endpoint {
@@ -213,7 +213,7 @@
         self.run_until(time, |_| false);
     }
 
-    /// Runs for some time, or until the condition holds; returns whether it does.
+    /// Runs until the condition holds or the time has passed. Returns whether it holds.
     pub fn run_until(&mut self, time: Duration, mut is_done: impl FnMut(&Self) -> bool) -> bool {
         let end = self.network.now + time;
         while self.network.now < end {
@@ -235,7 +235,7 @@
     }
 
     fn deliver(&mut self, delivery: Delivery) {
-        // A frozen daemon's messages wait in its sockets; here they are lost, which is worse.
+        // Messages to a frozen daemon are lost, which is stricter than waiting in its sockets.
         if self.daemons[&delivery.to].frozen_until > self.network.now {
             return;
         }
@@ -277,13 +277,13 @@
         }
     }
 
-    /// The state of an endpoint on a host.
+    /// Returns the liveness of an endpoint on a host.
     pub fn liveness(&self, host: &HostId, endpoint: &str) -> Option<Liveness> {
         let record = self.daemons[host].core.endpoint(&endpoint.into())?;
         Some(record.liveness)
     }
 
-    /// Whether a host would give an endpoint new work.
+    /// Returns whether a host would dispatch new work to an endpoint.
     pub fn takes_work(&self, host: &HostId, endpoint: &str) -> bool {
         let record = self.daemons[host].core.endpoint(&endpoint.into());
         record.is_some_and(|record| {
@@ -291,7 +291,7 @@
         })
     }
 
-    /// The changes of an endpoint that a host gave out.
+    /// Returns the changes of an endpoint that a host emitted.
     pub fn changes(&self, host: &HostId, endpoint: &str) -> Vec<Change> {
         let events = self.daemons[host].events.iter();
         events
@@ -309,7 +309,7 @@
     }
 }
 
-/// A load as a busy engine reports it, with a counter for each owner.
+/// Sets a new load that keeps the `seen` counters.
 fn renew_load(announcement: &mut Announcement) {
     let number = announcement.sequence;
     if let endpoint::Kind::Engine(engine) = &mut announcement.kind {
--- a/crates/kumquatdrum_membership/tests/it/endpoints.rs
+++ b/crates/kumquatdrum_membership/tests/it/endpoints.rs
@@ -1,10 +1,9 @@
-//! Endpoints: leaving, death, silence, return, failed dispatches, bytes.
+//! Leaving, failure detection, restarts and loads of endpoints, and sizes of pushes.
 
 use std::time::Duration;
 
 use kumquatdrum_membership::{Change, Input, Liveness, Message, Output, Refusal, Snapshot};
-use kumquatdrum_types::endpoint;
-use kumquatdrum_types::{BootId, EndpointId, HostId, Load};
+use kumquatdrum_types::{BootId, EndpointId, HostId, Load, endpoint};
 
 use crate::cluster::{Cluster, announcement, seconds};
 use crate::network::{Faults, LOSSY, RELIABLE};
@@ -22,7 +21,7 @@
     cluster
 }
 
-/// The endpoint leaves by a notice to one host, which dies as soon as it has acknowledged it.
+/// Sends a leaving notice to one host and kills the host as soon as it acknowledges.
 fn leave_through(cluster: &mut Cluster, receiver: &HostId, context: &str) {
     let endpoint = &mut cluster.endpoints["engine"];
     endpoint.is_up = false;
@@ -44,8 +43,8 @@
     let passed = cluster.network.now - start;
     cluster.run(LEAVING_TIMEOUT.saturating_sub(passed));
     for host in cluster.hosts_of("ikeja") {
-        let is_told = host == *receiver || !cluster.takes_work(&host, "engine");
-        assert!(is_told, "{context}: {host} still dispatches work");
+        let is_informed = host == *receiver || !cluster.takes_work(&host, "engine");
+        assert!(is_informed, "{context}: {host} still dispatches work");
     }
 }
 
@@ -114,7 +113,7 @@
     notice.sequence += 1;
     cluster.announce(&first, notice);
     cluster.kill(&first);
-    // No acknowledgement, so the endpoint tells another host.
+    // Without an acknowledgement the endpoint sends the notice to another host.
     leave_through(&mut cluster, &second, "second receiver");
 }
 
@@ -126,14 +125,14 @@
         let endpoint = &mut cluster.endpoints["engine"];
         endpoint.announcement.leaving = true;
         endpoint.receiver = receiver.clone();
-        let is_told = |cluster: &Cluster| {
+        let is_informed = |cluster: &Cluster| {
             let hosts = cluster.hosts_of("ikeja");
             hosts
                 .iter()
                 .filter(|host| **host != receiver)
                 .all(|host| !cluster.takes_work(host, "engine"))
         };
-        assert!(cluster.run_until(seconds(4), is_told), "seed {seed}");
+        assert!(cluster.run_until(seconds(4), is_informed), "seed {seed}");
     }
 }
 
@@ -196,7 +195,7 @@
     for _ in 0..8 {
         cluster.run(Duration::from_millis(2_500));
         slow.sequence += 1;
-        // No load: it only says that it lives.
+        // The renewal carries no new load.
         cluster.announce(&receiver, slow.clone());
     }
     for host in cluster.hosts_of("ikeja") {
@@ -210,7 +209,7 @@
     let receiver = cluster.host(0);
     cluster.kill(&receiver);
     cluster.endpoints["engine"].is_up = false;
-    // Beyond the bound for silence: the taker's death may explain it.
+    // Longer than an endpoint may be silent whose receiver is alive.
     cluster.run(Duration::from_millis(5_500));
     let other = cluster.host(7);
     let endpoint = &mut cluster.endpoints["engine"];
@@ -389,7 +388,7 @@
     cluster
 }
 
-/// 25 hosts and 300 endpoints: pushes keep to their bound, all hosts know all endpoints alive.
+/// Checks the size of pushes and that all of 25 hosts know all of 300 endpoints as alive.
 fn check_large_cluster(receivers: usize) {
     let mut cluster = large_cluster(1, receivers);
     cluster.run(seconds(9));
--- a/crates/kumquatdrum_membership/tests/it/hosts.rs
+++ b/crates/kumquatdrum_membership/tests/it/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts: death, broken paths, restarts, cut-off data centres, strangers.
+//! Failure detection of hosts and data centres, and changes of the roster.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 
 fn condition(cluster: &Cluster, on: &HostId, of: &HostId) -> Condition {
     let mut hosts = cluster.daemons[on].core.hosts();
-    let view = hosts.find(|view| view.member.host == *of);
-    view.expect("known").condition
+    let peer = hosts.find(|peer| peer.member.host == *of);
+    peer.expect("known").condition
 }
 
 fn has_reported(
@@ -220,7 +220,7 @@
         let is_known = daemon
             .core
             .hosts()
-            .any(|view| view.member.host == unlisted.host);
+            .any(|peer| peer.member.host == unlisted.host);
         assert!(is_known || *host == unlisted.host, "{host}");
         assert_eq!(daemon.core.hosts().count(), 9, "{host}");
     }
@@ -244,7 +244,7 @@
     cluster.run(Duration::from_secs(40));
     for (host, daemon) in cluster.daemons.iter().filter(|(host, _)| **host != moved) {
         let mut hosts = daemon.core.hosts();
-        let view = hosts.find(|view| view.member.host == moved).unwrap();
-        assert_eq!(view.member.address, address, "{host}");
+        let peer = hosts.find(|peer| peer.member.host == moved).unwrap();
+        assert_eq!(peer.member.address, address, "{host}");
     }
 }
--- a/crates/kumquatdrum_membership/tests/it/main.rs
+++ b/crates/kumquatdrum_membership/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! The cores under a small network by seed.
+//! Membership and propagation on a simulated network.
 
 mod cluster;
 mod endpoints;
--- a/crates/kumquatdrum_membership/tests/it/network.rs
+++ b/crates/kumquatdrum_membership/tests/it/network.rs
@@ -1,4 +1,4 @@
-//! A network in virtual time: delay, loss, duplication, cuts, all by seed.
+//! Simulated network in virtual time with seeded delays, losses, duplicates and cuts.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -6,7 +6,7 @@
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// What the network does to messages.
+/// Faults that the network applies to messages.
 #[derive(Debug, Clone, Copy)]
 pub struct Faults {
     pub loss_percent: u32,
@@ -14,21 +14,21 @@
     pub delay_millis: (u64, u64),
 }
 
-/// A quiet network.
+/// Network with short delays and no losses.
 pub const RELIABLE: Faults = Faults {
     loss_percent: 0,
     duplicate_percent: 0,
     delay_millis: (1, 5),
 };
 
-/// A bad one; messages overtake each other by up to 400 ms.
+/// Network with losses, duplicates and reordering within 400 ms.
 pub const LOSSY: Faults = Faults {
     loss_percent: 15,
     duplicate_percent: 10,
     delay_millis: (1, 400),
 };
 
-/// A message that arrives.
+/// Message in transit.
 #[derive(Debug, Clone)]
 pub struct Delivery {
     pub from: HostId,
@@ -40,7 +40,7 @@
 pub struct Network {
     pub now: Moment,
     pub faults: Faults,
-    /// Messages and bytes that each host has sent.
+    /// Messages and bytes sent by each host.
     pub sent: HashMap<HostId, (u64, u64)>,
     random: Pcg32,
     queue: BTreeMap<(Moment, u64), Delivery>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A number from `low` to `high`, both included.
+    /// Returns a random number from `low` to `high` inclusive.
     pub fn pick(&mut self, low: u64, high: u64) -> u64 {
         low + u64::from(self.random.next_u32()) % (high - low + 1)
     }
@@ -90,7 +90,7 @@
         self.queue.insert((at, self.order), delivery);
     }
 
-    /// The next message that arrives until then; what a cut swallows never does.
+    /// Returns the next message that arrives by `until`, skipping messages on cut paths.
     pub fn next(&mut self, until: Moment) -> Option<Delivery> {
         loop {
             let (at, _) = *self.queue.keys().next().filter(|(at, _)| *at <= until)?;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Swallows what goes from one host to another.
+    /// Drops all messages from one host to another.
     pub fn cut(&mut self, from: &HostId, to: &HostId) {
         self.cuts.insert((from.clone(), to.clone()));
     }
@@ -116,7 +116,7 @@
         self.cuts.clear();
     }
 
-    /// Loses what a host that died had under way.
+    /// Drops the in-flight messages of a host that died.
     pub fn drop_in_flight(&mut self, from: &HostId) {
         self.queue.retain(|_, delivery| delivery.from != *from);
     }
--- a/crates/kumquatdrum_membership/tests/it/propagation.rs
+++ b/crates/kumquatdrum_membership/tests/it/propagation.rs
@@ -1,4 +1,4 @@
-//! The spread of the setup in force: only upwards, everywhere, with little text.
+//! Propagation of the setup in force: versions never decrease and reach all hosts as deltas.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -13,7 +13,7 @@
     Duration::from_secs(count)
 }
 
-/// A declaration of some size of which each version changes one number.
+/// Returns a declaration of 200 lines, of which each version changes one.
 fn text(number: u64) -> String {
     let line = |index| {
         format!(
@@ -27,7 +27,7 @@
     lines.join("\n")
 }
 
-/// Nine hosts in three data centres, three control replicas, version 1 in force.
+/// Creates nine hosts in three data centres with three control replicas and version 1 in force.
 fn steady_cluster(seed: u64, faults: Faults) -> Cluster {
     let mut cluster = Cluster::new(seed, faults, 3, 3, 3);
     accept(&mut cluster);
@@ -70,7 +70,7 @@
         accept(&mut cluster);
         cluster.run(seconds(2));
     }
-    // Nine hosts, of which three replicas have it from the log.
+    // Three of the nine hosts receive versions from the log of their replica.
     assert_eq!(cluster.texts, 20 * 6);
     let whole = text(1).len() as u64;
     assert!(cluster.text_bytes / cluster.texts < whole / 2);
@@ -137,8 +137,8 @@
         let since = host.core.cut_off_since();
         let is_inside = host.data_centre.as_str() == "dc-02";
         assert_eq!(since.is_some(), is_inside, "{id}");
-        let is_about = since.is_none_or(|since| since - cut_at < seconds(1));
-        assert!(is_about, "{id}: {since:?}");
+        let is_close = since.is_none_or(|since| since - cut_at < seconds(1));
+        assert!(is_close, "{id}: {since:?}");
         let expected = if is_inside { Version(1) } else { version };
         assert_eq!(host.core.version(), expected, "{id}");
     }
@@ -156,7 +156,7 @@
     accept(&mut cluster);
     cluster.run(seconds(8));
     cluster.cut_off("dc-03");
-    // Not later than the bound, whoever told whom what it had heard of a majority.
+    // Indirect reports of a majority must not delay the detection.
     cluster.run(seconds(11));
     for (id, host) in &cluster.hosts {
         let is_inside = host.data_centre.as_str() == "dc-03";
@@ -183,15 +183,15 @@
 fn a_text_with_a_wrong_digest_or_base_is_not_put_in_force() {
     let mut cluster = steady_cluster(1, RELIABLE);
     let (host, other) = (cluster.host(4), cluster.host(5));
-    let held = Setup::new(Version(1), text(1));
+    let current = Setup::new(Version(1), text(1));
     let next = Setup::new(Version(9), text(9));
     let elsewhere = Setup::new(Version(5), text(1));
     let texts = [
-        Text::Whole(held.text.clone()),
+        Text::Whole(current.text.clone()),
         Text::between(Some(&elsewhere), &next),
     ];
     for text in texts {
-        let news = Transfer {
+        let transfer = Transfer {
             version: next.version,
             digest: next.digest.clone(),
             text,
@@ -199,7 +199,7 @@
         let input = Input::Peer {
             from: other.clone(),
             boot: BootId(1),
-            message: Message::Transfer(news),
+            message: Message::Transfer(transfer),
         };
         cluster.input(&host, input);
         assert_eq!(cluster.hosts[&host].core.version(), Version(1));
@@ -222,7 +222,7 @@
     }
 }
 
-/// One random event; at least one replica of three applies each version soon.
+/// Injects one random fault or change.
 fn inject_fault(cluster: &mut Cluster) {
     let hosts = cluster.hosts.len() as u64;
     let index = cluster.network.pick(0, hosts - 1) as usize;
@@ -244,7 +244,7 @@
     }
 }
 
-/// Every host's versions in one life rise, and are accepted ones, text and all.
+/// Checks that the versions of each host increase and that their texts were accepted.
 fn check(cluster: &Cluster, seed: u64) {
     for (id, host) in &cluster.hosts {
         let mut highest = Version(0);
@@ -308,11 +308,11 @@
         let mut cluster = Cluster::new(7, RELIABLE, 9, 3, 3);
         accept(&mut cluster);
         assert!(cluster.run_until(seconds(8), |cluster| cluster.is_everywhere(Version(1))));
-        // Past the exchange that any start brings.
+        // Waits for the exchanges that follow a start.
         cluster.run(seconds(5));
         let version = cluster.accept(text(2));
         cluster.apply(&cluster.control_replicas[leader].clone());
-        // The followers hear of the commit with the next heartbeat; the spread is faster.
+        // The followers learn of the commit with the next heartbeat, after the propagation.
         cluster.run(Duration::from_millis(100));
         cluster.apply_all();
         let is_done = |cluster: &Cluster| cluster.is_everywhere(version);
--- a/crates/kumquatdrum_membership/tests/it/propagation_cluster.rs
+++ b/crates/kumquatdrum_membership/tests/it/propagation_cluster.rs
@@ -1,4 +1,4 @@
-//! Spread cores of some data centres on one network, with a register of accepted versions.
+//! Simulated propagation cluster with a list of accepted versions.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::network::{Delivery, Faults, Network};
 
 pub const TICK: Duration = Duration::from_millis(40);
-/// Statuses ride on pushes, of which each host gets one a second at the least.
+/// Statuses are piggybacked on pushes, which each host receives at least once a second.
 const TICKS_PER_STATUS: u32 = 25;
 
 pub struct Host {
@@ -21,7 +21,7 @@
     pub is_up: bool,
     pub events: Vec<(Moment, Output)>,
     status: Option<Status>,
-    /// What its disk holds; control replicas only.
+    /// Setup stored on disk; control replicas only.
     disk: Option<Setup>,
 }
 
@@ -29,27 +29,27 @@
     pub network: Network,
     pub hosts: IndexMap<HostId, Host>,
     pub control_replicas: Vec<HostId>,
-    /// All accepted versions, in order.
+    /// Accepted versions in order.
     pub accepted: Vec<Setup>,
-    /// Bytes of text sent, and messages that carried any.
+    /// Literal text bytes sent, and number of messages with text.
     pub text_bytes: u64,
     pub texts: u64,
-    /// Messages and bytes of them; statuses aside, which ride on other messages.
+    /// Messages sent and their bytes, without piggybacked statuses.
     pub messages: u64,
     pub bytes: u64,
     next_tick: Moment,
     ticks: u32,
 }
 
-/// A frame of either kind.
+/// Content of a simulated frame.
 enum Frame {
     Message(Message),
     Status(Status),
 }
 
 impl Cluster {
-    /// `hosts` hosts in each data centre; the first of each of the first `replicas` ones is a
-    /// control replica.
+    /// Creates a cluster with `hosts` hosts in each data centre. The first hosts of the first
+    /// `replicas` data centres are control replicas.
     pub fn new(seed: u64, faults: Faults, centres: usize, hosts: usize, replicas: usize) -> Self {
         let mut cluster = Self {
             network: Network::new(seed, faults),
@@ -102,7 +102,7 @@
         self.hosts.get_index(index).unwrap().0.clone()
     }
 
-    /// Starts a new life of a host.
+    /// Starts a new incarnation of a host.
     pub fn start(&mut self, host: &HostId) {
         let state = &mut self.hosts[host];
         state.boot.0 += 1;
@@ -133,7 +133,7 @@
         self.inform_all_hosts(host, false);
     }
 
-    /// Membership tells all hosts of one.
+    /// Informs all hosts about the liveness of one host, as membership does.
     fn inform_all_hosts(&mut self, host: &HostId, is_alive: bool) {
         let data_centre = self.hosts[host].data_centre.clone();
         let all: Vec<HostId> = self.hosts.keys().cloned().collect();
@@ -151,14 +151,14 @@
         self.input(to, input);
     }
 
-    /// A majority accepts a version; each replica of it that is up learns it, in its own time.
+    /// Adds an accepted version, which replicas apply later.
     pub fn accept(&mut self, text: String) -> Version {
         let version = Version(self.accepted.len() as u64 + 1);
         self.accepted.push(Setup::new(version, text));
         version
     }
 
-    /// A replica applies what was accepted up to now, where it is in touch with a majority.
+    /// Applies the latest accepted version at a replica that is in contact with a majority.
     pub fn apply(&mut self, replica: &HostId) {
         let Some(latest) = self.accepted.last().cloned() else {
             return;
@@ -210,7 +210,7 @@
             Frame::Message(message) => postcard::to_stdvec(message),
             Frame::Status(status) => postcard::to_stdvec(status),
         };
-        // A status isn't told from a message by its bytes: the first byte says which it is.
+        // The first byte distinguishes a status from a message.
         let kind = u8::from(matches!(frame, Frame::Status(_)));
         let mut bytes = vec![kind];
         bytes.extend(body.unwrap());
@@ -237,7 +237,7 @@
         self.run_until(time, |_| false);
     }
 
-    /// Runs for some time, or until the condition holds; returns whether it does.
+    /// Runs until the condition holds or the time has passed. Returns whether it holds.
     pub fn run_until(&mut self, time: Duration, mut is_done: impl FnMut(&Self) -> bool) -> bool {
         let end = self.network.now + time;
         while self.network.now < end {
@@ -286,7 +286,7 @@
         }
     }
 
-    /// A replica says so as long as it is in touch with a majority and up to date.
+    /// Reports a majority at a replica that is up to date and in contact with one.
     fn input_majority(&mut self, replica: &HostId) {
         let accepted = self.accepted.last().map_or(Version(0), |last| last.version);
         if self.has_majority(replica) && self.hosts[replica].core.version() == accepted {
@@ -340,7 +340,7 @@
         up.all(|host| host.core.version() == version && host.core.is_ready())
     }
 
-    /// Whether a host knows that all hosts have a version.
+    /// Returns whether a host knows that all hosts have a version.
     pub fn knows_everywhere(&self, host: &HostId, version: Version) -> bool {
         let installations = self.hosts[host].core.installations();
         let count = installations
--- a/crates/kumquatdrum_membership/tests/it/schedules.rs
+++ b/crates/kumquatdrum_membership/tests/it/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules: what must hold at each step, and that all agree after healing.
+//! Random schedules of faults: records never go back, and all hosts agree after healing.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -13,7 +13,7 @@
 const HOSTS: usize = 5;
 const ENDPOINTS: usize = 6;
 
-/// The newest that each host, in each life, has known of each endpoint, and whether it was leaving.
+/// Newest record of each endpoint seen by each incarnation of a host, and whether it was leaving.
 type Known = HashMap<(HostId, BootId, EndpointId), (BootId, u64, bool)>;
 
 fn check(cluster: &Cluster, known: &mut Known, seed: u64) {
@@ -37,7 +37,7 @@
     }
 }
 
-/// One random event.
+/// Injects one random fault or change.
 fn inject_fault(cluster: &mut Cluster) {
     let picks = [(); 2].map(|()| cluster.network.pick(0, HOSTS as u64 - 1) as usize);
     let [host, other] = picks.map(|index| cluster.host(index));
@@ -60,7 +60,7 @@
     }
 }
 
-/// Ends all disturbance; endpoints that stay renew with hosts that live.
+/// Ends all faults and restarts stopped hosts.
 fn recover(cluster: &mut Cluster) {
     cluster.network.heal();
     cluster.network.faults = RELIABLE;
--- a/crates/kumquatdrum_membership/tests/it/texts.rs
+++ b/crates/kumquatdrum_membership/tests/it/texts.rs
@@ -1,4 +1,4 @@
-//! Differences between texts.
+//! Deltas between texts.
 
 use kumquatdrum_membership::propagation::{Setup, Text};
 use kumquatdrum_types::Version;
