--- a/crates/kumquatdrum_gateway/src/gateway/start.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/start.rs
@@ -7,7 +7,7 @@
 
 use http::{Request, Response};
 use hyper::body::Incoming;
-use kumquatdrum_peer::{Client, Counters, Identity, Local, Secret};
+use kumquatdrum_peer::{Client, Counters, Identity, LocalDaemon, Secret};
 use kumquatdrum_process::clock::{Clock, unix_ms};
 use kumquatdrum_registry::Update;
 use kumquatdrum_types::BootId;
@@ -105,7 +105,7 @@
     recalled: Vec<Update>,
 ) -> Result<(Arc<Gateway>, Running), StartError> {
     let boot = BootId(unix_ms());
-    let local = Local {
+    let local = LocalDaemon {
         cluster: settings.cluster.name.clone(),
         secret: Secret::new(&settings.cluster.secret),
         identity: Identity {
@@ -151,7 +151,7 @@
     settings: Settings,
     protocol: Arc<dyn Protocol>,
     logger: slog::Logger,
-    local: &Local,
+    local: &LocalDaemon,
     replica: Option<Handle>,
 ) -> Result<Arc<Gateway>, StartError> {
     let clock = Clock::start();
@@ -350,7 +350,7 @@
 async fn serve_peers(
     listener: TcpListener,
     gateway: Arc<Gateway>,
-    local: Local,
+    local: LocalDaemon,
     mut stop: watch::Receiver<bool>,
 ) {
     let stopped = async move {
--- a/crates/kumquatdrum_gateway/tests/broadcast.rs
+++ b/crates/kumquatdrum_gateway/tests/broadcast.rs
@@ -12,7 +12,7 @@
 use kumquatdrum_gateway::hosts::Hosts;
 use kumquatdrum_gateway::message::{Event, Host};
 use kumquatdrum_gateway::meters::Meters;
-use kumquatdrum_peer::{Client, Counters, Identity, Local, Secret};
+use kumquatdrum_peer::{Client, Counters, Identity, LocalDaemon, Secret};
 use kumquatdrum_placement::JobId;
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_types::{BootId, HostId};
@@ -47,7 +47,7 @@
 fn member(port: u16, local: &Host, all: &[Host]) -> Member {
     let logger = Logger::root(Discard, o!());
     let clock = Clock::start();
-    let client = Client::new(Local {
+    let client = Client::new(LocalDaemon {
         cluster: "test".into(),
         secret: Secret::new("secret"),
         identity: Identity {
--- a/crates/kumquatdrum_gateway/tests/hosts.rs
+++ b/crates/kumquatdrum_gateway/tests/hosts.rs
@@ -9,7 +9,7 @@
 use kumquatdrum_gateway::hosts::vouchers::Vouchers;
 use kumquatdrum_gateway::hosts::{Hosts, LOST};
 use kumquatdrum_gateway::message::{Edition, Host, Listing, Sighting, Wanted};
-use kumquatdrum_peer::{Client, Counters, Identity, Local, Secret};
+use kumquatdrum_peer::{Client, Counters, Identity, LocalDaemon, Secret};
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_types::{BootId, HostId, Moment};
 use slog::{Discard, Logger, o};
@@ -30,7 +30,7 @@
 
 fn hosts(local: &Host) -> Hosts {
     let logger = Logger::root(Discard, o!());
-    let client = Client::new(Local {
+    let client = Client::new(LocalDaemon {
         cluster: "test".into(),
         secret: Secret::new("secret"),
         identity: Identity {
--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -10,7 +10,7 @@
 use kumquatdrum_disk::{Report, Store as _, Writer};
 use kumquatdrum_membership::Member;
 use kumquatdrum_operator::{Context, Operators};
-use kumquatdrum_peer::{Client, Counters, Local};
+use kumquatdrum_peer::{Client, Counters, LocalDaemon};
 use kumquatdrum_process::{Metrics, face};
 use kumquatdrum_setup::Control;
 use kumquatdrum_types::{BootId, HostId};
@@ -397,7 +397,7 @@
 async fn serve_peers(
     listener: TcpListener,
     inbox: Arc<Inbox>,
-    local: Local,
+    local: LocalDaemon,
     mut stop: watch::Receiver<bool>,
 ) {
     let logger = local.logger.clone();
--- a/crates/kumquatdrum_host/src/host/base.rs
+++ b/crates/kumquatdrum_host/src/host/base.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use kumquatdrum_peer::{Client, Counters, Identity, Local, Secret};
+use kumquatdrum_peer::{Client, Counters, Identity, LocalDaemon, Secret};
 use kumquatdrum_process::{Drain, Metrics};
 use kumquatdrum_types::BootId;
 use slog::o;
@@ -28,7 +28,7 @@
     pub(super) plain: Arc<kumquatdrum_service::Client>,
     pub(super) canceller: Arc<Canceller>,
     pub(super) gangs: Arc<Gangs>,
-    pub(super) local: Local,
+    pub(super) local: LocalDaemon,
     pub(super) client: Arc<Client>,
     pub(super) logger: slog::Logger,
 }
@@ -87,8 +87,8 @@
     others.chain([settings.host.to_string()]).collect()
 }
 
-fn local(settings: &Settings, boot: BootId, logger: &slog::Logger) -> Local {
-    Local {
+fn local(settings: &Settings, boot: BootId, logger: &slog::Logger) -> LocalDaemon {
+    LocalDaemon {
         cluster: settings.cluster.name.clone(),
         secret: Secret::new(&settings.cluster.secret),
         identity: Identity {
--- a/crates/kumquatdrum_peer/benches/wire.rs
+++ b/crates/kumquatdrum_peer/benches/wire.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use futures::FutureExt;
-use kumquatdrum_peer::{Answer, Channel, Client, Handler, Identity, Local, Secret, serve};
+use kumquatdrum_peer::{Answer, Channel, Client, Handler, Identity, LocalDaemon, Secret, serve};
 use kumquatdrum_types::{BootId, HostId};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -79,8 +79,8 @@
     serving.await.expect("joined").expect("served");
 }
 
-fn local(host: &str) -> Local {
-    Local {
+fn local(host: &str) -> LocalDaemon {
+    LocalDaemon {
         cluster: "salons".to_owned(),
         secret: Secret::new("a secret of some length"),
         identity: Identity {
--- a/crates/kumquatdrum_peer/src/proof.rs
+++ b/crates/kumquatdrum_peer/src/authentication.rs
@@ -2,7 +2,7 @@
 
 use sha2::{Digest, Sha256};
 
-const BLOCK: usize = 64;
+const BLOCK_BYTES: usize = 64;
 const INNER_PAD: u8 = 0x36;
 const OUTER_PAD: u8 = 0x5c;
 
@@ -20,15 +20,15 @@
     /// Starts a computation under a key.
     ///
     /// ```
-    /// use kumquatdrum_peer::proof::Mac;
+    /// use kumquatdrum_peer::authentication::Mac;
     ///
     /// // RFC 4231, test case 2.
     /// let code = Mac::new(b"Jefe").update(b"what do ya want for nothing?").finish();
     /// assert_eq!(code[..4], [0x5b, 0xdc, 0xc1, 0x46]);
     /// ```
     pub fn new(key: &[u8]) -> Self {
-        let mut block = [0; BLOCK];
-        if key.len() > BLOCK {
+        let mut block = [0; BLOCK_BYTES];
+        if key.len() > BLOCK_BYTES {
             block[..32].copy_from_slice(&Sha256::digest(key));
         } else {
             block[..key.len()].copy_from_slice(key);
@@ -48,7 +48,7 @@
 
     /// Adds a field with its length in front, so that no two lists of fields look alike.
     #[must_use]
-    pub fn field(self, bytes: &[u8]) -> Self {
+    pub fn update_field(self, bytes: &[u8]) -> Self {
         self.update(&(bytes.len() as u64).to_be_bytes())
             .update(bytes)
     }
@@ -65,11 +65,11 @@
 /// Compares a received code with the computed one, in a time that doesn't tell where they differ.
 ///
 /// ```
-/// use kumquatdrum_peer::proof::matches;
-/// assert!(matches(&[7; 32], &[7; 32]));
-/// assert!(!matches(&[7; 32], &[7; 31]));
+/// use kumquatdrum_peer::authentication::verify;
+/// assert!(verify(&[7; 32], &[7; 32]));
+/// assert!(!verify(&[7; 32], &[7; 31]));
 /// ```
-pub fn matches(computed: &Code, received: &[u8]) -> bool {
+pub fn verify(computed: &Code, received: &[u8]) -> bool {
     let difference = computed
         .iter()
         .zip(received)
--- a/crates/kumquatdrum_peer/src/client.rs
+++ b/crates/kumquatdrum_peer/src/client.rs
@@ -15,7 +15,7 @@
 use crate::frame::BODY_LIMIT;
 use crate::outbox::Outbox;
 use crate::peer::Peer;
-use crate::{Channel, Error, Local};
+use crate::{Channel, Error, LocalDaemon};
 
 /// How long queued messages may still take to leave once the client shuts down.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
@@ -24,12 +24,12 @@
 ///
 /// ```
 /// use std::sync::Arc;
-/// use kumquatdrum_peer::{Channel, Client, Identity, Local, Secret};
+/// use kumquatdrum_peer::{Channel, Client, Identity, LocalDaemon, Secret};
 /// use kumquatdrum_types::{BootId, HostId};
 ///
 /// # #[tokio::main(flavor = "current_thread")]
 /// # async fn main() {
-/// let local = Local {
+/// let local = LocalDaemon {
 ///     cluster: "salons".to_owned(),
 ///     secret: Secret::new("a long secret"),
 ///     identity: Identity { host: HostId::new("entry-1"), boot: BootId(7) },
@@ -44,7 +44,7 @@
 /// ```
 #[derive(Debug)]
 pub struct Client {
-    local: Arc<Local>,
+    local: Arc<LocalDaemon>,
     peers: RwLock<IndexMap<HostId, Entry>>,
     tasks: Mutex<JoinSet<()>>,
     closed: watch::Sender<bool>,
@@ -59,7 +59,7 @@
 
 impl Client {
     /// A client without peers.
-    pub fn new(local: Local) -> Self {
+    pub fn new(local: LocalDaemon) -> Self {
         Self {
             local: Arc::new(local),
             peers: RwLock::default(),
--- a/crates/kumquatdrum_peer/src/frame.rs
+++ b/crates/kumquatdrum_peer/src/frame.rs
@@ -3,9 +3,9 @@
 use bytes::Bytes;
 use kumquatdrum_types::{BootId, HostId};
 
+use crate::authentication::{self, Code, Mac};
 use crate::generated::Frame;
-use crate::proof::{self, Code, Mac};
-use crate::{Channel, Identity, Local};
+use crate::{Channel, Identity, LocalDaemon};
 
 /// The most body bytes of one frame.
 pub(crate) const BODY_LIMIT: usize = 8 << 20;
@@ -38,14 +38,14 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Purpose<'a> {
     Send,
-    Ask,
+    Request,
     /// The answer to the question with this code.
-    Answer(&'a [u8]),
+    Response(&'a [u8]),
 }
 
 /// Makes a frame to a host and proves it.
-pub(crate) fn make(
-    local: &Local,
+pub(crate) fn build(
+    local: &LocalDaemon,
     to: &HostId,
     channel: Channel,
     bodies: Vec<Bytes>,
@@ -66,18 +66,18 @@
 
 /// Checks a frame and takes it apart.
 pub(crate) fn accept(
-    local: &Local,
+    local: &LocalDaemon,
     frame: Frame,
     purpose: Purpose<'_>,
 ) -> Result<Accepted, Violation> {
-    let single = !matches!(purpose, Purpose::Send);
+    let requires_single_body = !matches!(purpose, Purpose::Send);
     match Channel::from_wire(frame.channel) {
         _ if frame.cluster != local.cluster => Err(Violation::OtherCluster),
-        _ if !proof::matches(&code(local, &frame, purpose), &frame.code) => {
+        _ if !authentication::verify(&code(local, &frame, purpose), &frame.code) => {
             Err(Violation::WrongSecret)
         }
         _ if frame.to != local.identity.host.as_str() => Err(Violation::OtherHost),
-        _ if single && frame.bodies.len() != 1 => Err(Violation::BodyCount),
+        _ if requires_single_body && frame.bodies.len() != 1 => Err(Violation::BodyCount),
         None => Err(Violation::UnknownChannel),
         Some(channel) => Ok(Accepted {
             from: Identity {
@@ -90,23 +90,23 @@
     }
 }
 
-fn code(local: &Local, frame: &Frame, purpose: Purpose<'_>) -> Code {
-    let (call, question): (&[u8], &[u8]) = match purpose {
+fn code(local: &LocalDaemon, frame: &Frame, purpose: Purpose<'_>) -> Code {
+    let (role, request_code): (&[u8], &[u8]) = match purpose {
         Purpose::Send => (b"send", b""),
-        Purpose::Ask => (b"ask", b""),
-        Purpose::Answer(question) => (b"answer", question),
+        Purpose::Request => (b"ask", b""),
+        Purpose::Response(request_code) => (b"answer", request_code),
     };
     let mac = Mac::new(local.secret.as_bytes())
-        .field(call)
-        .field(question)
-        .field(&frame.channel.to_be_bytes())
-        .field(frame.cluster.as_bytes())
-        .field(frame.from.as_bytes())
-        .field(&frame.boot.to_be_bytes())
-        .field(frame.to.as_bytes());
+        .update_field(role)
+        .update_field(request_code)
+        .update_field(&frame.channel.to_be_bytes())
+        .update_field(frame.cluster.as_bytes())
+        .update_field(frame.from.as_bytes())
+        .update_field(&frame.boot.to_be_bytes())
+        .update_field(frame.to.as_bytes());
     frame
         .bodies
         .iter()
-        .fold(mac, |mac, body| mac.field(body))
+        .fold(mac, |mac, body| mac.update_field(body))
         .finish()
 }
--- a/crates/kumquatdrum_peer/src/lib.rs
+++ b/crates/kumquatdrum_peer/src/lib.rs
@@ -4,6 +4,7 @@
 //! subsystem that a [`Channel`] names. A frame may arrive twice (a lost acknowledgement, or one
 //! that somebody on the path recorded): every subsystem has to take duplicates and old messages.
 
+pub mod authentication;
 mod channel;
 mod client;
 mod counters;
@@ -14,7 +15,6 @@
 mod local;
 mod outbox;
 mod peer;
-pub mod proof;
 mod queue;
 mod server;
 
@@ -28,5 +28,5 @@
 pub use counters::{Counters, Traffic};
 pub use error::Error;
 pub use handler::{Answer, Handler};
-pub use local::{Identity, Local, Secret};
+pub use local::{Identity, LocalDaemon, Secret};
 pub use server::serve;
--- a/crates/kumquatdrum_peer/src/link.rs
+++ b/crates/kumquatdrum_peer/src/link.rs
@@ -15,7 +15,7 @@
 /// How long opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// After a failed attempt, calls fail at once for this long.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// A call that waits this long without a byte from the peer sends an HTTP/2 ping.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
 /// A ping unanswered for this long closes the connection.
@@ -67,7 +67,9 @@
         let address = *self.address.lock();
         match (&state.open, &state.failed) {
             (Some(open), _) if open.address == address => return Ok(open.clone()),
-            (None, Some((at, error))) if at.elapsed() < RETRY_PAUSE => return Err(error.clone()),
+            (None, Some((at, error))) if at.elapsed() < RECONNECT_DELAY => {
+                return Err(error.clone());
+            }
             _ => {}
         }
         state.open = None;
@@ -93,7 +95,7 @@
     }
 
     /// Drops a connection that failed; the next call opens a new one.
-    pub(crate) async fn shed(&self, failed: &Connection) {
+    pub(crate) async fn discard(&self, failed: &Connection) {
         let mut state = self.state.lock().await;
         if state
             .open
--- a/crates/kumquatdrum_peer/src/local.rs
+++ b/crates/kumquatdrum_peer/src/local.rs
@@ -44,7 +44,7 @@
 
 /// This daemon, as the client and the server need it.
 #[derive(Debug, Clone)]
-pub struct Local {
+pub struct LocalDaemon {
     /// The cluster's name; a daemon of another cluster is refused.
     pub cluster: String,
     /// The cluster's secret.
--- a/crates/kumquatdrum_peer/src/outbox.rs
+++ b/crates/kumquatdrum_peer/src/outbox.rs
@@ -29,26 +29,26 @@
     /// Sends until the future is dropped; frames under way go on in a later `drain`.
     pub(crate) async fn run(&mut self) {
         loop {
-            self.start_calls();
+            self.start_sends();
             tokio::select! {
                 Some(channel) = self.calls.next(), if !self.calls.is_empty() => {
                     self.busy[channel.index()] = false;
                 }
-                () = self.peer.woken() => {}
+                () = self.peer.wait_for_messages() => {}
             }
         }
     }
 
     /// Sends until nothing is left.
     pub(crate) async fn drain(&mut self) {
-        self.start_calls();
+        self.start_sends();
         while let Some(channel) = self.calls.next().await {
             self.busy[channel.index()] = false;
-            self.start_calls();
+            self.start_sends();
         }
     }
 
-    fn start_calls(&mut self) {
+    fn start_sends(&mut self) {
         for channel in Channel::ALL {
             if self.busy[channel.index()] {
                 continue;
--- a/crates/kumquatdrum_peer/src/peer.rs
+++ b/crates/kumquatdrum_peer/src/peer.rs
@@ -18,17 +18,17 @@
 use crate::generated::{Ack, Frame};
 use crate::link::{Connection, Link};
 use crate::queue::Queues;
-use crate::{Channel, Error, Local};
+use crate::{Channel, Error, LocalDaemon};
 
 /// How long a frame without weight may wait for its acknowledgement.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// The slowest path that large frames are sent over.
-const SLOWEST_BYTES_PER_SECOND: usize = 1 << 20;
+const MINIMUM_BYTES_PER_SECOND: usize = 1 << 20;
 
 /// One peer.
 #[derive(Debug)]
 pub(crate) struct Peer {
-    local: Arc<Local>,
+    local: Arc<LocalDaemon>,
     host: HostId,
     link: Link,
     queues: Mutex<Queues>,
@@ -37,7 +37,7 @@
 }
 
 impl Peer {
-    pub(crate) fn new(local: Arc<Local>, host: HostId, address: SocketAddr) -> Self {
+    pub(crate) fn new(local: Arc<LocalDaemon>, host: HostId, address: SocketAddr) -> Self {
         Self {
             link: Link::new(host.clone(), address),
             local,
@@ -64,7 +64,7 @@
     }
 
     /// Waits until something was queued since the last time.
-    pub(crate) async fn woken(&self) {
+    pub(crate) async fn wait_for_messages(&self) {
         self.wake.notified().await;
     }
 
@@ -72,24 +72,24 @@
     pub(crate) async fn send(&self, channel: Channel, bodies: Vec<Bytes>) {
         let count = bodies.len();
         let limit = send_timeout(&bodies);
-        let frame = frame::make(&self.local, &self.host, channel, bodies, Purpose::Send);
+        let frame = frame::build(&self.local, &self.host, channel, bodies, Purpose::Send);
         let size = frame.encoded_len();
         let sent = async {
             let mut connection = self.link.connection().await?;
             self.local.counters.sent(channel, count, size);
             let call = connection.client.send(Request::new(frame));
-            let answer = timeout(limit, call).await;
-            self.settle(&connection, answer, limit).await
+            let response = timeout(limit, call).await;
+            self.handle_response(&connection, response, limit).await
         };
         let result = sent.await;
         if result.is_err() {
             self.local.counters.dropped(channel, count);
         }
-        self.tell_change(result);
+        self.log_transition(result);
     }
 
     /// Logs the first failure after a success, and the first success after a failure.
-    fn tell_change(&self, result: Result<Ack, Error>) {
+    fn log_transition(&self, result: Result<Ack, Error>) {
         let was_failing = self.is_failing.swap(result.is_err(), Ordering::Relaxed);
         match result {
             Err(error) if !was_failing => {
@@ -117,40 +117,49 @@
                     host: self.host.clone(),
                     reason: "no connection in time".to_owned(),
                 })??;
-        let question = frame::make(&self.local, &self.host, channel, vec![body], Purpose::Ask);
-        let code = question.code.clone();
-        self.local.counters.sent(channel, 1, question.encoded_len());
+        let request = frame::build(
+            &self.local,
+            &self.host,
+            channel,
+            vec![body],
+            Purpose::Request,
+        );
+        let code = request.code.clone();
+        self.local.counters.sent(channel, 1, request.encoded_len());
         let rest = limit.saturating_sub(start.elapsed());
-        let answer = timeout(rest, connection.client.ask(Request::new(question))).await;
+        let response = timeout(rest, connection.client.ask(Request::new(request))).await;
         // A handler may be slow: only the pings decide whether the connection is silent.
-        let answer = match answer {
-            Ok(answer) => self.settle(&connection, Ok(answer), limit).await?,
+        let response = match response {
+            Ok(response) => {
+                self.handle_response(&connection, Ok(response), limit)
+                    .await?
+            }
             Err(_) => return Err(self.timeout(limit)),
         };
-        self.accept(answer, &code)
+        self.accept(response, &code)
     }
 
-    fn accept(&self, answer: Frame, question: &[u8]) -> Result<Bytes, Error> {
-        let size = answer.encoded_len();
-        let accepted = frame::accept(&self.local, answer, Purpose::Answer(question));
+    fn accept(&self, response: Frame, request_code: &[u8]) -> Result<Bytes, Error> {
+        let size = response.encoded_len();
+        let accepted = frame::accept(&self.local, response, Purpose::Response(request_code));
         match accepted {
             Ok(accepted) if accepted.from.host == self.host => {
                 self.local.counters.received(accepted.channel, 1, size);
                 Ok(accepted.bodies.into_iter().next().unwrap_or_default())
             }
             Ok(accepted) => Err(self.refused(format!("host {} answered", accepted.from.host))),
-            Err(violation) => Err(self.refused(format!("its answer: {violation}"))),
+            Err(violation) => Err(self.refused(format!("its response: {violation}"))),
         }
     }
 
-    async fn settle<T>(
+    async fn handle_response<T>(
         &self,
         connection: &Connection,
-        answer: Result<Result<tonic::Response<T>, Status>, tokio::time::error::Elapsed>,
+        response: Result<Result<tonic::Response<T>, Status>, tokio::time::error::Elapsed>,
         limit: Duration,
     ) -> Result<T, Error> {
-        let error = match answer {
-            Ok(Ok(answer)) => return Ok(answer.into_inner()),
+        let error = match response {
+            Ok(Ok(response)) => return Ok(response.into_inner()),
             Ok(Err(status)) if status.code() == Code::Unauthenticated => {
                 return Err(self.refused(status.message().to_owned()));
             }
@@ -166,7 +175,7 @@
             },
             Err(_) => self.timeout(limit),
         };
-        self.link.shed(connection).await;
+        self.link.discard(connection).await;
         Err(error)
     }
 
@@ -187,5 +196,5 @@
 
 fn send_timeout(bodies: &[Bytes]) -> Duration {
     let bytes: usize = bodies.iter().map(Bytes::len).sum();
-    SEND_TIMEOUT + Duration::from_secs((bytes / SLOWEST_BYTES_PER_SECOND) as u64)
+    SEND_TIMEOUT + Duration::from_secs((bytes / MINIMUM_BYTES_PER_SECOND) as u64)
 }
--- a/crates/kumquatdrum_peer/src/server.rs
+++ b/crates/kumquatdrum_peer/src/server.rs
@@ -18,7 +18,7 @@
 use crate::frame::{self, Accepted, FRAME_LIMIT, Purpose, Violation};
 use crate::generated::peer_server::{Peer, PeerServer};
 use crate::generated::{Ack, Frame};
-use crate::{Error, Handler, Local};
+use crate::{Error, Handler, LocalDaemon};
 
 /// An idle connection is pinged this often.
 const PING_INTERVAL: Duration = Duration::from_secs(5);
@@ -37,7 +37,7 @@
 pub async fn serve(
     listener: TcpListener,
     handler: Arc<dyn Handler>,
-    local: Local,
+    local: LocalDaemon,
     shutdown: impl Future<Output = ()> + Send,
 ) -> Result<(), Error> {
     let service = PeerServer::new(Service {
@@ -61,7 +61,7 @@
 
 struct Service {
     handler: Arc<dyn Handler>,
-    local: Local,
+    local: LocalDaemon,
     refusals: Refusals,
 }
 
@@ -71,7 +71,7 @@
 
 impl Refusals {
     /// Whether to log this one, and how many were not logged since the last.
-    fn tell(&self) -> Option<u64> {
+    fn take_suppressed(&self) -> Option<u64> {
         let mut state = self.0.lock();
         let is_due = state
             .0
@@ -105,11 +105,11 @@
         claimed: &str,
         address: Option<std::net::SocketAddr>,
     ) -> Status {
-        if let Some(untold) = self.refusals.tell() {
+        if let Some(suppressed) = self.refusals.take_suppressed() {
             let address = address.map(|address| address.to_string());
             let claimed: String = claimed.chars().take(NAME_LIMIT).collect();
             warn!(self.local.logger, "peer_refused"; "event" => "peer_refused", "claimed_host" => claimed,
-                "address" => address, "reason" => %violation, "untold_before" => untold);
+                "address" => address, "reason" => %violation, "untold_before" => suppressed);
         }
         Status::unauthenticated(violation.to_string())
     }
@@ -127,28 +127,34 @@
 
     async fn ask(&self, request: Request<Frame>) -> Result<Response<Frame>, Status> {
         let code = request.get_ref().code.clone();
-        let accepted = self.accept(request, Purpose::Ask)?;
-        let question = accepted.bodies.into_iter().next().unwrap_or_default();
+        let accepted = self.accept(request, Purpose::Request)?;
+        let request_body = accepted.bodies.into_iter().next().unwrap_or_default();
         let body = self
             .handler
-            .answer(&accepted.from, accepted.channel, question)
+            .answer(&accepted.from, accepted.channel, request_body)
             .await
-            .map_err(failure)?;
-        let answer = self.answer(&accepted.from.host, accepted.channel, body, &code);
-        Ok(Response::new(answer))
+            .map_err(error_status)?;
+        let response = self.response_frame(&accepted.from.host, accepted.channel, body, &code);
+        Ok(Response::new(response))
     }
 }
 
 impl Service {
-    fn answer(&self, to: &HostId, channel: crate::Channel, body: Bytes, question: &[u8]) -> Frame {
-        let purpose = Purpose::Answer(question);
-        let frame = frame::make(&self.local, to, channel, vec![body], purpose);
+    fn response_frame(
+        &self,
+        to: &HostId,
+        channel: crate::Channel,
+        body: Bytes,
+        request_code: &[u8],
+    ) -> Frame {
+        let purpose = Purpose::Response(request_code);
+        let frame = frame::build(&self.local, to, channel, vec![body], purpose);
         self.local.counters.sent(channel, 1, frame.encoded_len());
         frame
     }
 }
 
-fn failure(error: Error) -> Status {
+fn error_status(error: Error) -> Status {
     let reason: String = error.to_string().chars().take(REASON_LIMIT).collect();
     Status::aborted(reason)
 }
--- a/crates/kumquatdrum_peer/tests/exchange.rs
+++ b/crates/kumquatdrum_peer/tests/exchange.rs
@@ -7,7 +7,9 @@
 
 use bytes::Bytes;
 use futures::FutureExt;
-use kumquatdrum_peer::{Answer, Channel, Client, Error, Handler, Identity, Local, Secret, serve};
+use kumquatdrum_peer::{
+    Answer, Channel, Client, Error, Handler, Identity, LocalDaemon, Secret, serve,
+};
 use kumquatdrum_types::{BootId, HostId};
 
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -46,13 +48,13 @@
 struct Daemon {
     address: SocketAddr,
     deliveries: mpsc::UnboundedReceiver<Delivery>,
-    local: Local,
+    local: LocalDaemon,
     stop: oneshot::Sender<()>,
     task: JoinHandle<Result<(), Error>>,
 }
 
-fn local(host: &str, cluster: &str, secret: &str) -> Local {
-    Local {
+fn local(host: &str, cluster: &str, secret: &str) -> LocalDaemon {
+    LocalDaemon {
         cluster: cluster.to_owned(),
         secret: Secret::new(secret),
         identity: Identity {
@@ -68,7 +70,7 @@
     daemon_with(local(host, "salons", "secret")).await
 }
 
-async fn daemon_with(local: Local) -> Daemon {
+async fn daemon_with(local: LocalDaemon) -> Daemon {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (sender, deliveries) = mpsc::unbounded_channel();
@@ -91,7 +93,12 @@
     delivery.expect("in time").expect("served")
 }
 
-fn client(cluster: &str, secret: &str, host: &HostId, address: SocketAddr) -> (Client, Local) {
+fn client(
+    cluster: &str,
+    secret: &str,
+    host: &HostId,
+    address: SocketAddr,
+) -> (Client, LocalDaemon) {
     let local = local("entry-1", cluster, secret);
     let client = Client::new(local.clone());
     client.set_address(host, address);
