--- a/crates/kumquatdrum_peer/benches/wire.rs
+++ b/crates/kumquatdrum_peer/benches/wire.rs
@@ -1,8 +1,8 @@
-//! What a frame costs on the wire beyond its body, and in processor time: one frame after the
-//! other over loopback, through a proxy that counts bytes in both directions.
+//! Measures the overhead of a frame in bytes and CPU time, with sequential frames over loopback
+//! through a proxy that counts bytes in both directions.
 //!
-//! Bytes are those of the TCP streams; the headers of IP and TCP come on top. Processor time is
-//! that of both ends and of the proxy, and so an upper bound for one end.
+//! Bytes are those of the TCP streams without IP and TCP headers. CPU time includes both ends and
+//! the proxy.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-const FRAMES: u64 = 20_000;
+const FRAME_COUNT: u64 = 20_000;
 /// Clock ticks of `/proc/self/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
@@ -34,7 +34,7 @@
 
 #[tokio::main]
 async fn main() {
-    println!("| body | bytes there beyond it | bytes back | µs of processor time |");
+    println!("| body | overhead bytes sent | bytes received | CPU µs |");
     println!("| ---: | ---: | ---: | ---: |");
     for body in [100, 300, 1_000, 4_000] {
         measure(body).await;
@@ -53,26 +53,27 @@
         local("dc-07-entry-02"),
         stopped.map(|_| ()),
     ));
-    let (there, back) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-    let address = proxy(server, Arc::clone(&there), Arc::clone(&back)).await;
+    let (bytes_sent, bytes_received) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
+    let address = proxy(server, Arc::clone(&bytes_sent), Arc::clone(&bytes_received)).await;
     let host = HostId::new("dc-07-entry-02");
     let client = Client::new(local("dc-07-entry-01"));
     client.set_address(&host, address);
     let body = Bytes::from(vec![1; size as usize]);
     let mut start = (0, 0, 0.0);
-    for number in 0..=FRAMES {
+    for number in 0..=FRAME_COUNT {
         client.send(&host, Channel::Membership, body.clone());
         arrived.recv().await.expect("delivered");
         if number == 0 {
-            start = (load(&there), load(&back), processor_seconds());
+            start = (load(&bytes_sent), load(&bytes_received), cpu_seconds());
         }
     }
-    let cpu = (processor_seconds() - start.2) * 1e6 / FRAMES as f64;
-    let (there, back) = (load(&there) - start.0, load(&back) - start.1);
+    let cpu = (cpu_seconds() - start.2) * 1e6 / FRAME_COUNT as f64;
+    let (bytes_sent, bytes_received) =
+        (load(&bytes_sent) - start.0, load(&bytes_received) - start.1);
     println!(
         "| {size} | {} | {} | {cpu:.0} |",
-        there / FRAMES - size,
-        back / FRAMES
+        bytes_sent / FRAME_COUNT - size,
+        bytes_received / FRAME_COUNT
     );
     client.shutdown().await;
     let _ = stop.send(());
@@ -92,7 +93,11 @@
     }
 }
 
-async fn proxy(server: SocketAddr, there: Arc<AtomicU64>, back: Arc<AtomicU64>) -> SocketAddr {
+async fn proxy(
+    server: SocketAddr,
+    bytes_sent: Arc<AtomicU64>,
+    bytes_received: Arc<AtomicU64>,
+) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
@@ -103,14 +108,14 @@
         let (client_in, client_out) = inbound.into_split();
         let (server_in, server_out) = outbound.into_split();
         tokio::join!(
-            pass(client_in, server_out, there),
-            pass(server_in, client_out, back)
+            forward(client_in, server_out, bytes_sent),
+            forward(server_in, client_out, bytes_received)
         );
     });
     address
 }
 
-async fn pass(
+async fn forward(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     count: Arc<AtomicU64>,
@@ -129,8 +134,8 @@
     count.load(Ordering::Relaxed)
 }
 
-/// User and system time of the process.
-fn processor_seconds() -> f64 {
+/// Returns the user and system time of the process.
+fn cpu_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat.rsplit(')').next().unwrap_or_default();
     let ticks: f64 = fields
--- a/crates/kumquatdrum_peer/src/authentication.rs
+++ b/crates/kumquatdrum_peer/src/authentication.rs
@@ -1,4 +1,4 @@
-//! Proof of the cluster secret: HMAC-SHA-256 (RFC 2104) over all fields of a frame.
+//! Frame authentication: HMAC-SHA-256 (RFC 2104) over all fields, keyed by the cluster secret.
 
 use sha2::{Digest, Sha256};
 
@@ -6,10 +6,10 @@
 const INNER_PAD: u8 = 0x36;
 const OUTER_PAD: u8 = 0x5c;
 
-/// An authentication code.
+/// Message authentication code.
 pub type Code = [u8; 32];
 
-/// A running computation of a code.
+/// Incremental computation of a message authentication code.
 #[derive(Debug, Clone)]
 pub struct Mac {
     inner: Sha256,
@@ -17,7 +17,7 @@
 }
 
 impl Mac {
-    /// Starts a computation under a key.
+    /// Creates a computation with a key.
     ///
     /// ```
     /// use kumquatdrum_peer::authentication::Mac;
@@ -39,21 +39,21 @@
         }
     }
 
-    /// Adds bytes.
+    /// Appends bytes.
     #[must_use]
     pub fn update(mut self, bytes: &[u8]) -> Self {
         self.inner.update(bytes);
         self
     }
 
-    /// Adds a field with its length in front, so that no two lists of fields look alike.
+    /// Appends a field prefixed with its length, so that field boundaries are unambiguous.
     #[must_use]
     pub fn update_field(self, bytes: &[u8]) -> Self {
         self.update(&(bytes.len() as u64).to_be_bytes())
             .update(bytes)
     }
 
-    /// The code.
+    /// Returns the code.
     pub fn finish(self) -> Code {
         self.outer
             .chain_update(self.inner.finalize())
@@ -62,7 +62,7 @@
     }
 }
 
-/// Compares a received code with the computed one, in a time that doesn't tell where they differ.
+/// Returns whether a received code equals the computed one, compared in constant time.
 ///
 /// ```
 /// use kumquatdrum_peer::authentication::verify;
--- a/crates/kumquatdrum_peer/src/channel.rs
+++ b/crates/kumquatdrum_peer/src/channel.rs
@@ -1,24 +1,24 @@
-//! The subsystems that share the connections between daemons.
+//! Channels: the subsystems that share the connections between daemons.
 
 use crate::generated;
 
-/// The subsystem that a body belongs to.
+/// Subsystem that a message belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Channel {
-    /// Hosts and endpoints, liveness.
+    /// Membership and failure detection of hosts and endpoints.
     Membership,
-    /// Elections, the log and snapshots.
+    /// Elections, log replication and snapshots.
     Consensus,
-    /// The spread of the setup in force.
+    /// Propagation of the setup in force.
     Setup,
-    /// Workspaces' limits, shared out over hosts.
+    /// Distribution of workspaces' limits over hosts.
     Limits,
-    /// Claims, orders and operators' calls, passed on to a control replica.
+    /// Claims, orders and operator calls forwarded to a control replica.
     Control,
 }
 
 impl Channel {
-    /// Every channel, in the order of their indices.
+    /// All channels in order of their indices.
     pub const ALL: [Self; 5] = [
         Self::Membership,
         Self::Consensus,
@@ -27,7 +27,7 @@
         Self::Control,
     ];
 
-    /// The name in metrics and logs.
+    /// Returns the channel's name in metrics and logs.
     ///
     /// ```
     /// assert_eq!(kumquatdrum_peer::Channel::Setup.name(), "setup");
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The position in [`Channel::ALL`].
+    /// Returns the position in [`Channel::ALL`].
     pub(crate) const fn index(self) -> usize {
         self as usize
     }
--- a/crates/kumquatdrum_peer/src/client.rs
+++ b/crates/kumquatdrum_peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to all peers: queued sends that never block the caller, and questions.
+//! Client for all peers, with non-blocking queued sends and with requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,15 +12,15 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use crate::frame::BODY_LIMIT;
+use crate::frame::BODY_LIMIT_BYTES;
 use crate::outbox::Outbox;
 use crate::peer::Peer;
 use crate::{Channel, Error, LocalDaemon};
 
-/// How long queued messages may still take to leave once the client shuts down.
+/// Time for sending queued messages during shutdown.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One object for all peers. Lives inside a tokio runtime.
+/// Client for all peers; must be used within a Tokio runtime.
 ///
 /// ```
 /// use std::sync::Arc;
@@ -53,12 +53,12 @@
 #[derive(Debug)]
 struct Entry {
     peer: Arc<Peer>,
-    // Dropped with the entry, which ends the peer's task.
+    // Ends the peer's task when the entry is dropped.
     _removed: watch::Sender<()>,
 }
 
 impl Client {
-    /// A client without peers.
+    /// Creates a client without peers.
     pub fn new(local: LocalDaemon) -> Self {
         Self {
             local: Arc::new(local),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Tells where a host is reached; a changed address counts from the next call on.
+    /// Adds a host or changes its address, which takes effect with the next call.
     pub fn set_address(&self, host: &HostId, address: SocketAddr) {
         let mut peers = self.peers.write();
         match peers.get(host) {
@@ -81,23 +81,23 @@
         }
     }
 
-    /// Forgets a host; what is queued for it is dropped.
+    /// Removes a host and drops the messages queued for it.
     pub fn remove(&self, host: &HostId) {
         self.peers.write().swap_remove(host);
     }
 
-    /// Queues a message and returns at once. A full queue drops its oldest; a message to an
-    /// unknown host or over the limit is dropped. Drops are counted.
+    /// Queues a message without blocking. A full queue drops its oldest message; messages to
+    /// unknown hosts and oversized messages are dropped. Drops are counted.
     pub fn send(&self, host: &HostId, channel: Channel, body: Bytes) {
         let peers = self.peers.read();
         let dropped = match peers.get(host) {
-            Some(entry) if body.len() <= BODY_LIMIT => entry.peer.push(channel, body),
+            Some(entry) if body.len() <= BODY_LIMIT_BYTES => entry.peer.push(channel, body),
             _ => 1,
         };
         self.local.counters.dropped(channel, dropped);
     }
 
-    /// Asks a question and waits for its answer, at most `limit`.
+    /// Sends a request and waits for its response for at most `limit`.
     pub async fn ask(
         &self,
         host: &HostId,
@@ -108,10 +108,10 @@
         if *self.closed.borrow() {
             return Err(Error::Closed);
         }
-        if body.len() > BODY_LIMIT {
+        if body.len() > BODY_LIMIT_BYTES {
             return Err(Error::TooLarge {
                 bytes: body.len(),
-                limit: BODY_LIMIT,
+                limit: BODY_LIMIT_BYTES,
             });
         }
         let peer = self
@@ -120,7 +120,7 @@
         peer.ask(channel, body, limit).await
     }
 
-    /// Lets queued messages leave for at most a second, then ends and joins all tasks.
+    /// Sends queued messages for at most a second, then ends and joins all tasks.
     pub async fn shutdown(&self) {
         self.closed.send_replace(true);
         let mut tasks = std::mem::take(&mut *self.tasks.lock());
--- a/crates/kumquatdrum_peer/src/counters.rs
+++ b/crates/kumquatdrum_peer/src/counters.rs
@@ -1,25 +1,25 @@
-//! What passed between this daemon and its peers, by channel.
+//! Traffic counters by channel.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::Channel;
 
-/// Counts of one channel at one moment.
+/// Snapshot of the counters of one channel.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Messages sent, questions and answers included.
+    /// Messages sent, including requests and responses.
     pub messages_sent: u64,
     /// Bytes of frames sent, without the overhead of HTTP/2 and TCP.
     pub bytes_sent: u64,
-    /// Messages received, questions and answers included.
+    /// Messages received, including requests and responses.
     pub messages_received: u64,
     /// Bytes of frames received, without the overhead of HTTP/2 and TCP.
     pub bytes_received: u64,
-    /// Messages dropped from a full queue, or lost with a call that failed.
+    /// Messages dropped from a full queue or lost in a failed call.
     pub messages_dropped: u64,
 }
 
-/// Running counts of all channels; shared between the client and the server of a daemon.
+/// Counters of all channels, shared by the client and the server of a daemon.
 #[derive(Debug, Default)]
 pub struct Counters {
     channels: [Cell; Channel::ALL.len()],
@@ -35,7 +35,7 @@
 }
 
 impl Counters {
-    /// The counts of one channel.
+    /// Returns a snapshot of the counters of one channel.
     ///
     /// ```
     /// use kumquatdrum_peer::{Channel, Counters, Traffic};
--- a/crates/kumquatdrum_peer/src/error.rs
+++ b/crates/kumquatdrum_peer/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a peer gave no answer.
+//! Errors of peer requests.
 
 use std::time::Duration;
 
 use kumquatdrum_types::HostId;
 
-/// Why a question brought no answer, or why a handler gives none.
+/// Error of a request to a peer or of its handler.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// No address is known for the host; nothing was sent.
@@ -13,52 +13,52 @@
     /// No connection could be opened; nothing was sent.
     #[error("host {host} can't be reached: {reason}")]
     Unreachable {
-        /// The peer.
+        /// Peer.
         host: HostId,
-        /// What the transport said.
+        /// Error of the transport.
         reason: String,
     },
-    /// The time is up; the peer may or may not have acted.
-    #[error("host {host} gave no answer within {timeout:?}")]
+    /// The request timed out; the peer may or may not have processed it.
+    #[error("host {host} did not respond within {timeout:?}")]
     Timeout {
-        /// The peer.
+        /// Peer.
         host: HostId,
-        /// How long it was given.
+        /// Time limit of the request.
         timeout: Duration,
     },
-    /// The connection broke during the call; the peer may or may not have acted.
-    #[error("the connection to host {host} broke: {reason}")]
+    /// The connection was lost during the call; the peer may or may not have processed it.
+    #[error("connection to host {host} was lost: {reason}")]
     Lost {
-        /// The peer.
+        /// Peer.
         host: HostId,
-        /// What the transport said.
+        /// Error of the transport.
         reason: String,
     },
-    /// The peer belongs to another cluster, is another host, or one of the two has a wrong secret.
-    #[error("host {host} and this one don't accept each other: {reason}")]
+    /// The peer is another host or in another cluster, or the secrets differ.
+    #[error("authentication with host {host} failed: {reason}")]
     Refused {
-        /// The peer.
+        /// Peer.
         host: HostId,
-        /// What didn't fit; never the secret.
+        /// Mismatch, without the secret.
         reason: String,
     },
-    /// The peer's handler answered with an error.
+    /// The peer's handler returned an error.
     #[error("host {host} answered: {reason}")]
     Failed {
-        /// The peer.
+        /// Peer.
         host: HostId,
-        /// What the handler said.
+        /// Error of the handler.
         reason: String,
     },
-    /// A handler's own reason to give no answer; its peer sees it as [`Error::Failed`].
+    /// Error returned by a handler; its peer receives [`Error::Failed`].
     #[error("{0}")]
     Handler(String),
-    /// The body exceeds what a frame may hold; nothing was sent.
+    /// The body exceeds the size limit of a frame; nothing was sent.
     #[error("a body of {bytes} bytes exceeds the limit of {limit}")]
     TooLarge {
-        /// The body's length.
+        /// Length of the body in bytes.
         bytes: usize,
-        /// The most that a frame holds.
+        /// Size limit in bytes.
         limit: usize,
     },
     /// The client has been shut down.
@@ -67,7 +67,7 @@
 }
 
 impl Error {
-    /// Whether it is certain that the peer's handler never saw the question.
+    /// Returns whether the peer's handler certainly didn't receive the request.
     ///
     /// ```
     /// use kumquatdrum_peer::Error;
--- a/crates/kumquatdrum_peer/src/frame.rs
+++ b/crates/kumquatdrum_peer/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: made, proved and checked.
+//! Construction and verification of frames.
 
 use bytes::Bytes;
 use kumquatdrum_types::{BootId, HostId};
@@ -7,12 +7,12 @@
 use crate::generated::Frame;
 use crate::{Channel, Identity, LocalDaemon};
 
-/// The most body bytes of one frame.
-pub(crate) const BODY_LIMIT: usize = 8 << 20;
-/// The most bytes of an encoded frame: the bodies, and room for names and lengths.
-pub(crate) const FRAME_LIMIT: usize = BODY_LIMIT + (1 << 20);
+/// Maximum total size of the bodies of a frame, in bytes.
+pub(crate) const BODY_LIMIT_BYTES: usize = 8 << 20;
+/// Maximum size of an encoded frame in bytes, including names and lengths.
+pub(crate) const FRAME_LIMIT_BYTES: usize = BODY_LIMIT_BYTES + (1 << 20);
 
-/// Why a frame was refused.
+/// Reason that a frame was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Violation {
     #[error("another cluster")]
@@ -23,27 +23,27 @@
     WrongSecret,
     #[error("unknown channel")]
     UnknownChannel,
-    #[error("not exactly one body")]
+    #[error("expected exactly one body")]
     BodyCount,
 }
 
-/// A frame that was accepted.
+/// Content of a verified frame.
 pub(crate) struct Accepted {
     pub(crate) from: Identity,
     pub(crate) channel: Channel,
     pub(crate) bodies: Vec<Bytes>,
 }
 
-/// Which call a frame belongs to; part of its code, so that one can't pass for another.
+/// Role of a frame in a call, covered by its code so that a frame can't be reused in another role.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Purpose<'a> {
     Send,
     Request,
-    /// The answer to the question with this code.
+    /// Response to the request with this code.
     Response(&'a [u8]),
 }
 
-/// Makes a frame to a host and proves it.
+/// Builds an authenticated frame for a host.
 pub(crate) fn build(
     local: &LocalDaemon,
     to: &HostId,
@@ -64,7 +64,7 @@
     frame
 }
 
-/// Checks a frame and takes it apart.
+/// Verifies a frame and returns its content.
 pub(crate) fn accept(
     local: &LocalDaemon,
     frame: Frame,
--- a/crates/kumquatdrum_peer/src/generated.rs
+++ b/crates/kumquatdrum_peer/src/generated.rs
@@ -4,30 +4,30 @@
 pub struct Frame {
     #[prost(enumeration = "Channel", tag = "1")]
     pub channel: i32,
-    /// The cluster that the sender belongs to.
+    /// Cluster of the sender.
     #[prost(string, tag = "2")]
     pub cluster: ::prost::alloc::string::String,
-    /// The host that speaks.
+    /// Host of the sender.
     #[prost(string, tag = "3")]
     pub from: ::prost::alloc::string::String,
-    /// The life of that host's daemon.
+    /// Incarnation of the sending daemon.
     #[prost(uint64, tag = "4")]
     pub boot: u64,
-    /// The host that is spoken to.
+    /// Host of the receiver.
     #[prost(string, tag = "5")]
     pub to: ::prost::alloc::string::String,
-    /// Messages in the order of sending; a question and an answer hold exactly one.
+    /// Messages in the order of sending; a request and a response contain exactly one.
     #[prost(bytes = "bytes", repeated, tag = "6")]
     pub bodies: ::prost::alloc::vec::Vec<::prost::bytes::Bytes>,
-    /// HMAC-SHA-256 under the cluster secret, over all of the above; an answer's also covers the
-    /// code of its question.
+    /// HMAC-SHA-256 over all other fields, keyed by the cluster secret. The code of a response also
+    /// covers the code of its request.
     #[prost(bytes = "bytes", tag = "7")]
     pub code: ::prost::bytes::Bytes,
 }
-/// A frame arrived.
+/// Acknowledges a frame.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Ack {}
-/// The subsystem that a body belongs to.
+/// Subsystem that a body belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum Channel {
@@ -77,7 +77,7 @@
     )]
     use tonic::codegen::*;
     use tonic::codegen::http::Uri;
-    /// What daemons say to each other. The bodies belong to the subsystems and are opaque here.
+    /// Communication between daemons. Bodies are opaque bytes of the subsystems.
     #[derive(Debug, Clone)]
     pub struct PeerClient<T> {
         inner: tonic::client::Grpc<T>,
@@ -158,7 +158,7 @@
             self.inner = self.inner.max_encoding_message_size(limit);
             self
         }
-        /// Delivers messages that need no answer; the acknowledgement says only that they arrived.
+        /// Delivers messages without response; the acknowledgement only confirms their arrival.
         pub async fn send(
             &mut self,
             request: impl tonic::IntoRequest<super::Frame>,
@@ -180,7 +180,7 @@
                 .insert(GrpcMethod::new("kumquatdrum.peer.v1.Peer", "Send"));
             self.inner.unary(req, path, codec).await
         }
-        /// Asks a question and waits for its answer.
+        /// Sends a request and waits for its response.
         pub async fn ask(
             &mut self,
             request: impl tonic::IntoRequest<super::Frame>,
@@ -217,18 +217,18 @@
     /// Generated trait containing gRPC methods that should be implemented for use with PeerServer.
     #[async_trait]
     pub trait Peer: std::marker::Send + std::marker::Sync + 'static {
-        /// Delivers messages that need no answer; the acknowledgement says only that they arrived.
+        /// Delivers messages without response; the acknowledgement only confirms their arrival.
         async fn send(
             &self,
             request: tonic::Request<super::Frame>,
         ) -> std::result::Result<tonic::Response<super::Ack>, tonic::Status>;
-        /// Asks a question and waits for its answer.
+        /// Sends a request and waits for its response.
         async fn ask(
             &self,
             request: tonic::Request<super::Frame>,
         ) -> std::result::Result<tonic::Response<super::Frame>, tonic::Status>;
     }
-    /// What daemons say to each other. The bodies belong to the subsystems and are opaque here.
+    /// Communication between daemons. Bodies are opaque bytes of the subsystems.
     #[derive(Debug)]
     pub struct PeerServer<T> {
         inner: Arc<T>,
--- a/crates/kumquatdrum_peer/src/handler.rs
+++ b/crates/kumquatdrum_peer/src/handler.rs
@@ -1,19 +1,18 @@
-//! What the daemon does with the messages of its peers.
+//! Handler for messages from peers.
 
 use bytes::Bytes;
 use futures::future::BoxFuture;
 
 use crate::{Channel, Error, Identity};
 
-/// The answer to a question, in the making.
+/// Future response to a request.
 pub type Answer<'a> = BoxFuture<'a, Result<Bytes, Error>>;
 
-/// Takes the messages that arrive from peers. The sender has proved that it knows the cluster
-/// secret.
+/// Processes messages from peers that have been authenticated by the cluster secret.
 pub trait Handler: Send + Sync {
-    /// Takes a message that needs no answer. Must not block.
+    /// Processes a message without response. Must not block.
     fn deliver(&self, from: &Identity, channel: Channel, body: Bytes);
 
-    /// Answers a question. Dropped unfinished where the asker goes away.
+    /// Responds to a request. The future is dropped if the caller disconnects.
     fn answer(&self, from: &Identity, channel: Channel, body: Bytes) -> Answer<'_>;
 }
--- a/crates/kumquatdrum_peer/src/lib.rs
+++ b/crates/kumquatdrum_peer/src/lib.rs
@@ -1,8 +1,8 @@
-//! Other daemons: frames over tonic, proved by the cluster secret.
+//! Communication between daemons: gRPC frames, authenticated by the cluster secret.
 //!
-//! A [`Client`] speaks to all peers, [`serve`] listens to them. Bodies are opaque bytes of the
-//! subsystem that a [`Channel`] names. A frame may arrive twice (a lost acknowledgement, or one
-//! that somebody on the path recorded): every subsystem has to take duplicates and old messages.
+//! A [`Client`] sends to all peers, and [`serve`] accepts their calls. Bodies are opaque bytes of
+//! the subsystem identified by a [`Channel`]. Frames may be delivered more than once, after a lost
+//! acknowledgement or by a replay, so every subsystem must tolerate duplicates and old messages.
 
 pub mod authentication;
 mod channel;
@@ -18,7 +18,7 @@
 mod queue;
 mod server;
 
-// Generated from proto/peer.proto; docs/design/membership.md says how to renew it.
+// Generated from proto/peer.proto; docs/design/membership.md describes how to regenerate it.
 #[allow(clippy::all, clippy::pedantic, missing_docs, unreachable_pub)]
 #[rustfmt::skip]
 mod generated;
--- a/crates/kumquatdrum_peer/src/link.rs
+++ b/crates/kumquatdrum_peer/src/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one peer: opened when needed, dropped as soon as it is in doubt.
+//! Connection to one peer, opened on demand and discarded after a failure.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,26 +9,26 @@
 use tonic::transport::{Channel, Endpoint};
 
 use crate::Error;
-use crate::frame::FRAME_LIMIT;
+use crate::frame::FRAME_LIMIT_BYTES;
 use crate::generated::peer_client::PeerClient;
 
-/// How long opening a connection may take.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// After a failed attempt, calls fail at once for this long.
+/// Time after a failed attempt during which calls fail at once.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
-/// A call that waits this long without a byte from the peer sends an HTTP/2 ping.
+/// Time without received data after which a waiting call sends an HTTP/2 ping.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
-/// A ping unanswered for this long closes the connection.
+/// Time without a response to a ping after which the connection is closed.
 const PING_TIMEOUT: Duration = Duration::from_secs(1);
-const STREAM_WINDOW: u32 = 1 << 20;
-const CONNECTION_WINDOW: u32 = 4 << 20;
+const STREAM_WINDOW_BYTES: u32 = 1 << 20;
+const CONNECTION_WINDOW_BYTES: u32 = 4 << 20;
 
-/// The connection to one peer.
+/// Connection to one peer.
 #[derive(Debug)]
 pub(crate) struct Link {
     host: HostId,
     address: Mutex<SocketAddr>,
-    // Held while a connection is being opened, so that calls share one attempt.
+    // Locked while a connection is being opened, so that calls share one attempt.
     state: tokio::sync::Mutex<State>,
 }
 
@@ -39,7 +39,7 @@
     failed: Option<(Instant, Error)>,
 }
 
-/// One connection, numbered so that a late failure doesn't close its successor.
+/// Open connection, numbered so that a late failure doesn't close its successor.
 #[derive(Debug, Clone)]
 pub(crate) struct Connection {
     address: SocketAddr,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Changes the address; the next call goes there.
+    /// Changes the address for the next call.
     pub(crate) fn set_address(&self, address: SocketAddr) {
         *self.address.lock() = address;
     }
 
-    /// The open connection, or a new one.
+    /// Returns the open connection, or opens a new one.
     pub(crate) async fn connection(&self) -> Result<Connection, Error> {
         let mut state = self.state.lock().await;
         let address = *self.address.lock();
@@ -80,8 +80,8 @@
                     address,
                     number: state.opened,
                     client: PeerClient::new(channel)
-                        .max_decoding_message_size(FRAME_LIMIT)
-                        .max_encoding_message_size(FRAME_LIMIT),
+                        .max_decoding_message_size(FRAME_LIMIT_BYTES)
+                        .max_encoding_message_size(FRAME_LIMIT_BYTES),
                 };
                 state.failed = None;
                 state.open = Some(connection.clone());
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Drops a connection that failed; the next call opens a new one.
+    /// Discards a failed connection, so that the next call opens a new one.
     pub(crate) async fn discard(&self, failed: &Connection) {
         let mut state = self.state.lock().await;
         if state
@@ -116,8 +116,8 @@
             .connect_timeout(CONNECT_TIMEOUT)
             .http2_keep_alive_interval(PING_INTERVAL)
             .keep_alive_timeout(PING_TIMEOUT)
-            .initial_stream_window_size(STREAM_WINDOW)
-            .initial_connection_window_size(CONNECTION_WINDOW);
+            .initial_stream_window_size(STREAM_WINDOW_BYTES)
+            .initial_connection_window_size(CONNECTION_WINDOW_BYTES);
         match tokio::time::timeout(CONNECT_TIMEOUT, endpoint.connect()).await {
             Ok(Ok(channel)) => Ok(channel),
             Ok(Err(error)) => Err(unreachable(error.to_string())),
--- a/crates/kumquatdrum_peer/src/local.rs
+++ b/crates/kumquatdrum_peer/src/local.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of itself: who it is, its cluster, its counters and its log.
+//! Identity, cluster and credentials of this daemon.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,16 +7,16 @@
 
 use crate::Counters;
 
-/// One life of one host's daemon.
+/// Incarnation of a host's daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Identity {
-    /// The host.
+    /// Name of the host.
     pub host: HostId,
-    /// The life of its daemon.
+    /// Incarnation of its daemon.
     pub boot: BootId,
 }
 
-/// The secret that all daemons of a cluster share. It is never logged and never sent.
+/// Secret shared by all daemons of a cluster; never logged or sent.
 ///
 /// ```
 /// let secret = kumquatdrum_peer::Secret::new("a long secret");
@@ -26,7 +26,7 @@
 pub struct Secret(Arc<[u8]>);
 
 impl Secret {
-    /// Wraps the secret of the settings.
+    /// Creates a secret from its text in the settings.
     pub fn new(text: impl AsRef<[u8]>) -> Self {
         Self(Arc::from(text.as_ref()))
     }
@@ -42,17 +42,17 @@
     }
 }
 
-/// This daemon, as the client and the server need it.
+/// State of this daemon that the client and the server share.
 #[derive(Debug, Clone)]
 pub struct LocalDaemon {
-    /// The cluster's name; a daemon of another cluster is refused.
+    /// Name of the cluster; daemons of other clusters are refused.
     pub cluster: String,
-    /// The cluster's secret.
+    /// Secret of the cluster.
     pub secret: Secret,
-    /// Who this daemon is.
+    /// Identity of this daemon.
     pub identity: Identity,
-    /// What passed, by channel.
+    /// Traffic counters by channel.
     pub counters: Arc<Counters>,
-    /// Where refusals and lost connections are told.
+    /// Logger for refusals and lost connections.
     pub logger: slog::Logger,
 }
--- a/crates/kumquatdrum_peer/src/peer.rs
+++ b/crates/kumquatdrum_peer/src/peer.rs
@@ -1,4 +1,4 @@
-//! One peer: its queues, its connection, and the calls to it.
+//! A peer with its queues and connection, and the calls to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,12 +20,12 @@
 use crate::queue::Queues;
 use crate::{Channel, Error, LocalDaemon};
 
-/// How long a frame without weight may wait for its acknowledgement.
+/// Time that a frame may wait for its acknowledgement, plus the transfer time of its bodies.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// The slowest path that large frames are sent over.
+/// Minimum throughput assumed for large frames.
 const MINIMUM_BYTES_PER_SECOND: usize = 1 << 20;
 
-/// One peer.
+/// A peer and the messages queued for it.
 #[derive(Debug)]
 pub(crate) struct Peer {
     local: Arc<LocalDaemon>,
@@ -52,7 +52,7 @@
         &self.link
     }
 
-    /// Queues a message and returns how many old ones had to go.
+    /// Queues a message and returns the number of messages dropped.
     pub(crate) fn push(&self, channel: Channel, body: Bytes) -> usize {
         let dropped = self.queues.lock().push(channel, body);
         self.wake.notify_one();
@@ -63,12 +63,12 @@
         self.queues.lock().pop_batch(channel)
     }
 
-    /// Waits until something was queued since the last time.
+    /// Waits until a message was queued since the last call.
     pub(crate) async fn wait_for_messages(&self) {
         self.wake.notified().await;
     }
 
-    /// Sends one frame and waits for its acknowledgement; a failure is counted and told.
+    /// Sends one frame and waits for its acknowledgement. Failures are counted and logged.
     pub(crate) async fn send(&self, channel: Channel, bodies: Vec<Bytes>) {
         let count = bodies.len();
         let limit = send_timeout(&bodies);
@@ -88,7 +88,7 @@
         self.log_transition(result);
     }
 
-    /// Logs the first failure after a success, and the first success after a failure.
+    /// Logs the first failure after a success and the first success after a failure.
     fn log_transition(&self, result: Result<Ack, Error>) {
         let was_failing = self.is_failing.swap(result.is_err(), Ordering::Relaxed);
         match result {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Asks a question.
+    /// Sends a request and waits for its response.
     pub(crate) async fn ask(
         &self,
         channel: Channel,
@@ -115,7 +115,7 @@
                 .await
                 .map_err(|_| Error::Unreachable {
                     host: self.host.clone(),
-                    reason: "no connection in time".to_owned(),
+                    reason: "timed out while connecting".to_owned(),
                 })??;
         let request = frame::build(
             &self.local,
@@ -128,7 +128,8 @@
         self.local.counters.sent(channel, 1, request.encoded_len());
         let rest = limit.saturating_sub(start.elapsed());
         let response = timeout(rest, connection.client.ask(Request::new(request))).await;
-        // A handler may be slow: only the pings decide whether the connection is silent.
+        // A timeout doesn't discard the connection because the handler may be slow; pings detect
+        // silent connections.
         let response = match response {
             Ok(response) => {
                 self.handle_response(&connection, Ok(response), limit)
@@ -147,8 +148,10 @@
                 self.local.counters.received(accepted.channel, 1, size);
                 Ok(accepted.bodies.into_iter().next().unwrap_or_default())
             }
-            Ok(accepted) => Err(self.refused(format!("host {} answered", accepted.from.host))),
-            Err(violation) => Err(self.refused(format!("its response: {violation}"))),
+            Ok(accepted) => {
+                Err(self.refused(format!("response came from host {}", accepted.from.host)))
+            }
+            Err(violation) => Err(self.refused(format!("invalid response: {violation}"))),
         }
     }
 
--- a/crates/kumquatdrum_peer/src/queue.rs
+++ b/crates/kumquatdrum_peer/src/queue.rs
@@ -1,20 +1,20 @@
-//! Messages that wait for one peer: a bounded queue for each channel, which drops its oldest.
+//! Outgoing messages for one peer, in a bounded queue per channel that drops its oldest messages.
 
 use std::collections::VecDeque;
 
 use bytes::Bytes;
 
 use crate::Channel;
-use crate::frame::BODY_LIMIT;
+use crate::frame::BODY_LIMIT_BYTES;
 
-/// The most messages that wait on one channel of one peer.
-pub(crate) const QUEUE_LIMIT: usize = 1_024;
-/// The most bytes that wait on one channel of one peer.
-pub(crate) const QUEUE_BYTES: usize = 16 << 20;
-/// A batch ends with the message that brings it here.
+/// Maximum number of queued messages on one channel of a peer.
+pub(crate) const QUEUE_LIMIT_MESSAGES: usize = 1_024;
+/// Maximum number of queued bytes on one channel of a peer.
+pub(crate) const QUEUE_LIMIT_BYTES: usize = 16 << 20;
+/// Size at which a batch is complete; its last message may exceed it.
 const BATCH_BYTES: usize = 256 << 10;
 
-/// The queues of one peer.
+/// Queues of one peer.
 #[derive(Debug, Default)]
 pub(crate) struct Queues {
     channels: [Queue; Channel::ALL.len()],
@@ -27,12 +27,12 @@
 }
 
 impl Queues {
-    /// Adds a message and returns how many old ones had to go.
+    /// Adds a message and returns the number of messages dropped.
     pub(crate) fn push(&mut self, channel: Channel, body: Bytes) -> usize {
         self.channels[channel.index()].push(body)
     }
 
-    /// Takes the messages of the next frame; empty where nothing waits.
+    /// Removes and returns the messages of the next frame.
     pub(crate) fn pop_batch(&mut self, channel: Channel) -> Vec<Bytes> {
         self.channels[channel.index()].pop_batch()
     }
@@ -43,7 +43,7 @@
         self.bytes += body.len();
         self.messages.push_back(body);
         let mut dropped = 0;
-        while self.messages.len() > QUEUE_LIMIT || self.bytes > QUEUE_BYTES {
+        while self.messages.len() > QUEUE_LIMIT_MESSAGES || self.bytes > QUEUE_LIMIT_BYTES {
             self.pop();
             dropped += 1;
         }
@@ -60,7 +60,7 @@
         let mut batch = Vec::new();
         let mut bytes = 0;
         while let Some(next) = self.messages.front().map(Bytes::len) {
-            if !batch.is_empty() && (bytes >= BATCH_BYTES || bytes + next > BODY_LIMIT) {
+            if !batch.is_empty() && (bytes >= BATCH_BYTES || bytes + next > BODY_LIMIT_BYTES) {
                 break;
             }
             bytes += next;
--- a/crates/kumquatdrum_peer/src/server.rs
+++ b/crates/kumquatdrum_peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The listener for peers: checks each frame and hands its bodies to the handler.
+//! Server for peers, which verifies each frame and passes its bodies to the handler.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -15,25 +15,25 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status};
 
-use crate::frame::{self, Accepted, FRAME_LIMIT, Purpose, Violation};
+use crate::frame::{self, Accepted, FRAME_LIMIT_BYTES, Purpose, Violation};
 use crate::generated::peer_server::{Peer, PeerServer};
 use crate::generated::{Ack, Frame};
 use crate::{Error, Handler, LocalDaemon};
 
-/// An idle connection is pinged this often.
+/// Interval at which idle connections are pinged.
 const PING_INTERVAL: Duration = Duration::from_secs(5);
-/// A ping unanswered for this long closes the connection.
+/// Time without a response to a ping after which the connection is closed.
 const PING_TIMEOUT: Duration = Duration::from_secs(1);
-const STREAM_WINDOW: u32 = 1 << 20;
-const CONNECTION_WINDOW: u32 = 4 << 20;
-/// The longest reason that travels back with a failure.
-const REASON_LIMIT: usize = 512;
-/// The longest name of a refused host that is logged.
-const NAME_LIMIT: usize = 64;
+const STREAM_WINDOW_BYTES: u32 = 1 << 20;
+const CONNECTION_WINDOW_BYTES: u32 = 4 << 20;
+/// Maximum length of the reason in an error response, in characters.
+const REASON_LIMIT_CHARACTERS: usize = 512;
+/// Maximum length of a refused host's name in the log, in characters.
+const NAME_LIMIT_CHARACTERS: usize = 64;
 const REFUSAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves peers on a listener until `shutdown` resolves and all calls under way have ended. A
-/// connection that went silent holds it up for at most six seconds.
+/// Serves peers on a listener until `shutdown` resolves and all calls in flight have ended. A
+/// silent connection delays the return by at most six seconds.
 pub async fn serve(
     listener: TcpListener,
     handler: Arc<dyn Handler>,
@@ -45,13 +45,13 @@
         local,
         refusals: Refusals::default(),
     })
-    .max_decoding_message_size(FRAME_LIMIT)
-    .max_encoding_message_size(FRAME_LIMIT);
+    .max_decoding_message_size(FRAME_LIMIT_BYTES)
+    .max_encoding_message_size(FRAME_LIMIT_BYTES);
     Server::builder()
         .http2_keepalive_interval(Some(PING_INTERVAL))
         .http2_keepalive_timeout(Some(PING_TIMEOUT))
-        .initial_stream_window_size(STREAM_WINDOW)
-        .initial_connection_window_size(CONNECTION_WINDOW)
+        .initial_stream_window_size(STREAM_WINDOW_BYTES)
+        .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
         .tcp_nodelay(true)
         .add_service(service)
         .serve_with_incoming_shutdown(TcpListenerStream::new(listener), shutdown)
@@ -65,12 +65,13 @@
     refusals: Refusals,
 }
 
-/// Refusals are logged at most once in [`REFUSAL_INTERVAL`], so that no stranger fills the log.
+/// Rate limiter that logs at most one refusal per [`REFUSAL_INTERVAL`].
 #[derive(Debug, Default)]
 struct Refusals(Mutex<(Option<Instant>, u64)>);
 
 impl Refusals {
-    /// Whether to log this one, and how many were not logged since the last.
+    /// Returns the number of refusals suppressed since the last one logged, or `None` if this one
+    /// is suppressed.
     fn take_suppressed(&self) -> Option<u64> {
         let mut state = self.0.lock();
         let is_due = state
@@ -107,7 +108,7 @@
     ) -> Status {
         if let Some(suppressed) = self.refusals.take_suppressed() {
             let address = address.map(|address| address.to_string());
-            let claimed: String = claimed.chars().take(NAME_LIMIT).collect();
+            let claimed: String = claimed.chars().take(NAME_LIMIT_CHARACTERS).collect();
             warn!(self.local.logger, "peer_refused"; "event" => "peer_refused", "claimed_host" => claimed,
                 "address" => address, "reason" => %violation, "untold_before" => suppressed);
         }
@@ -155,6 +156,10 @@
 }
 
 fn error_status(error: Error) -> Status {
-    let reason: String = error.to_string().chars().take(REASON_LIMIT).collect();
+    let reason: String = error
+        .to_string()
+        .chars()
+        .take(REASON_LIMIT_CHARACTERS)
+        .collect();
     Status::aborted(reason)
 }
--- a/crates/kumquatdrum_peer/tests/exchange.rs
+++ b/crates/kumquatdrum_peer/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Daemons over loopback: exchange, refusals, silent connections, overflow, shutdown.
+//! Delivery, authentication, reconnection, queue limits and shutdown of daemons over loopback.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 type Delivery = (Identity, Channel, Bytes);
 
@@ -87,9 +87,9 @@
     }
 }
 
-/// The next message; a missing one is a failure, not a wait for ever.
+/// Returns the next message, and fails if none arrives in time.
 async fn next(daemon: &mut Daemon) -> Delivery {
-    let delivery = timeout(LIMIT, daemon.deliveries.recv()).await;
+    let delivery = timeout(TEST_TIMEOUT, daemon.deliveries.recv()).await;
     delivery.expect("in time").expect("served")
 }
 
@@ -107,12 +107,12 @@
 
 async fn ask(client: &Client, host: &HostId, body: &'static str) -> Result<Bytes, Error> {
     client
-        .ask(host, Channel::Control, Bytes::from(body), LIMIT)
+        .ask(host, Channel::Control, Bytes::from(body), TEST_TIMEOUT)
         .await
 }
 
 #[tokio::test]
-async fn messages_arrive_once_in_order_and_questions_are_answered() {
+async fn messages_arrive_once_in_order_and_requests_are_answered() {
     let mut daemon = daemon("entry-2").await;
     let host = HostId::new("entry-2");
     let (client, local) = client("salons", "secret", &host, daemon.address);
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test]
-async fn a_body_above_the_chunk_size_passes_and_one_above_the_limit_is_told() {
+async fn a_large_body_passes_and_one_above_the_limit_is_rejected() {
     let mut daemon = daemon("entry-2").await;
     let host = HostId::new("entry-2");
     let (client, _) = client("salons", "secret", &host, daemon.address);
@@ -146,7 +146,9 @@
     client.send(&host, Channel::Consensus, chunk.clone());
     assert_eq!(next(&mut daemon).await.2, chunk);
     let huge = Bytes::from(vec![1; (8 << 20) + 1]);
-    let answer = client.ask(&host, Channel::Consensus, huge, LIMIT).await;
+    let answer = client
+        .ask(&host, Channel::Consensus, huge, TEST_TIMEOUT)
+        .await;
     assert!(matches!(answer, Err(Error::TooLarge { .. })));
     client.shutdown().await;
 }
@@ -175,7 +177,7 @@
     assert!(daemon.deliveries.try_recv().is_err());
 }
 
-/// Keeps the lines that are logged.
+/// Records logged lines.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<String>>>);
 
@@ -201,7 +203,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_is_logged_once_a_while_and_without_secrets() {
+async fn refusals_are_logged_at_a_limited_rate_and_without_secrets() {
     let lines = Lines::default();
     let mut server = local("entry-2", "salons", "the-true-secret");
     server.logger = slog::Logger::root(lines.clone(), slog::o!());
@@ -221,7 +223,7 @@
     assert!(!lines.iter().any(leaks), "{lines:?}");
 }
 
-/// Passes bytes on until it is frozen; connections opened before then stay open and silent.
+/// Forwards bytes until it is frozen; existing connections then stay open and silent.
 async fn proxy(target: SocketAddr, mut frozen: watch::Receiver<bool>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -231,14 +233,14 @@
             frozen.mark_unchanged();
             let (from_client, to_client) = inbound.into_split();
             let (from_server, to_server) = outbound.into_split();
-            tokio::spawn(pass(from_client, to_server, frozen.clone()));
-            tokio::spawn(pass(from_server, to_client, frozen.clone()));
+            tokio::spawn(forward(from_client, to_server, frozen.clone()));
+            tokio::spawn(forward(from_server, to_client, frozen.clone()));
         }
     });
     address
 }
 
-async fn pass(
+async fn forward(
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     mut frozen: watch::Receiver<bool>,
@@ -257,7 +259,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_goes_silent_is_shed_and_a_new_one_opened() {
+async fn a_silent_connection_is_replaced_by_a_new_one() {
     let mut daemon = daemon("entry-2").await;
     let (freeze, frozen) = watch::channel(false);
     let address = proxy(daemon.address, frozen).await;
@@ -265,7 +267,7 @@
     let (client, local) = client("salons", "secret", &host, address);
     ask(&client, &host, "first").await.unwrap();
     freeze.send(true).unwrap();
-    // Far below the question's own limit of 20 s: the pings end the call.
+    // Pings end the call before its time limit.
     let lost = ask(&client, &host, "second").await.unwrap_err();
     assert!(matches!(lost, Error::Lost { .. }), "{lost}");
     assert!(!lost.is_unsent());
@@ -277,11 +279,11 @@
 }
 
 #[tokio::test]
-async fn a_full_queue_drops_its_oldest_and_counts() {
+async fn a_full_queue_drops_and_counts_its_oldest_messages() {
     let mut daemon = daemon("entry-2").await;
     let host = HostId::new("entry-2");
     let (client, local) = client("salons", "secret", &host, daemon.address);
-    // Nothing yields in between, so that all of them meet in the queue.
+    // The test doesn't yield in between, so all messages are queued before any is sent.
     for number in 0..3_000_u32 {
         let body = Bytes::from(number.to_string());
         client.send(&host, Channel::Membership, body);
@@ -298,7 +300,7 @@
 }
 
 #[tokio::test]
-async fn unreachable_and_unknown_hosts_are_told_as_unsent() {
+async fn requests_to_unreachable_and_unknown_hosts_are_reported_as_unsent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -307,9 +309,9 @@
     let error = ask(&client, &host, "who").await.unwrap_err();
     assert!(matches!(error, Error::Unreachable { .. }));
     assert!(error.is_unsent());
-    let stranger = HostId::new("entry-9");
-    let error = ask(&client, &stranger, "who").await.unwrap_err();
-    assert_eq!(error, Error::UnknownHost(stranger));
+    let unknown = HostId::new("entry-9");
+    let error = ask(&client, &unknown, "who").await.unwrap_err();
+    assert_eq!(error, Error::UnknownHost(unknown));
     client.shutdown().await;
 }
 
@@ -328,14 +330,14 @@
 }
 
 #[tokio::test]
-async fn shutdown_joins_all_and_lets_queued_messages_leave() {
+async fn shutdown_sends_queued_messages_and_joins_all_tasks() {
     let mut daemon = daemon("entry-2").await;
     let host = HostId::new("entry-2");
     let (client, local) = client("salons", "secret", &host, daemon.address);
-    client.send(&host, Channel::Control, Bytes::from("last words"));
+    client.send(&host, Channel::Control, Bytes::from("queued"));
     client.shutdown().await;
-    assert_eq!(next(&mut daemon).await.2, "last words");
-    // The client's tasks and their peers held the only other references.
+    assert_eq!(next(&mut daemon).await.2, "queued");
+    // All other references belonged to the client's tasks and peers.
     drop(client);
     assert_eq!(Arc::strong_count(&local.counters), 1);
     daemon.stop.send(()).unwrap();
@@ -344,7 +346,7 @@
 }
 
 #[tokio::test]
-async fn a_slow_answer_is_given_up_on_in_time_and_leaves_the_connection() {
+async fn a_slow_response_times_out_without_closing_the_connection() {
     let daemon = daemon("entry-2").await;
     let host = HostId::new("entry-2");
     let (client, _) = client("salons", "secret", &host, daemon.address);
