--- a/crates/kumquatdrum_types/src/exchange.rs
+++ b/crates/kumquatdrum_types/src/exchange.rs
@@ -118,7 +118,7 @@
 pub struct Status {
     /// Incarnation of the engine that reports the status.
     pub boot: BootId,
-    /// Phase of the attempt.
+    /// Stage of the attempt.
     pub state: Stage,
     /// Number of tokens generated so far.
     #[serde(default)]
@@ -132,7 +132,7 @@
     true
 }
 
-/// Phase of an attempt at an engine.
+/// Stage of an attempt at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
@@ -151,7 +151,7 @@
 }
 
 impl Stage {
-    /// Returns whether the phase is final.
+    /// Returns whether the stage is final.
     ///
     /// ```
     /// use kumquatdrum_types::exchange::Stage;
