--- a/crates/kumquatdrum_membership/src/notice.rs
+++ b/crates/kumquatdrum_membership/src/notice.rs
@@ -1,4 +1,4 @@
-//! Leaving notices that this host took and that others have to hold before the endpoint is told.
+//! Leaving notices that other hosts must confirm before they are acknowledged to the endpoint.
 
 use indexmap::IndexSet;
 use kumquatdrum_types::{BootId, EndpointId, HostId, Moment};
@@ -6,16 +6,16 @@
 use crate::Output;
 use crate::timing::{NOTICE_COPIES, NOTICE_EXPIRY, NOTICE_RETRY};
 
-/// A leaving notice on its way.
+/// Leaving notice that is being replicated to other hosts.
 #[derive(Debug)]
 pub(crate) struct Notice {
     pub(crate) endpoint: EndpointId,
     pub(crate) boot: BootId,
-    /// Announcements of it that still wait for their acknowledgement.
-    pub(crate) waiting: Vec<u64>,
+    /// Sequence numbers of the announcements that await an acknowledgement.
+    pub(crate) unacknowledged: Vec<u64>,
     confirmed: IndexSet<HostId>,
-    taken: Moment,
-    sent: Option<Moment>,
+    received_at: Moment,
+    last_sent: Option<Moment>,
 }
 
 impl Notice {
@@ -23,10 +23,10 @@
         Self {
             endpoint,
             boot,
-            waiting: Vec::new(),
+            unacknowledged: Vec::new(),
             confirmed: IndexSet::new(),
-            taken: now,
-            sent: None,
+            received_at: now,
+            last_sent: None,
         }
     }
 
@@ -34,13 +34,15 @@
         self.confirmed.insert(host);
     }
 
-    /// The hosts that it is to be sent to now, of those alive.
-    pub(crate) fn receivers(&mut self, now: Moment, alive: &[HostId]) -> Vec<HostId> {
-        let is_due = self.sent.is_none_or(|sent| now - sent >= NOTICE_RETRY);
+    /// Returns the live hosts that the notice is due to be sent to.
+    pub(crate) fn due_receivers(&mut self, now: Moment, alive: &[HostId]) -> Vec<HostId> {
+        let is_due = self
+            .last_sent
+            .is_none_or(|last_sent| now - last_sent >= NOTICE_RETRY);
         if !is_due {
             return Vec::new();
         }
-        self.sent = Some(now);
+        self.last_sent = Some(now);
         alive
             .iter()
             .filter(|host| !self.confirmed.contains(*host))
@@ -48,8 +50,8 @@
             .collect()
     }
 
-    /// Acknowledges the announcements, once enough hosts hold the notice.
-    pub(crate) fn settle(&mut self, alive: &[HostId], out: &mut Vec<Output>) {
+    /// Acknowledges the announcements once enough hosts have confirmed the notice.
+    pub(crate) fn acknowledge(&mut self, alive: &[HostId], out: &mut Vec<Output>) {
         let copies = alive
             .iter()
             .filter(|host| self.confirmed.contains(*host))
@@ -57,7 +59,7 @@
         if copies < NOTICE_COPIES.min(alive.len()) {
             return;
         }
-        for sequence in self.waiting.drain(..) {
+        for sequence in self.unacknowledged.drain(..) {
             out.push(Output::AckAnnounce {
                 endpoint: self.endpoint.clone(),
                 boot: self.boot,
@@ -66,9 +68,9 @@
         }
     }
 
-    /// Whether nothing is left to do for it.
-    pub(crate) fn is_over(&self, now: Moment, alive: &[HostId]) -> bool {
+    /// Returns whether the notice can be discarded.
+    pub(crate) fn is_complete(&self, now: Moment, alive: &[HostId]) -> bool {
         let is_everywhere = alive.iter().all(|host| self.confirmed.contains(host));
-        self.waiting.is_empty() && (is_everywhere || now - self.taken > NOTICE_EXPIRY)
+        self.unacknowledged.is_empty() && (is_everywhere || now - self.received_at > NOTICE_EXPIRY)
     }
 }
--- a/crates/kumquatdrum_membership/tests/it/cluster.rs
+++ b/crates/kumquatdrum_membership/tests/it/cluster.rs
@@ -1,10 +1,10 @@
-//! Membership cores of some data centres on one network, with endpoints that renew.
+//! Simulated membership cluster with endpoints that renew their announcements.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use kumquatdrum_membership::{Change, Input, Member, Membership, Message, Output, State};
-use kumquatdrum_types::endpoint::{Engine, Kind};
+use kumquatdrum_membership::{Change, Input, Liveness, Member, Membership, Message, Output};
+use kumquatdrum_types::endpoint::{self, Engine};
 use kumquatdrum_types::{
     Announcement, BootId, DataCentre, EndpointId, HostId, Load, ModelName, Moment, ServiceName,
 };
@@ -18,15 +18,15 @@
     pub member: Member,
     pub is_up: bool,
     pub frozen_until: Moment,
-    /// All outputs but messages, with their moments.
+    /// All outputs other than messages, with their times.
     pub events: Vec<(Moment, Output)>,
 }
 
-/// An endpoint that renews each second.
+/// Endpoint that renews its announcement every second.
 pub struct Endpoint {
     pub announcement: Announcement,
-    /// The host that takes its announcements.
-    pub taker: HostId,
+    /// Host that receives its announcements.
+    pub receiver: HostId,
     pub is_up: bool,
     due: Moment,
 }
@@ -60,7 +60,7 @@
         service: ServiceName::new("formula-llm"),
         address: ([127, 0, 0, 1], 9_000).into(),
         data_centre: DataCentre::new(data_centre),
-        kind: Kind::Engine(Engine {
+        kind: endpoint::Kind::Engine(Engine {
             model: ModelName::new("formula"),
             memory_tokens: 500_000,
             batch_limit: 64,
@@ -72,7 +72,7 @@
 }
 
 impl Cluster {
-    /// `hosts` hosts in each data centre.
+    /// Creates a cluster with `hosts` hosts in each data centre.
     pub fn new(seed: u64, faults: Faults, data_centres: &[&str], hosts: usize) -> Self {
         let mut cluster = Self {
             network: Network::new(seed, faults),
@@ -105,7 +105,7 @@
         self.daemons.insert(member.host, daemon);
     }
 
-    /// Starts a new life of a daemon, with nothing but its settings: all hosts.
+    /// Restarts a daemon with all hosts in its settings.
     pub fn restart(&mut self, host: &HostId) {
         let others: Vec<Member> = self
             .daemons
@@ -119,7 +119,7 @@
         self.start(host, others);
     }
 
-    /// Starts a new life of a daemon that knows only these others.
+    /// Starts a new incarnation of a daemon with the given hosts in its settings.
     pub fn start(&mut self, host: &HostId, others: Vec<Member>) {
         let daemon = &mut self.daemons[host];
         daemon.member.boot.0 += 1;
@@ -127,17 +127,17 @@
         daemon.is_up = true;
     }
 
-    /// Adds a host that no other one's settings name.
-    pub fn add_stranger(&mut self, member: Member, known: Member) {
+    /// Adds a host that is missing from the settings of all others.
+    pub fn add_unlisted_host(&mut self, member: Member, known: Member) {
         let host = member.host.clone();
         self.add(member);
         self.start(&host, vec![known]);
     }
 
-    /// A daemon dies, and what it had under way is lost.
+    /// Stops a daemon and drops its in-flight messages.
     pub fn kill(&mut self, host: &HostId) {
         self.daemons[host].is_up = false;
-        self.network.forget(host);
+        self.network.drop_in_flight(host);
     }
 
     pub fn host(&self, index: usize) -> HostId {
@@ -164,11 +164,11 @@
         }
     }
 
-    /// Adds an endpoint that announces itself to a host from now on.
-    pub fn add_endpoint(&mut self, announcement: Announcement, taker: &HostId) {
+    /// Adds an endpoint that announces itself to a host.
+    pub fn add_endpoint(&mut self, announcement: Announcement, receiver: &HostId) {
         let jitter = self.network.pick(0, 999);
         let endpoint = Endpoint {
-            taker: taker.clone(),
+            receiver: receiver.clone(),
             is_up: true,
             due: self.network.now + Duration::from_millis(jitter),
             announcement,
@@ -213,7 +213,7 @@
         self.run_until(time, |_| false);
     }
 
-    /// Runs for some time, or until the condition holds; returns whether it does.
+    /// Runs until the condition holds or the time has passed. Returns whether it holds.
     pub fn run_until(&mut self, time: Duration, mut is_done: impl FnMut(&Self) -> bool) -> bool {
         let end = self.network.now + time;
         while self.network.now < end {
@@ -235,7 +235,7 @@
     }
 
     fn deliver(&mut self, delivery: Delivery) {
-        // A frozen daemon's messages wait in its sockets; here they are lost, which is worse.
+        // Messages to a frozen daemon are lost, which is stricter than waiting in its sockets.
         if self.daemons[&delivery.to].frozen_until > self.network.now {
             return;
         }
@@ -269,27 +269,29 @@
                 endpoint.due = now + seconds(1);
                 endpoint.announcement.sequence += 1;
                 renew_load(&mut endpoint.announcement);
-                renewals.push((endpoint.taker.clone(), endpoint.announcement.clone()));
+                renewals.push((endpoint.receiver.clone(), endpoint.announcement.clone()));
             }
         }
-        for (taker, announcement) in renewals {
-            self.announce(&taker, announcement);
+        for (receiver, announcement) in renewals {
+            self.announce(&receiver, announcement);
         }
     }
 
-    /// The state of an endpoint on a host.
-    pub fn state(&self, host: &HostId, endpoint: &str) -> Option<State> {
+    /// Returns the liveness of an endpoint on a host.
+    pub fn liveness(&self, host: &HostId, endpoint: &str) -> Option<Liveness> {
         let record = self.daemons[host].core.endpoint(&endpoint.into())?;
-        Some(record.state)
+        Some(record.liveness)
     }
 
-    /// Whether a host would give an endpoint new work.
+    /// Returns whether a host would dispatch new work to an endpoint.
     pub fn takes_work(&self, host: &HostId, endpoint: &str) -> bool {
         let record = self.daemons[host].core.endpoint(&endpoint.into());
-        record.is_some_and(|record| record.state == State::Alive && !record.announcement.leaving)
+        record.is_some_and(|record| {
+            record.liveness == Liveness::Alive && !record.announcement.leaving
+        })
     }
 
-    /// The changes of an endpoint that a host gave out.
+    /// Returns the changes of an endpoint that a host emitted.
     pub fn changes(&self, host: &HostId, endpoint: &str) -> Vec<Change> {
         let events = self.daemons[host].events.iter();
         events
@@ -307,10 +309,10 @@
     }
 }
 
-/// A load as a busy engine reports it, with a counter for each owner.
+/// Sets a new load that keeps the `seen` counters.
 fn renew_load(announcement: &mut Announcement) {
     let number = announcement.sequence;
-    if let Kind::Engine(engine) = &mut announcement.kind {
+    if let endpoint::Kind::Engine(engine) = &mut announcement.kind {
         engine.load = Some(Load {
             sequence: number,
             running: 30 + (number % 20) as u32,
--- a/crates/kumquatdrum_membership/tests/it/main.rs
+++ b/crates/kumquatdrum_membership/tests/it/main.rs
@@ -1,10 +1,10 @@
-//! The cores under a small network by seed.
+//! Membership and propagation on a simulated network.
 
 mod cluster;
 mod endpoints;
 mod hosts;
 mod network;
+mod propagation;
+mod propagation_cluster;
 mod schedules;
-mod spread;
-mod spread_cluster;
 mod texts;
--- a/crates/kumquatdrum_membership/tests/it/spread_cluster.rs
+++ b/crates/kumquatdrum_membership/tests/it/propagation_cluster.rs
@@ -1,58 +1,60 @@
-//! Spread cores of some data centres on one network, with a register of accepted versions.
+//! Simulated propagation cluster with a list of accepted versions.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use kumquatdrum_membership::spread::{Config, Input, Message, News, Output, Setup, Spread, Status};
+use kumquatdrum_membership::propagation::{
+    Config, Input, Message, Output, Propagation, Setup, Status, Transfer,
+};
 use kumquatdrum_types::{BootId, DataCentre, HostId, Moment, Version};
 
 use crate::network::{Delivery, Faults, Network};
 
 pub const TICK: Duration = Duration::from_millis(40);
-/// Statuses ride on pushes, of which each host gets one a second at the least.
-const STATUS_EVERY: u32 = 25;
+/// Statuses are piggybacked on pushes, which each host receives at least once a second.
+const TICKS_PER_STATUS: u32 = 25;
 
 pub struct Host {
-    pub core: Spread,
+    pub core: Propagation,
     pub data_centre: DataCentre,
     pub boot: BootId,
     pub is_up: bool,
     pub events: Vec<(Moment, Output)>,
     status: Option<Status>,
-    /// What its disk holds; control replicas only.
+    /// Setup stored on disk; control replicas only.
     disk: Option<Setup>,
 }
 
 pub struct Cluster {
     pub network: Network,
     pub hosts: IndexMap<HostId, Host>,
-    pub control: Vec<HostId>,
-    /// All accepted versions, in order.
+    pub control_replicas: Vec<HostId>,
+    /// Accepted versions in order.
     pub accepted: Vec<Setup>,
-    /// Bytes of text sent, and messages that carried any.
+    /// Literal text bytes sent, and number of messages with text.
     pub text_bytes: u64,
     pub texts: u64,
-    /// Messages and bytes of them; statuses aside, which ride on other messages.
+    /// Messages sent and their bytes, without piggybacked statuses.
     pub messages: u64,
     pub bytes: u64,
     next_tick: Moment,
     ticks: u32,
 }
 
-/// A frame of either kind.
+/// Content of a simulated frame.
 enum Frame {
     Message(Message),
     Status(Status),
 }
 
 impl Cluster {
-    /// `hosts` hosts in each data centre; the first of each of the first `replicas` ones is a
-    /// control replica.
+    /// Creates a cluster with `hosts` hosts in each data centre. The first hosts of the first
+    /// `replicas` data centres are control replicas.
     pub fn new(seed: u64, faults: Faults, centres: usize, hosts: usize, replicas: usize) -> Self {
         let mut cluster = Self {
             network: Network::new(seed, faults),
             hosts: IndexMap::new(),
-            control: Vec::new(),
+            control_replicas: Vec::new(),
             accepted: Vec::new(),
             text_bytes: 0,
             texts: 0,
@@ -67,7 +69,7 @@
             }
         }
         let first = |centre| HostId::new(format!("dc-{centre:02}-00"));
-        cluster.control = (0..replicas).map(first).collect();
+        cluster.control_replicas = (0..replicas).map(first).collect();
         for index in 0..cluster.hosts.len() {
             let host = cluster.host(index);
             cluster.start(&host);
@@ -82,10 +84,10 @@
             host: host.clone(),
             data_centre: data_centre.clone(),
             boot: BootId(0),
-            held: None,
+            stored: None,
         };
         let state = Host {
-            core: Spread::new(config),
+            core: Propagation::new(config),
             data_centre,
             boot: BootId(0),
             is_up: true,
@@ -100,47 +102,47 @@
         self.hosts.get_index(index).unwrap().0.clone()
     }
 
-    /// Starts a new life of a host.
+    /// Starts a new incarnation of a host.
     pub fn start(&mut self, host: &HostId) {
         let state = &mut self.hosts[host];
         state.boot.0 += 1;
         state.is_up = true;
         state.status = None;
         state.events.clear();
-        state.core = Spread::new(Config {
+        state.core = Propagation::new(Config {
             host: host.clone(),
             data_centre: state.data_centre.clone(),
             boot: state.boot,
-            held: state.disk.clone(),
+            stored: state.disk.clone(),
         });
-        self.input(host, Input::Control(self.control.clone()));
+        self.input(host, Input::Control(self.control_replicas.clone()));
         let known: Vec<(HostId, DataCentre, bool)> = self
             .hosts
             .iter()
             .map(|(id, state)| (id.clone(), state.data_centre.clone(), state.is_up))
             .collect();
         for (id, data_centre, is_alive) in known {
-            self.tell_host(host, id.clone(), data_centre.clone(), is_alive);
+            self.inform_host(host, id.clone(), data_centre.clone(), is_alive);
         }
-        self.tell_all(host, true);
+        self.inform_all_hosts(host, true);
     }
 
     pub fn kill(&mut self, host: &HostId) {
         self.hosts[host].is_up = false;
-        self.network.forget(host);
-        self.tell_all(host, false);
+        self.network.drop_in_flight(host);
+        self.inform_all_hosts(host, false);
     }
 
-    /// Membership tells all hosts of one.
-    fn tell_all(&mut self, host: &HostId, is_alive: bool) {
+    /// Informs all hosts about the liveness of one host, as membership does.
+    fn inform_all_hosts(&mut self, host: &HostId, is_alive: bool) {
         let data_centre = self.hosts[host].data_centre.clone();
         let all: Vec<HostId> = self.hosts.keys().cloned().collect();
         for other in all {
-            self.tell_host(&other, host.clone(), data_centre.clone(), is_alive);
+            self.inform_host(&other, host.clone(), data_centre.clone(), is_alive);
         }
     }
 
-    fn tell_host(&mut self, to: &HostId, host: HostId, data_centre: DataCentre, is_alive: bool) {
+    fn inform_host(&mut self, to: &HostId, host: HostId, data_centre: DataCentre, is_alive: bool) {
         let input = Input::Host {
             host,
             data_centre,
@@ -149,14 +151,14 @@
         self.input(to, input);
     }
 
-    /// A majority accepts a version; each replica of it that is up learns it, in its own time.
+    /// Adds an accepted version, which replicas apply later.
     pub fn accept(&mut self, text: String) -> Version {
         let version = Version(self.accepted.len() as u64 + 1);
         self.accepted.push(Setup::new(version, text));
         version
     }
 
-    /// A replica applies what was accepted up to now, where it is in touch with a majority.
+    /// Applies the latest accepted version at a replica that is in contact with a majority.
     pub fn apply(&mut self, replica: &HostId) {
         let Some(latest) = self.accepted.last().cloned() else {
             return;
@@ -169,7 +171,7 @@
     }
 
     pub fn apply_all(&mut self) {
-        for replica in self.control.clone() {
+        for replica in self.control_replicas.clone() {
             self.apply(&replica);
         }
     }
@@ -184,7 +186,10 @@
         let before = state.core.version();
         let mut out = Vec::new();
         state.core.step(now, input, &mut out);
-        assert!(state.core.version() >= before, "{host} went back");
+        assert!(
+            state.core.version() >= before,
+            "{host} returned to a lower version"
+        );
         for output in out {
             match output {
                 Output::Send { to, message } => {
@@ -192,7 +197,9 @@
                     self.send(host, boot, &to, &Frame::Message(message));
                 }
                 Output::Status(status) => self.hosts[host].status = Some(status),
-                Output::Conflict { version, from } => panic!("{host}: {from} differs on {version}"),
+                Output::Conflict { version, from } => {
+                    panic!("{host}: {from} has another text for {version}")
+                }
                 other => self.hosts[host].events.push((now, other)),
             }
         }
@@ -203,7 +210,7 @@
             Frame::Message(message) => postcard::to_stdvec(message),
             Frame::Status(status) => postcard::to_stdvec(status),
         };
-        // A status isn't told from a message by its bytes: the first byte says which it is.
+        // The first byte distinguishes a status from a message.
         let kind = u8::from(matches!(frame, Frame::Status(_)));
         let mut bytes = vec![kind];
         bytes.extend(body.unwrap());
@@ -220,9 +227,9 @@
     }
 
     fn count_text(&mut self, message: &Message) {
-        if let Message::News(News { text, .. }) = message {
+        if let Message::Transfer(Transfer { text, .. }) = message {
             self.texts += 1;
-            self.text_bytes += text.own_bytes() as u64;
+            self.text_bytes += text.literal_bytes() as u64;
         }
     }
 
@@ -230,7 +237,7 @@
         self.run_until(time, |_| false);
     }
 
-    /// Runs for some time, or until the condition holds; returns whether it does.
+    /// Runs until the condition holds or the time has passed. Returns whether it holds.
     pub fn run_until(&mut self, time: Duration, mut is_done: impl FnMut(&Self) -> bool) -> bool {
         let end = self.network.now + time;
         while self.network.now < end {
@@ -270,16 +277,16 @@
         for index in 0..self.hosts.len() {
             let host = self.host(index);
             self.input(&host, Input::Tick);
-            if (self.ticks + index as u32).is_multiple_of(STATUS_EVERY) {
+            if (self.ticks + index as u32).is_multiple_of(TICKS_PER_STATUS) {
                 self.push_status(&host);
             }
         }
-        for replica in self.control.clone() {
+        for replica in self.control_replicas.clone() {
             self.input_majority(&replica);
         }
     }
 
-    /// A replica says so as long as it is in touch with a majority and up to date.
+    /// Reports a majority at a replica that is up to date and in contact with one.
     fn input_majority(&mut self, replica: &HostId) {
         let accepted = self.accepted.last().map_or(Version(0), |last| last.version);
         if self.has_majority(replica) && self.hosts[replica].core.version() == accepted {
@@ -289,11 +296,11 @@
 
     fn has_majority(&self, replica: &HostId) -> bool {
         let reached = self
-            .control
+            .control_replicas
             .iter()
             .filter(|other| self.hosts[*other].is_up && !self.network.is_cut(replica, other))
             .count();
-        self.hosts[replica].is_up && reached > self.control.len() / 2
+        self.hosts[replica].is_up && reached > self.control_replicas.len() / 2
     }
 
     fn push_status(&mut self, host: &HostId) {
@@ -302,13 +309,13 @@
             return;
         };
         let (boot, data_centre) = (state.boot, state.data_centre.clone());
-        let near: Vec<HostId> = self
+        let local_hosts: Vec<HostId> = self
             .hosts
             .iter()
             .filter(|(id, other)| *id != host && other.data_centre == data_centre)
             .map(|(id, _)| id.clone())
             .collect();
-        for to in near {
+        for to in local_hosts {
             self.send(host, boot, &to, &Frame::Status(status));
         }
     }
@@ -333,10 +340,10 @@
         up.all(|host| host.core.version() == version && host.core.is_ready())
     }
 
-    /// Whether a host knows that all hosts have a version.
+    /// Returns whether a host knows that all hosts have a version.
     pub fn knows_everywhere(&self, host: &HostId, version: Version) -> bool {
-        let holdings = self.hosts[host].core.holdings();
-        let count = holdings
+        let installations = self.hosts[host].core.installations();
+        let count = installations
             .filter(|(_, known)| known.version == version)
             .count();
         count == self.hosts.len()
--- a/crates/kumquatdrum_peer/src/frame.rs
+++ b/crates/kumquatdrum_peer/src/frame.rs
@@ -1,18 +1,18 @@
-//! Frames: made, proved and checked.
+//! Construction and verification of frames.
 
 use bytes::Bytes;
 use kumquatdrum_types::{BootId, HostId};
 
+use crate::authentication::{self, Code, Mac};
 use crate::generated::Frame;
-use crate::proof::{self, Code, Mac};
-use crate::{Channel, Identity, Local};
+use crate::{Channel, Identity, LocalDaemon};
 
-/// The most body bytes of one frame.
-pub(crate) const BODY_LIMIT: usize = 8 << 20;
-/// The most bytes of an encoded frame: the bodies, and room for names and lengths.
-pub(crate) const FRAME_LIMIT: usize = BODY_LIMIT + (1 << 20);
+/// Maximum total size of the bodies of a frame, in bytes.
+pub(crate) const BODY_LIMIT_BYTES: usize = 8 << 20;
+/// Maximum size of an encoded frame in bytes, including names and lengths.
+pub(crate) const FRAME_LIMIT_BYTES: usize = BODY_LIMIT_BYTES + (1 << 20);
 
-/// Why a frame was refused.
+/// Reason that a frame was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Violation {
     #[error("another cluster")]
@@ -23,29 +23,29 @@
     WrongSecret,
     #[error("unknown channel")]
     UnknownChannel,
-    #[error("not exactly one body")]
+    #[error("expected exactly one body")]
     BodyCount,
 }
 
-/// A frame that was accepted.
+/// Content of a verified frame.
 pub(crate) struct Accepted {
     pub(crate) from: Identity,
     pub(crate) channel: Channel,
     pub(crate) bodies: Vec<Bytes>,
 }
 
-/// Which call a frame belongs to; part of its code, so that one can't pass for another.
+/// Role of a frame in a call, covered by its code so that a frame can't be reused in another role.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Purpose<'a> {
     Send,
-    Ask,
-    /// The answer to the question with this code.
-    Answer(&'a [u8]),
+    Request,
+    /// Response to the request with this code.
+    Response(&'a [u8]),
 }
 
-/// Makes a frame to a host and proves it.
-pub(crate) fn make(
-    local: &Local,
+/// Builds an authenticated frame for a host.
+pub(crate) fn build(
+    local: &LocalDaemon,
     to: &HostId,
     channel: Channel,
     bodies: Vec<Bytes>,
@@ -64,20 +64,20 @@
     frame
 }
 
-/// Checks a frame and takes it apart.
+/// Verifies a frame and returns its content.
 pub(crate) fn accept(
-    local: &Local,
+    local: &LocalDaemon,
     frame: Frame,
     purpose: Purpose<'_>,
 ) -> Result<Accepted, Violation> {
-    let single = !matches!(purpose, Purpose::Send);
+    let requires_single_body = !matches!(purpose, Purpose::Send);
     match Channel::from_wire(frame.channel) {
         _ if frame.cluster != local.cluster => Err(Violation::OtherCluster),
-        _ if !proof::matches(&code(local, &frame, purpose), &frame.code) => {
+        _ if !authentication::verify(&code(local, &frame, purpose), &frame.code) => {
             Err(Violation::WrongSecret)
         }
         _ if frame.to != local.identity.host.as_str() => Err(Violation::OtherHost),
-        _ if single && frame.bodies.len() != 1 => Err(Violation::BodyCount),
+        _ if requires_single_body && frame.bodies.len() != 1 => Err(Violation::BodyCount),
         None => Err(Violation::UnknownChannel),
         Some(channel) => Ok(Accepted {
             from: Identity {
@@ -90,23 +90,23 @@
     }
 }
 
-fn code(local: &Local, frame: &Frame, purpose: Purpose<'_>) -> Code {
-    let (call, question): (&[u8], &[u8]) = match purpose {
+fn code(local: &LocalDaemon, frame: &Frame, purpose: Purpose<'_>) -> Code {
+    let (role, request_code): (&[u8], &[u8]) = match purpose {
         Purpose::Send => (b"send", b""),
-        Purpose::Ask => (b"ask", b""),
-        Purpose::Answer(question) => (b"answer", question),
+        Purpose::Request => (b"ask", b""),
+        Purpose::Response(request_code) => (b"answer", request_code),
     };
     let mac = Mac::new(local.secret.as_bytes())
-        .field(call)
-        .field(question)
-        .field(&frame.channel.to_be_bytes())
-        .field(frame.cluster.as_bytes())
-        .field(frame.from.as_bytes())
-        .field(&frame.boot.to_be_bytes())
-        .field(frame.to.as_bytes());
+        .update_field(role)
+        .update_field(request_code)
+        .update_field(&frame.channel.to_be_bytes())
+        .update_field(frame.cluster.as_bytes())
+        .update_field(frame.from.as_bytes())
+        .update_field(&frame.boot.to_be_bytes())
+        .update_field(frame.to.as_bytes());
     frame
         .bodies
         .iter()
-        .fold(mac, |mac, body| mac.field(body))
+        .fold(mac, |mac, body| mac.update_field(body))
         .finish()
 }
