--- a/crates/kumquatdrum_consensus/src/event.rs
+++ b/crates/kumquatdrum_consensus/src/event.rs
@@ -49,7 +49,7 @@
     },
     /// Stop leading in favour of the voter that is furthest, before a planned stop. Nothing happens
     /// where this replica does not lead, or no voter has all that is committed.
-    Resign,
+    TransferLeadership,
     /// Replaces the voting replicas. New ones catch up first, then the change is made jointly.
     ChangeReplicas {
         /// Comes back in `Proposed`.
--- a/crates/kumquatdrum_consensus/src/formation.rs
+++ b/crates/kumquatdrum_consensus/src/formation.rs
@@ -59,7 +59,11 @@
 
     /// All other hosts with a data folder.
     fn other_hosts(&self) -> IndexSet<HostId> {
-        let hosts = self.settings.initial.iter().chain(&self.settings.peers);
+        let hosts = self
+            .settings
+            .initial_hosts
+            .iter()
+            .chain(&self.settings.additional_hosts);
         hosts
             .filter(|host| **host != self.id.host)
             .cloned()
@@ -74,7 +78,7 @@
     }
 
     fn is_first_initial(&self) -> bool {
-        self.settings.initial.iter().min() == Some(&self.id.host)
+        self.settings.initial_hosts.iter().min() == Some(&self.id.host)
     }
 
     fn survey(&mut self) {
@@ -111,7 +115,7 @@
         if self.formation.fresh.len() < self.other_hosts().len() {
             return;
         }
-        let initial = &self.settings.initial;
+        let initial = &self.settings.initial_hosts;
         let fresh = self.formation.fresh.drain(..).map(|(_, member)| member);
         let voting = fresh.filter(|member| initial.contains(&member.id.host));
         let mut members: Vec<Member> = voting.collect();
@@ -122,7 +126,7 @@
                 cluster: ClusterId(self.random.next_u64()),
                 index: LogIndex(0),
                 term: Term(0),
-                replicas: Replicas::of(members),
+                replicas: Replicas::from_voters(members),
                 data: bytes::Bytes::new(),
             };
             self.enter(snapshot);
--- a/crates/kumquatdrum_consensus/src/leader.rs
+++ b/crates/kumquatdrum_consensus/src/leader.rs
@@ -163,7 +163,7 @@
     }
 
     /// Whether it leads and has applied all that was committed before its term.
-    pub fn leads_current(&self) -> bool {
+    pub fn is_caught_up_leader(&self) -> bool {
         matches!(&self.role, Role::Leader(leader) if self.applied >= leader.first)
     }
 
--- a/crates/kumquatdrum_consensus/src/lib.rs
+++ b/crates/kumquatdrum_consensus/src/lib.rs
@@ -41,4 +41,4 @@
 pub use replicas::Replicas;
 pub use settings::{Rules, Settings};
 pub use status::{PeerStatus, RoleName, Status};
-pub use storage::{Batch, HardState, Stored};
+pub use storage::{Batch, HardState, StoredState};
--- a/crates/kumquatdrum_consensus/src/log.rs
+++ b/crates/kumquatdrum_consensus/src/log.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::{Content, Entry, LogIndex, ReplicaId, Replicas, Snapshot, Stored, Term};
+use crate::{Content, Entry, LogIndex, ReplicaId, Replicas, Snapshot, StoredState, Term};
 
 /// The log as the replica sees it; the tail may not be on disk yet.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
 }
 
 impl Log {
-    pub(crate) fn new(stored: Stored) -> Self {
+    pub(crate) fn new(stored: StoredState) -> Self {
         let mut log = Self {
             snapshot: None,
             base_index: LogIndex(0),
--- a/crates/kumquatdrum_consensus/src/node.rs
+++ b/crates/kumquatdrum_consensus/src/node.rs
@@ -12,7 +12,7 @@
 use crate::log::Log;
 use crate::{
     Body, ClusterId, Content, HardState, Input, LogIndex, Message, Output, Probe, Proposal,
-    ProposalOutcome, ReplicaId, Resignation, Settings, Snapshot, Stored, Term,
+    ProposalOutcome, ReplicaId, Resignation, Settings, Snapshot, StoredState, Term,
 };
 
 /// The part that a node plays, with the state that only this part needs.
@@ -62,12 +62,12 @@
     /// start to start and from host to host.
     ///
     /// ```
-    /// use kumquatdrum_consensus::{Input, Member, Node, Output, Settings, Stored};
+    /// use kumquatdrum_consensus::{Input, Member, Node, Output, Settings, StoredState};
     /// use kumquatdrum_types::{HostId, Moment};
     ///
     /// let mut settings = Settings::new(Member::new("ikeja-1", 7, "ikeja"));
-    /// settings.initial = vec![HostId::new("ikeja-1")];
-    /// let mut node = Node::new(settings, Stored::default(), Moment::ZERO, 1);
+    /// settings.initial_hosts = vec![HostId::new("ikeja-1")];
+    /// let mut node = Node::new(settings, StoredState::default(), Moment::ZERO, 1);
     /// let mut now = Moment::ZERO;
     /// let mut inputs = vec![Input::Tick];
     /// while !node.is_leader() {
@@ -84,7 +84,7 @@
     ///     }
     /// }
     /// ```
-    pub fn new(settings: Settings, stored: Stored, now: Moment, seed: u64) -> Self {
+    pub fn new(settings: Settings, stored: StoredState, now: Moment, seed: u64) -> Self {
         let hard_state = stored.hard_state.clone();
         let log = Log::new(stored);
         let start = log.snapshot_index();
@@ -140,7 +140,7 @@
             Input::PersistFailed { reason } => self.on_persist_failed(reason),
             Input::ConfirmRead { token } => self.on_confirm_read(token),
             Input::Snapshot { index, data } => self.on_snapshot(index, data),
-            Input::Resign => self.on_resign(),
+            Input::TransferLeadership => self.on_resign(),
             Input::ChangeReplicas { token, voters } => self.on_change_replicas(token, voters),
         }
     }
@@ -287,7 +287,7 @@
             data,
         };
         self.log
-            .compact(snapshot.clone(), self.settings.keep_entries);
+            .compact(snapshot.clone(), self.settings.retained_entries);
         self.durability.compacted(snapshot);
     }
 
--- a/crates/kumquatdrum_consensus/src/placement.rs
+++ b/crates/kumquatdrum_consensus/src/placement.rs
@@ -36,10 +36,10 @@
 /// use kumquatdrum_consensus::{Member, placement};
 /// let voters = ["ikeja", "marina", "lekki"].map(|centre| Member::new(centre, 1, centre));
 /// let spares = ["ikeja", "lekki"].map(|centre| Member::new(format!("{centre}-2"), 1, centre));
-/// let chosen = placement::replacement(&voters, &voters[2].id, &spares).unwrap();
+/// let chosen = placement::choose_replacement(&voters, &voters[2].id, &spares).unwrap();
 /// assert_eq!(chosen.id.host.as_str(), "lekki-2");
 /// ```
-pub fn replacement<'a>(
+pub fn choose_replacement<'a>(
     voters: &[Member],
     lost: &ReplicaId,
     spares: &'a [Member],
--- a/crates/kumquatdrum_consensus/src/replicas.rs
+++ b/crates/kumquatdrum_consensus/src/replicas.rs
@@ -24,7 +24,7 @@
 
 impl Replicas {
     /// Replicas that all vote.
-    pub fn of(voters: Vec<Member>) -> Self {
+    pub fn from_voters(voters: Vec<Member>) -> Self {
         Self {
             voters,
             ..Self::default()
@@ -73,7 +73,7 @@
     /// ```
     /// use kumquatdrum_consensus::{Member, Replicas};
     /// let members = ["a", "b", "c"].map(|host| Member::new(host, 1, "ikeja"));
-    /// let replicas = Replicas::of(members.to_vec());
+    /// let replicas = Replicas::from_voters(members.to_vec());
     /// let reached = replicas.reached(|id| if id.host.as_str() == "a" { 9 } else { 4 });
     /// assert_eq!(reached, 4);
     /// ```
--- a/crates/kumquatdrum_consensus/src/settings.rs
+++ b/crates/kumquatdrum_consensus/src/settings.rs
@@ -12,9 +12,9 @@
     /// This replica.
     pub member: Member,
     /// Hosts whose replicas form the cluster when all of them are fresh. Empty: join only.
-    pub initial: Vec<HostId>,
+    pub initial_hosts: Vec<HostId>,
     /// All further hosts with a data folder. No cluster forms unless they are fresh as well.
-    pub peers: Vec<HostId>,
+    pub additional_hosts: Vec<HostId>,
     /// A leader says something at least this often.
     pub heartbeat: Duration,
     /// No vote is given for this long after a leader was heard; elections start at random
@@ -37,7 +37,7 @@
     /// A snapshot is wanted when the entries since the last one take this many bytes.
     pub snapshot_bytes: usize,
     /// Entries before a snapshot that are kept in memory for followers slightly behind.
-    pub keep_entries: u64,
+    pub retained_entries: u64,
     /// Proposals are refused as busy when this many bytes wait to be committed.
     pub max_uncommitted_bytes: usize,
     /// Rules that tests may turn off.
@@ -70,8 +70,8 @@
     pub fn new(member: Member) -> Self {
         Self {
             member,
-            initial: Vec::new(),
-            peers: Vec::new(),
+            initial_hosts: Vec::new(),
+            additional_hosts: Vec::new(),
             heartbeat: Duration::from_millis(100),
             election_timeout: Duration::from_secs(1),
             persist_timeout: Duration::from_secs(5),
@@ -82,7 +82,7 @@
             snapshot_chunk_bytes: 128 * 1024,
             snapshot_entries: 1_000,
             snapshot_bytes: 4 * 1024 * 1024,
-            keep_entries: 200,
+            retained_entries: 200,
             max_uncommitted_bytes: 16 * 1024 * 1024,
             rules: Rules::default(),
         }
--- a/crates/kumquatdrum_consensus/src/status.rs
+++ b/crates/kumquatdrum_consensus/src/status.rs
@@ -60,7 +60,7 @@
     /// Its log matches through here, synced.
     pub matched: LogIndex,
     /// Whether it answered within the last election timeout.
-    pub alive: bool,
+    pub is_alive: bool,
     /// Whether it is being sent a snapshot.
     pub snapshot: bool,
 }
@@ -103,7 +103,7 @@
         let status = |(id, progress): (&ReplicaId, &Progress)| PeerStatus {
             id: id.clone(),
             matched: progress.matched,
-            alive: progress.acked_at.is_some_and(alive),
+            is_alive: progress.acked_at.is_some_and(alive),
             snapshot: progress.transfer.is_some(),
         };
         leader.peers.iter().map(status).collect()
--- a/crates/kumquatdrum_consensus/src/storage.rs
+++ b/crates/kumquatdrum_consensus/src/storage.rs
@@ -34,7 +34,7 @@
 
 /// What a store holds when a replica starts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredState {
     /// The small state.
     pub hard_state: HardState,
     /// The latest snapshot, if any.
@@ -43,13 +43,13 @@
     pub entries: Vec<Entry>,
 }
 
-impl Stored {
+impl StoredState {
     /// Applies a batch, as every store must.
     ///
     /// ```
-    /// use kumquatdrum_consensus::{Batch, Content, Entry, LogIndex, Stored, Term};
+    /// use kumquatdrum_consensus::{Batch, Content, Entry, LogIndex, StoredState, Term};
     ///
-    /// let mut stored = Stored::default();
+    /// let mut stored = StoredState::default();
     /// let entry = Entry { term: Term(1), index: LogIndex(1), content: Content::Noop };
     /// stored.apply(&Batch { entries: vec![entry], ..Batch::default() });
     /// stored.apply(&Batch { truncate_from: Some(LogIndex(1)), ..Batch::default() });
--- a/crates/kumquatdrum_consensus/tests/commit.rs
+++ b/crates/kumquatdrum_consensus/tests/commit.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use kumquatdrum_consensus::{
     Append, AppendAck, Batch, Body, ClusterId, Content, Entry, HardState, Input, LogIndex, Member,
-    Message, Node, Output, Probe, Proposal, ProposalOutcome, Replicas, Settings, Snapshot, Stored,
-    Term, Token,
+    Message, Node, Output, Probe, Proposal, ProposalOutcome, Replicas, Settings, Snapshot,
+    StoredState, Term, Token,
 };
 use kumquatdrum_types::Moment;
 
@@ -28,10 +28,10 @@
             cluster: CLUSTER,
             index: LogIndex(0),
             term: Term(0),
-            replicas: Replicas::of(members.clone()),
+            replicas: Replicas::from_voters(members.clone()),
             data: Bytes::new(),
         };
-        let stored = Stored {
+        let stored = StoredState {
             hard_state: HardState {
                 cluster: Some(CLUSTER),
                 term: Term(term),
@@ -185,7 +185,7 @@
 #[test]
 fn a_removed_replica_stands_until_the_change_is_committed() {
     let all = ["a", "b", "c", "d"].map(|host| Member::new(host, 1, "ikeja"));
-    let joint = Replicas::of(all[..3].to_vec()).joint(all[1..].to_vec());
+    let joint = Replicas::from_voters(all[..3].to_vec()).joint(all[1..].to_vec());
     let steps = [joint.clone(), joint.settled()];
     let entry = |(number, replicas): (usize, Replicas)| Entry {
         term: Term(2),
--- a/crates/kumquatdrum_consensus/tests/common/checker.rs
+++ b/crates/kumquatdrum_consensus/tests/common/checker.rs
@@ -5,7 +5,8 @@
 
 use bytes::Bytes;
 use kumquatdrum_consensus::{
-    Batch, Content, LogIndex, ProposalOutcome, ReplicaId, Snapshot, Status, Stored, Term, Token,
+    Batch, Content, LogIndex, ProposalOutcome, ReplicaId, Snapshot, Status, StoredState, Term,
+    Token,
 };
 
 /// Padding that makes a snapshot take several chunks.
@@ -57,7 +58,7 @@
     }
 
     /// Entries with the same index and term are the same, and so are all before them.
-    pub fn synced(&mut self, disk: &Stored, batch: &Batch) {
+    pub fn synced(&mut self, disk: &StoredState, batch: &Batch) {
         for entry in &batch.entries {
             let before = entry.index.previous();
             let snapshot = disk.snapshot.as_ref().filter(|s| s.index == before);
--- a/crates/kumquatdrum_consensus/tests/common/mod.rs
+++ b/crates/kumquatdrum_consensus/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use checker::Checker;
 use kumquatdrum_consensus::{
     Batch, Incarnation, Input, LogIndex, Member, Message, Node, Output, Proposal, ProposalOutcome,
-    Replicas, RoleName, Rules, Settings, Stored, Token,
+    Replicas, RoleName, Rules, Settings, StoredState, Token,
 };
 use kumquatdrum_types::{HostId, Moment};
 use rand_core::{Rng, SeedableRng};
@@ -47,7 +47,7 @@
 /// A host: what outlives a crash, and the node while it runs.
 pub struct Host {
     pub member: Member,
-    pub disk: Stored,
+    pub disk: StoredState,
     pub node: Option<Node>,
     /// The batch that the disk has been given and has not synced.
     pending: Option<Batch>,
@@ -122,7 +122,7 @@
             let incarnation = cluster.random.next_u64();
             cluster.hosts.push(Host {
                 member: Member::new(format!("host-{number}"), incarnation, "ikeja"),
-                disk: Stored::default(),
+                disk: StoredState::default(),
                 node: None,
                 pending: None,
                 life: 0,
@@ -159,11 +159,11 @@
                 .map(|host| host.member.id.host.clone());
             ids.collect::<Vec<HostId>>()
         };
-        settings.initial = hosts(0..self.initial);
-        settings.peers = hosts(self.initial..self.hosts.len());
+        settings.initial_hosts = hosts(0..self.initial);
+        settings.additional_hosts = hosts(self.initial..self.hosts.len());
         settings.heartbeat = Duration::from_millis(200);
         settings.snapshot_entries = self.snapshot_entries;
-        settings.keep_entries = 5;
+        settings.retained_entries = 5;
         settings.max_append_bytes = 150;
         settings.max_in_flight = 4;
         settings.snapshot_chunk_bytes = 16;
@@ -222,7 +222,7 @@
         self.crash(number);
         let incarnation = self.random.next_u64();
         let host = &mut self.hosts[number];
-        host.disk = Stored::default();
+        host.disk = StoredState::default();
         host.member.id.incarnation = Incarnation(incarnation);
     }
 
@@ -281,7 +281,7 @@
     }
 
     pub fn resign(&mut self, number: usize) {
-        self.step(number, Input::Resign);
+        self.step(number, Input::TransferLeadership);
     }
 
     /// Commits a value, trying again where leadership moves.
--- a/crates/kumquatdrum_disk/benches/log.rs
+++ b/crates/kumquatdrum_disk/benches/log.rs
@@ -46,7 +46,7 @@
             cluster: ClusterId(1),
             index: LogIndex(index),
             term: Term(1),
-            replicas: Replicas::of(vec![Member::new("host", 1, "ikeja")]),
+            replicas: Replicas::from_voters(vec![Member::new("host", 1, "ikeja")]),
             data: Bytes::from(vec![1; SNAPSHOT_BYTES]),
         }),
         ..Batch::default()
--- a/crates/kumquatdrum_disk/src/folder.rs
+++ b/crates/kumquatdrum_disk/src/folder.rs
@@ -5,7 +5,9 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use kumquatdrum_consensus::{Batch, Entry, HardState, Incarnation, LogIndex, Snapshot, Stored};
+use kumquatdrum_consensus::{
+    Batch, Entry, HardState, Incarnation, LogIndex, Snapshot, StoredState,
+};
 use kumquatdrum_types::HostId;
 use redb::{
     Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend,
@@ -225,7 +227,7 @@
     }
 
     /// Whether the parts fit together.
-    fn check(&self, stored: &Stored) -> Result<(), Error> {
+    fn check(&self, stored: &StoredState) -> Result<(), Error> {
         let snapshot = stored.snapshot.as_ref();
         let mut index = snapshot.map_or(LogIndex(0), |snapshot| snapshot.index);
         let mut term = snapshot.map_or_else(Default::default, |snapshot| snapshot.term);
@@ -274,8 +276,8 @@
         &self.identity
     }
 
-    fn load(&self) -> Result<Stored, Error> {
-        let stored = Stored {
+    fn load(&self) -> Result<StoredState, Error> {
+        let stored = StoredState {
             hard_state: self
                 .read_meta::<HardState>(HARD_STATE_KEY)?
                 .unwrap_or_default(),
--- a/crates/kumquatdrum_disk/src/memory.rs
+++ b/crates/kumquatdrum_disk/src/memory.rs
@@ -1,6 +1,6 @@
 //! A store in memory, for tests.
 
-use kumquatdrum_consensus::{Batch, Stored};
+use kumquatdrum_consensus::{Batch, StoredState};
 use parking_lot::Mutex;
 
 use crate::{Error, Identity, Store};
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub struct Memory {
     identity: Identity,
-    stored: Mutex<Stored>,
+    stored: Mutex<StoredState>,
 }
 
 impl Memory {
@@ -39,7 +39,7 @@
         &self.identity
     }
 
-    fn load(&self) -> Result<Stored, Error> {
+    fn load(&self) -> Result<StoredState, Error> {
         Ok(self.stored.lock().clone())
     }
 
--- a/crates/kumquatdrum_disk/src/store.rs
+++ b/crates/kumquatdrum_disk/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Debug;
 
-use kumquatdrum_consensus::{Batch, Stored};
+use kumquatdrum_consensus::{Batch, StoredState};
 
 use crate::{Error, Identity};
 
@@ -12,7 +12,7 @@
     fn identity(&self) -> &Identity;
 
     /// All that it holds, checked.
-    fn load(&self) -> Result<Stored, Error>;
+    fn load(&self) -> Result<StoredState, Error>;
 
     /// Applies batches in their order, all or none. They are synced when this returns.
     ///
--- a/crates/kumquatdrum_disk/tests/common/mod.rs
+++ b/crates/kumquatdrum_disk/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use kumquatdrum_consensus::{
     Batch, ClusterId, Content, Entry, HardState, Incarnation, LogIndex, Member, Replicas, Snapshot,
-    Stored, Term,
+    StoredState, Term,
 };
 use kumquatdrum_disk::{Error, Folder, fake::Disk};
 
@@ -35,7 +35,7 @@
         cluster: ClusterId(3),
         index: LogIndex(index),
         term: Term(2),
-        replicas: Replicas::of(vec![Member::new("host", 7, "ikeja")]),
+        replicas: Replicas::from_voters(vec![Member::new("host", 7, "ikeja")]),
         data: Bytes::from(vec![index as u8; size]),
     }
 }
@@ -52,8 +52,8 @@
     (0..10).map(batch).collect()
 }
 
-pub fn apply_all(batches: &[Batch]) -> Stored {
-    let mut stored = Stored::default();
+pub fn apply_all(batches: &[Batch]) -> StoredState {
+    let mut stored = StoredState::default();
     for batch in batches {
         stored.apply(batch);
     }
--- a/crates/kumquatdrum_disk/tests/damage.rs
+++ b/crates/kumquatdrum_disk/tests/damage.rs
@@ -5,7 +5,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use common::{apply_all, batches, entry, hard_state, open};
-use kumquatdrum_consensus::{Batch, Stored};
+use kumquatdrum_consensus::{Batch, StoredState};
 use kumquatdrum_disk::{Error, Folder, Store, fake::Disk};
 
 /// A prime, so that all places within a page and a sector come up.
@@ -19,7 +19,7 @@
     wrong: Vec<usize>,
 }
 
-fn tally(disk: &Disk, expected: &Stored) -> Tally {
+fn tally(disk: &Disk, expected: &StoredState) -> Tally {
     let mut tally = Tally::default();
     for position in (0..disk.size()).step_by(STRIDE) {
         let copy = disk.copy();
--- a/crates/kumquatdrum_disk/tests/folder.rs
+++ b/crates/kumquatdrum_disk/tests/folder.rs
@@ -7,7 +7,7 @@
 
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use common::{INCARNATION, apply_all, batches, entry, hard_state, open, snapshot};
-use kumquatdrum_consensus::{Batch, Incarnation, LogIndex, Stored};
+use kumquatdrum_consensus::{Batch, Incarnation, LogIndex, StoredState};
 use kumquatdrum_disk::{Error, Folder, Identity, Memory, Store, fake::Disk};
 
 const CHILD_PATH: &str = "KUMQUATDRUM_TEST_FOLDER";
@@ -91,7 +91,7 @@
 }
 
 /// A batch that a node could write to a store that holds `stored`.
-fn batch(u: &mut Unstructured<'_>, stored: &Stored) -> Drawn<Batch> {
+fn batch(u: &mut Unstructured<'_>, stored: &StoredState) -> Drawn<Batch> {
     let base = stored.snapshot.as_ref().map_or(0, |s| s.index.0);
     let mut last = stored.entries.last().map_or(base, |e| e.index.0);
     let mut batch = Batch::default();
@@ -129,7 +129,7 @@
                 hard_state: Some(hard_state(2)),
                 ..Batch::default()
             };
-            let mut expected = Stored::default();
+            let mut expected = StoredState::default();
             expected.apply(&first);
             folder.write(std::slice::from_ref(&first)).unwrap();
             memory.write(&[first]).unwrap();
--- a/crates/kumquatdrum_gateway/src/replica.rs
+++ b/crates/kumquatdrum_gateway/src/replica.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use indexmap::IndexMap;
 use kumquatdrum_consensus::{
-    Incarnation, Input, LogIndex, Member, Message, Node, Output, ReplicaId, Stored, Token,
+    Incarnation, Input, LogIndex, Member, Message, Node, Output, ReplicaId, StoredState, Token,
 };
 use kumquatdrum_disk::{Folder, Report, Store as _, Writer};
 use kumquatdrum_peer::{Channel, Client};
@@ -188,7 +188,7 @@
     handle: &Handle,
     life: u64,
     folder: Folder,
-    stored: Stored,
+    stored: StoredState,
 ) -> Result<Machine, String> {
     let member = Member {
         id: folder.identity().replica(),
@@ -232,16 +232,16 @@
         .as_ref()
         .is_some_and(|replica| replica.found);
     if founds {
-        node.initial = seeds;
+        node.initial_hosts = seeds;
     } else {
-        node.peers = seeds;
+        node.additional_hosts = seeds;
     }
     node.election_timeout = ELECTION;
     node.persist_timeout = PERSIST_TIMEOUT;
     node.change_timeout = CHANGE_TIMEOUT;
     node.snapshot_entries = SNAPSHOT_ENTRIES;
     node.snapshot_bytes = SNAPSHOT_BYTES;
-    node.keep_entries = KEEP_ENTRIES;
+    node.retained_entries = KEEP_ENTRIES;
     node
 }
 
@@ -301,7 +301,7 @@
             Event::Written(life, _) if life != self.life => {}
             Event::Written(_, Ok(sequence)) => self.step(Input::Persisted { sequence }),
             Event::Written(_, Err(reason)) => self.step(Input::PersistFailed { reason }),
-            Event::Resign => self.step(Input::Resign),
+            Event::Resign => self.step(Input::TransferLeadership),
             Event::Ask(_, sender) if !self.node.is_leader() => {
                 let leader = self.node.leader().map(|leader| leader.host.clone());
                 let _ = sender.send(Answer::NotLeader(leader));
--- a/crates/kumquatdrum_gateway/src/replica/voters.rs
+++ b/crates/kumquatdrum_gateway/src/replica/voters.rs
@@ -14,12 +14,15 @@
     /// As the leader: puts a live spare replica in the place of a voter that is silent.
     pub(super) fn tend(&mut self) {
         let status = self.node.status();
-        if !self.node.leads_current() || status.replicas.is_joint() || !status.replicas_committed {
+        if !self.node.is_caught_up_leader()
+            || status.replicas.is_joint()
+            || !status.replicas_committed
+        {
             return;
         }
         let now = self.parts.clock.now();
         for peer in &status.peers {
-            if peer.alive {
+            if peer.is_alive {
                 self.silent.swap_remove(&peer.id);
             } else {
                 self.silent.entry(peer.id.clone()).or_insert(now);
@@ -49,7 +52,7 @@
         let wanted = 2 * self.parts.settings.lost_replicas + 1;
         let mut next = voters.to_vec();
         if let Some(lost) = lost {
-            let spare = placement::replacement(voters, &lost.id, &spares);
+            let spare = placement::choose_replacement(voters, &lost.id, &spares);
             match spare {
                 Some(spare) => {
                     next.retain(|voter| voter.id != lost.id);
--- a/crates/kumquatdrum_host/src/control/machine.rs
+++ b/crates/kumquatdrum_host/src/control/machine.rs
@@ -207,7 +207,7 @@
             Event::Message(message) => self.step(Input::Message(message)),
             Event::Persisted(sequence) => self.step(Input::Persisted { sequence }),
             Event::PersistFailed(reason) => self.step(Input::PersistFailed { reason }),
-            Event::Resign => self.step(Input::Resign),
+            Event::Resign => self.step(Input::TransferLeadership),
             Event::Status(sender) => {
                 let _ = sender.send(self.parts.node.status());
             }
@@ -221,7 +221,7 @@
     fn leadership(&self) -> Option<Leadership> {
         let node = &self.parts.node;
         // A leader that is behind would order what an older declaration says.
-        node.leads_current().then(|| Leadership {
+        node.is_caught_up_leader().then(|| Leadership {
             term: node.term().0,
             lease_until: node.lease_until(),
         })
--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -433,7 +433,7 @@
         data_centre: settings.data_centre.clone(),
     };
     let mut node = kumquatdrum_consensus::Settings::new(member);
-    node.initial.clone_from(&settings.replicas);
+    node.initial_hosts.clone_from(&settings.replicas);
     let (handle, events, received) = Handle::new();
     let report: Report = Box::new(move |written| events.send(Event::from(written)).is_ok());
     let parts = Parts {
