--- a/crates/kumquatdrum_consensus/benches/schedules.rs
+++ b/crates/kumquatdrum_consensus/benches/schedules.rs
@@ -1,4 +1,4 @@
-//! Runs randomised schedules over a range of seeds and prints figures.
+//! Runs randomised schedules over a range of seeds and prints their totals.
 //!
 //! `cargo bench -p kumquatdrum_consensus --bench schedules -- FIRST COUNT`
 
@@ -11,22 +11,21 @@
 
 use common::schedule::{self, Report};
 
-const DEFAULT_COUNT: u64 = 2_000;
+const DEFAULT_SEED_COUNT: u64 = 2_000;
 const IDLE_SECONDS: u64 = 60;
-const THREADS: usize = 4;
+const THREAD_COUNT: usize = 4;
 
-/// Messages and bytes that a replica sends a second when nothing happens, at five heartbeats a
-/// second.
-fn idle(hosts: usize) {
+/// Prints the messages and bytes per second that an idle replica sends at five heartbeats a second.
+fn print_idle_traffic(hosts: usize) {
     let mut cluster = common::Cluster::formed(1, hosts, hosts);
     cluster.run_for(5_000);
     let (messages, bytes) = (cluster.messages_sent, cluster.bytes_sent);
     cluster.run_for(IDLE_SECONDS * 1_000);
-    let each = |total: u64| total as f64 / (IDLE_SECONDS * hosts as u64) as f64;
+    let rate_per_host = |total: u64| total as f64 / (IDLE_SECONDS * hosts as u64) as f64;
     println!(
         "idle replicas={hosts} messages_per_second_each={:.1} bytes_per_second_each={:.0}",
-        each(cluster.messages_sent - messages),
-        each(cluster.bytes_sent - bytes),
+        rate_per_host(cluster.messages_sent - messages),
+        rate_per_host(cluster.bytes_sent - bytes),
     );
 }
 
@@ -35,12 +34,12 @@
         .filter_map(|arg| arg.parse().ok())
         .collect();
     let first = numbers.first().copied().unwrap_or(0);
-    let count = numbers.get(1).copied().unwrap_or(DEFAULT_COUNT);
+    let count = numbers.get(1).copied().unwrap_or(DEFAULT_SEED_COUNT);
     let next = AtomicU64::new(first);
     let total = Mutex::new((Report::default(), Vec::new()));
     let started = Instant::now();
     std::thread::scope(|scope| {
-        for _ in 0..THREADS {
+        for _ in 0..THREAD_COUNT {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
@@ -57,8 +56,8 @@
             });
         }
     });
-    idle(3);
-    idle(7);
+    print_idle_traffic(3);
+    print_idle_traffic(7);
     let (report, mut violations) = total.into_inner().unwrap_or_else(PoisonError::into_inner);
     violations.sort_unstable();
     println!(
@@ -68,7 +67,7 @@
     println!("violating_seeds={violations:?}");
     println!("{report:?}");
     println!(
-        "seconds={:.1} threads={THREADS}",
+        "seconds={:.1} threads={THREAD_COUNT}",
         started.elapsed().as_secs_f64()
     );
     assert!(violations.is_empty(), "safety or progress violated");
--- a/crates/kumquatdrum_consensus/src/change.rs
+++ b/crates/kumquatdrum_consensus/src/change.rs
@@ -1,18 +1,18 @@
-//! Changing the replicas: learners first, then jointly, one change at a time.
+//! Replica changes: new voters join as learners, then a joint change replaces the voters.
 //!
-//! Where a host comes back with a new incarnation, the leader makes the change by itself.
+//! One change runs at a time. The leader itself replaces a voter whose host has a new incarnation.
 
 use kumquatdrum_types::Moment;
 
 use crate::node::{Node, Role};
-use crate::{Content, Member, ProposalOutcome, ReplicaId, Replicas, Resignation, Token};
+use crate::{Content, Member, ProposalOutcome, ReplicaId, Replicas, StepDownReason, Token};
 
-/// A change of the voters that was asked for.
+/// A requested change of the voters.
 #[derive(Debug)]
-pub(crate) struct Change {
+pub(crate) struct ReplicaChange {
     pub(crate) token: Token,
     voters: Vec<Member>,
-    give_up_at: Moment,
+    deadline: Moment,
 }
 
 impl Node {
@@ -20,13 +20,13 @@
         voters.sort();
         voters.dedup();
         let leader = self.leader.clone();
-        let give_up_at = self.now + self.settings.change_timeout;
+        let deadline = self.now + self.settings.change_timeout;
         let outcome = match &mut self.role {
-            Role::Leader(leading) if leading.change.is_none() && !voters.is_empty() => {
-                leading.change = Some(Change {
+            Role::Leader(leading) if leading.pending_change.is_none() && !voters.is_empty() => {
+                leading.pending_change = Some(ReplicaChange {
                     token,
                     voters,
-                    give_up_at,
+                    deadline,
                 });
                 self.advance_change();
                 return;
@@ -34,67 +34,72 @@
             Role::Leader(_) => ProposalOutcome::Busy,
             _ => ProposalOutcome::NotLeader { leader },
         };
-        self.proposed(token, outcome);
+        self.report_outcome(token, outcome);
     }
 
-    /// Gives up a change that takes too long, as a new replica may never come.
-    pub(crate) fn give_up_late_change(&mut self) {
+    /// Aborts a requested change at its deadline, since a new replica may never catch up.
+    pub(crate) fn abort_expired_change(&mut self) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if let Some(change) = leader.change.take_if(|change| now >= change.give_up_at) {
-            self.proposed(change.token, ProposalOutcome::Unknown);
+        if let Some(change) = leader
+            .pending_change
+            .take_if(|change| now >= change.deadline)
+        {
+            self.report_outcome(change.token, ProposalOutcome::Unknown);
         }
     }
 
-    /// A replica that does not vote makes itself known. One of a host that votes with another
-    /// incarnation is a lost disk's successor.
+    /// Queues an announced replica that replaces an earlier incarnation of a voter on its host, and
+    /// aborts a requested change that names the earlier one.
     pub(crate) fn on_hello(&mut self, member: Member) {
         let replicas = self.log.replicas();
         let known = replicas.contains(&member.id) || replicas.retired.contains(&member.id);
-        let succeeds = replicas.voter_of(&member.id.host).is_some();
+        let replaces_voter = replicas.voter_on(&member.id.host).is_some();
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if known || !succeeds {
+        if known || !replaces_voter {
             return;
         }
-        let replaced = |target: &Member| target.id.host == member.id.host && target.id != member.id;
-        let overtaken = |change: &Change| change.voters.iter().any(replaced);
-        let lost = leader.change.take_if(|change| overtaken(change));
-        leader.newcomers.insert(member.id.host.clone(), member);
-        if let Some(change) = lost {
-            self.proposed(change.token, ProposalOutcome::Unknown);
+        let is_predecessor =
+            |target: &Member| target.id.host == member.id.host && target.id != member.id;
+        let is_obsolete = |change: &ReplicaChange| change.voters.iter().any(is_predecessor);
+        let aborted = leader.pending_change.take_if(|change| is_obsolete(change));
+        leader.joining.insert(member.id.host.clone(), member);
+        if let Some(change) = aborted {
+            self.report_outcome(change.token, ProposalOutcome::Unknown);
         }
         self.advance_change();
     }
 
-    /// Takes the next step of a change, where one is due and the previous one is committed.
+    /// Starts the next step of a replica change once the previous one is committed.
     pub(crate) fn advance_change(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
         let replicas = self.log.replicas();
-        let committed = self.log.replicas_index() <= self.commit && leader.first <= self.commit;
-        if !committed {
+        let is_committed =
+            self.log.replicas_index() <= self.commit && leader.first_index <= self.commit;
+        if !is_committed {
             return;
         }
         if replicas.is_joint() {
-            self.append_replicas(replicas.settled());
+            self.append_replicas(replicas.leave_joint());
         } else if !replicas.is_voter(&self.id) {
-            self.leave();
-        } else if let Some(change) = &leader.change {
-            self.advance_requested(change.voters.clone());
+            self.finish_removal();
+        } else if let Some(change) = &leader.pending_change {
+            self.advance_requested_change(change.voters.clone());
         } else {
             self.advance_repair();
         }
     }
 
-    /// The replica has led the change that removed it.
-    fn leave(&mut self) {
+    /// Steps down, as a committed change has removed this leader.
+    fn finish_removal(&mut self) {
         self.finish_change();
-        self.give_up_leading(Resignation::Removed);
+        self.step_down(StepDownReason::Removed);
     }
 
     fn finish_change(&mut self) {
@@ -103,67 +108,67 @@
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let reached = |change: &mut Change| {
+        let is_reached = |change: &mut ReplicaChange| {
             let mut voters = replicas.voters.clone();
             voters.sort();
             voters == change.voters
         };
-        if let Some(change) = leader.change.take_if(reached) {
-            self.proposed(change.token, ProposalOutcome::Committed { index });
+        if let Some(change) = leader.pending_change.take_if(is_reached) {
+            self.report_outcome(change.token, ProposalOutcome::Committed { index });
         }
     }
 
-    fn advance_requested(&mut self, target: Vec<Member>) {
+    fn advance_requested_change(&mut self, target: Vec<Member>) {
         self.finish_change();
         let replicas = self.log.replicas();
         let Role::Leader(leader) = &self.role else {
             return;
         };
-        if leader.change.is_none() {
+        if leader.pending_change.is_none() {
             return;
         }
         let missing = target.iter().find(|member| !replicas.contains(&member.id));
         if let Some(member) = missing {
             self.append_replicas(replicas.with_learner(member.clone()));
         } else if target.iter().all(|member| self.has_caught_up(&member.id)) {
-            self.append_replicas(replicas.joint(target));
+            self.append_replicas(replicas.enter_joint(target));
         }
     }
 
-    /// A learner that has caught up takes its predecessor's place; otherwise a newcomer becomes a
-    /// learner. One that never catches up holds up no other.
+    /// Replaces a voter by the learner on its host that has caught up; otherwise adds a joining
+    /// replica as a learner, so that one that never catches up does not block the others.
     fn advance_repair(&mut self) {
         let replicas = self.log.replicas();
-        let succeeds = |learner: &&Member| replicas.voter_of(&learner.id.host).is_some();
-        let mut learners = replicas.learners.iter().filter(succeeds);
+        let replaces_voter = |learner: &&Member| replicas.voter_on(&learner.id.host).is_some();
+        let mut learners = replicas.learners.iter().filter(replaces_voter);
         let ready = learners.find(|learner| self.has_caught_up(&learner.id));
         let Role::Leader(leader) = &self.role else {
             return;
         };
         if let Some(learner) = ready {
-            let next = replicas.joint(succeeded(replicas, learner));
+            let next = replicas.enter_joint(replace_voter(replicas, learner));
             self.append_replicas(next);
-        } else if let Some(newcomer) = leader.newcomers.values().next().cloned() {
-            let next = replicas.with_learner(newcomer.clone());
-            self.forget_newcomer(&newcomer);
+        } else if let Some(member) = leader.joining.values().next().cloned() {
+            let next = replicas.with_learner(member.clone());
+            self.remove_joining(&member);
             self.append_replicas(next);
         }
     }
 
-    fn forget_newcomer(&mut self, newcomer: &Member) {
+    fn remove_joining(&mut self, member: &Member) {
         if let Role::Leader(leader) = &mut self.role {
-            leader.newcomers.shift_remove(&newcomer.id.host);
+            leader.joining.shift_remove(&member.id.host);
         }
     }
 
     fn append_replicas(&mut self, replicas: Replicas) {
         self.append(Content::Replicas(replicas));
-        self.follow_replicas();
+        self.update_peers();
         self.replicate_all();
     }
 
-    /// Whether a replica has the entry that names it, and all that was committed at the latest
-    /// heartbeat, synced.
+    /// Returns whether a replica has synced the latest replica change and all entries that were
+    /// committed at the latest heartbeat.
     fn has_caught_up(&self, id: &ReplicaId) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
@@ -171,14 +176,14 @@
         let goal = leader.commit_at_heartbeat.max(self.log.replicas_index());
         match leader.peers.get(id) {
             _ if *id == self.id => true,
-            Some(progress) => progress.matched >= goal.max(leader.first),
+            Some(progress) => progress.matched >= goal.max(leader.first_index),
             None => false,
         }
     }
 }
 
-/// The voters with one replaced by its successor on the same host.
-fn succeeded(replicas: &Replicas, successor: &Member) -> Vec<Member> {
+/// Returns the voters with one replaced by its successor on the same host.
+fn replace_voter(replicas: &Replicas, successor: &Member) -> Vec<Member> {
     let replace = |voter: &Member| {
         if voter.id.host == successor.id.host {
             successor.clone()
--- a/crates/kumquatdrum_consensus/src/election.rs
+++ b/crates/kumquatdrum_consensus/src/election.rs
@@ -1,13 +1,13 @@
-//! Elections: pre-vote, vote, and the promises that a vote keeps.
+//! Elections: pre-votes, votes, and the promise to grant none during a lease.
 
 use indexmap::IndexSet;
 use kumquatdrum_types::Moment;
 
-use crate::durability::Held;
+use crate::durability::DeferredAction;
 use crate::node::{Node, Role};
-use crate::{Body, ReplicaId, Resignation, Term, Vote};
+use crate::{Body, ReplicaId, StepDownReason, Term, VoteRequest};
 
-/// Those who agree to a candidate.
+/// The replicas that have granted their vote or pre-vote to this candidate.
 #[derive(Debug, Default)]
 pub(crate) struct Votes {
     granted: IndexSet<ReplicaId>,
@@ -16,36 +16,36 @@
 impl Node {
     pub(crate) fn on_election_timeout(&mut self) {
         self.reset_election_timer();
-        if self.hard_state.cluster.is_none() || !self.may_stand() {
+        if self.hard_state.cluster.is_none() || !self.can_campaign() {
             return;
         }
         self.leader = None;
         let mut votes = Votes::default();
         votes.granted.insert(self.id.clone());
-        let decided = self.is_elected(&votes);
+        let is_elected = self.is_elected(&votes);
         self.role = Role::PreCandidate(votes);
-        if decided {
+        if is_elected {
             self.campaign(false);
             return;
         }
-        let vote = self.vote(self.hard_state.term.next());
+        let request = self.vote_request(self.hard_state.term.next());
         for voter in self.other_voters() {
-            self.send(&voter, Body::PreVote(vote.clone()));
+            self.send(&voter, Body::PreVote(request.clone()));
         }
     }
 
-    /// A replica that a change removes still stands until it knows the change as committed: it may
-    /// be the only one whose log is long enough.
-    fn may_stand(&self) -> bool {
-        self.log.may_vote_since(self.commit, &self.id)
+    /// Returns whether this replica may become a candidate. One that a change removes may until the
+    /// change is known to be committed, as only its log may be up to date.
+    fn can_campaign(&self) -> bool {
+        self.log.can_vote_since(self.commit, &self.id)
     }
 
-    fn vote(&self, term: Term) -> Vote {
-        Vote {
+    fn vote_request(&self, term: Term) -> VoteRequest {
+        VoteRequest {
             term,
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
-            succeeds: false,
+            is_leadership_transfer: false,
         }
     }
 
@@ -62,29 +62,30 @@
             .is_majority(|id| votes.granted.contains(id))
     }
 
-    /// The leader has given up its lease in favour of this replica, which stands at once.
-    pub(crate) fn on_succeed(&mut self, term: Term) {
-        let current = term == self.hard_state.term && matches!(self.role, Role::Follower);
-        if current && self.may_stand() {
+    /// Starts an election at once, as the leader has released its lease in favour of this replica.
+    pub(crate) fn on_timeout_now(&mut self, term: Term) {
+        let is_current = term == self.hard_state.term && matches!(self.role, Role::Follower);
+        if is_current && self.can_campaign() {
             self.reset_election_timer();
             self.leader = None;
             self.campaign(true);
         }
     }
 
-    /// Stands for election; the own vote and the questions wait for the disk.
-    fn campaign(&mut self, succeeds: bool) {
+    /// Becomes a candidate; its own vote and its requests are deferred until the term is persisted.
+    fn campaign(&mut self, is_leadership_transfer: bool) {
         self.hard_state.term = self.hard_state.term.next();
         self.hard_state.vote = Some(self.id.clone());
-        self.durability.hard_state_changed();
+        self.durability.mark_hard_state_dirty();
         self.role = Role::Candidate(Votes::default());
-        self.durability.hold(Held::OwnVote(self.hard_state.term));
-        let vote = Vote {
-            succeeds,
-            ..self.vote(self.hard_state.term)
+        self.durability
+            .defer(DeferredAction::CountOwnVote(self.hard_state.term));
+        let request = VoteRequest {
+            is_leadership_transfer,
+            ..self.vote_request(self.hard_state.term)
         };
         for voter in self.other_voters() {
-            self.send_synced(&voter, Body::RequestVote(vote.clone()));
+            self.send_after_sync(&voter, Body::RequestVote(request.clone()));
         }
     }
 
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Until when no vote is given, as a leader may rely on its lease.
+    /// Returns the moment before which no vote is granted, since a leader may rely on its lease.
     fn promised_until(&self) -> Moment {
         match &self.role {
             Role::Leader(_) => self.lease_until().unwrap_or(Moment::ZERO),
@@ -113,18 +114,18 @@
         }
     }
 
-    fn is_up_to_date(&self, vote: &Vote) -> bool {
-        (vote.last_term, vote.last_index) >= (self.log.last_term(), self.log.last_index())
+    fn is_up_to_date(&self, request: &VoteRequest) -> bool {
+        (request.last_term, request.last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
-    pub(crate) fn on_pre_vote(&mut self, from: &ReplicaId, vote: &Vote) {
+    pub(crate) fn on_pre_vote(&mut self, from: &ReplicaId, request: &VoteRequest) {
         let granted = !self.is_leader()
             && self.now >= self.promised_until()
-            && vote.term > self.hard_state.term
-            && self.is_up_to_date(vote);
+            && request.term > self.hard_state.term
+            && self.is_up_to_date(request);
         let answer = Body::PreVoteAnswer {
             term: self.hard_state.term,
-            asked: vote.term,
+            asked: request.term,
             granted,
         };
         self.send(from, answer);
@@ -141,11 +142,11 @@
             self.become_follower(term, None);
             return;
         }
-        let current = granted && asked == self.hard_state.term.next();
+        let is_current = granted && asked == self.hard_state.term.next();
         let Role::PreCandidate(votes) = &mut self.role else {
             return;
         };
-        if !current {
+        if !is_current {
             return;
         }
         votes.granted.insert(from);
@@ -155,30 +156,32 @@
         }
     }
 
-    pub(crate) fn on_request_vote(&mut self, from: &ReplicaId, vote: &Vote) {
-        let released = vote.succeeds && vote.term == self.hard_state.term.next();
-        if self.now < self.promised_until() && !released {
+    pub(crate) fn on_request_vote(&mut self, from: &ReplicaId, request: &VoteRequest) {
+        let is_released =
+            request.is_leadership_transfer && request.term == self.hard_state.term.next();
+        if self.now < self.promised_until() && !is_released {
             return;
         }
-        if vote.term > self.hard_state.term {
-            self.become_follower(vote.term, None);
+        if request.term > self.hard_state.term {
+            self.become_follower(request.term, None);
         }
-        let free = self
+        let can_vote = self
             .hard_state
             .vote
             .as_ref()
             .is_none_or(|choice| choice == from);
-        let granted = vote.term == self.hard_state.term && free && self.is_up_to_date(vote);
+        let granted =
+            request.term == self.hard_state.term && can_vote && self.is_up_to_date(request);
         if granted && self.hard_state.vote.is_none() {
             self.hard_state.vote = Some(from.clone());
-            self.durability.hard_state_changed();
+            self.durability.mark_hard_state_dirty();
             self.reset_election_timer();
         }
         let answer = Body::VoteAnswer {
             term: self.hard_state.term,
             granted,
         };
-        self.send_synced(from, answer);
+        self.send_after_sync(from, answer);
     }
 
     pub(crate) fn on_vote_answer(&mut self, from: ReplicaId, term: Term, granted: bool) {
@@ -189,18 +192,18 @@
         }
     }
 
-    /// Follows, in this or a later term.
+    /// Becomes a follower in the current or a later term.
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
-        self.step_down(Resignation::LaterTerm);
+        self.end_leadership(StepDownReason::LaterTerm);
         if term > self.hard_state.term {
             self.hard_state.term = term;
             self.hard_state.vote = None;
-            self.durability.hard_state_changed();
+            self.durability.mark_hard_state_dirty();
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.verified = self.commit;
-        self.incoming = None;
+        self.verified_index = self.commit;
+        self.incoming_snapshot = None;
         self.reset_election_timer();
     }
 }
--- a/crates/kumquatdrum_consensus/src/entry.rs
+++ b/crates/kumquatdrum_consensus/src/entry.rs
@@ -5,52 +5,53 @@
 
 use crate::{ClusterId, LogIndex, Replicas, Term};
 
-/// Bytes that an entry takes beyond its payload, for limits of size.
-const ENTRY_OVERHEAD: usize = 32;
+/// Bytes that an entry counts towards size limits beyond its payload.
+const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The term of the leader that wrote it.
     pub term: Term,
-    /// Its place.
+    /// The index of the entry.
     pub index: LogIndex,
-    /// What it says.
+    /// The payload, the replicas or nothing.
     pub content: Content,
 }
 
 impl Entry {
-    /// The size that limits count, in bytes.
+    /// Returns the bytes that the entry counts towards size limits.
     pub fn size(&self) -> usize {
         match &self.content {
-            Content::Payload(payload) => payload.len() + ENTRY_OVERHEAD,
-            Content::Replicas(_) | Content::Noop => ENTRY_OVERHEAD,
+            Content::Payload(payload) => payload.len() + ENTRY_OVERHEAD_BYTES,
+            Content::Replicas(_) | Content::Noop => ENTRY_OVERHEAD_BYTES,
         }
     }
 }
 
-/// What an entry says.
+/// The content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
-    /// Nothing; a new leader commits one to learn what is committed.
+    /// Nothing; appended by a new leader, as entries of earlier terms commit only with one of its
+    /// own term.
     Noop,
-    /// The application's bytes, opaque here.
+    /// The application's bytes, opaque to the log.
     Payload(Bytes),
-    /// The replicas from this entry on, in force as soon as it is in the log.
+    /// The replicas from this entry on, in force as soon as the entry is in the log.
     Replicas(Replicas),
 }
 
-/// The application's state after all entries through an index.
+/// The application's state after all entries up to and including an index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The cluster that it belongs to.
+    /// The cluster that the snapshot belongs to.
     pub cluster: ClusterId,
-    /// The last entry that it includes; 0 is the empty state in which a cluster forms.
+    /// The last entry included; 0 is the empty state of a newly formed cluster.
     pub index: LogIndex,
     /// The term of that entry.
     pub term: Term,
     /// The replicas as of that entry.
     pub replicas: Replicas,
-    /// The application's bytes, opaque here.
+    /// The application's bytes, opaque to the log.
     pub data: Bytes,
 }
--- a/crates/kumquatdrum_consensus/src/event.rs
+++ b/crates/kumquatdrum_consensus/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a node and what comes out.
+//! Inputs and outputs of a node.
 
 use bytes::Bytes;
 use kumquatdrum_types::{HostId, Moment};
@@ -8,185 +8,185 @@
 /// A payload to be committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
-    /// Comes back in `Proposed`.
+    /// Returned in `Proposed`.
     pub token: Token,
     /// The application's bytes.
     pub payload: Bytes,
 }
 
-/// What happened around the node.
+/// An event that the node processes.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time has passed.
+    /// The moment set by `Wake` has come.
     Tick,
-    /// A message of another replica.
+    /// A message from another replica.
     Message(Box<Message>),
     /// A payload to be committed.
     Propose(Proposal),
-    /// Payloads to be committed in their order, with one write.
+    /// Payloads to be committed in order, with one write.
     ProposeBatch(Vec<Proposal>),
-    /// The batch with this sequence number is on disk, synced.
+    /// A batch has been written and synced.
     Persisted {
         /// The sequence number of the batch.
         sequence: u64,
     },
-    /// The disk could not take a batch. The node steps down and says nothing any more.
+    /// A batch could not be written. The node steps down and sends no further messages.
     PersistFailed {
-        /// What the disk said.
+        /// The error of the disk.
         reason: String,
     },
-    /// The application asks whether what it has applied is current.
+    /// Asks for confirmation that the applied state is current.
     ConfirmRead {
-        /// Comes back in `ReadConfirmed` or `ReadRefused`.
+        /// Returned in `ReadConfirmed` or `ReadRefused`.
         token: Token,
     },
-    /// The application's state after the entry at `index`, which it has applied. The log is cut.
+    /// The application's state after the applied entry at `index`; the log is compacted.
     Snapshot {
-        /// The last applied entry that the bytes include.
+        /// The last applied entry included in the snapshot.
         index: LogIndex,
         /// The application's bytes.
         data: Bytes,
     },
-    /// Stop leading in favour of the voter that is furthest, before a planned stop. Nothing happens
-    /// where this replica does not lead, or no voter has all that is committed.
+    /// Transfers leadership to the most up-to-date voter, before a planned stop. Has no effect if
+    /// this replica does not lead or no other voter has all committed entries.
     TransferLeadership,
-    /// Replaces the voting replicas. New ones catch up first, then the change is made jointly.
+    /// Replaces the voters. New ones catch up as learners before the joint change begins.
     ChangeReplicas {
-        /// Comes back in `Proposed`.
+        /// Returned in `Proposed`.
         token: Token,
         /// All voters after the change.
         voters: Vec<Member>,
     },
 }
 
-/// What the shell has to do.
+/// An action that the driver must execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message to a host; it may get lost.
+    /// Send a message to a host; delivery is not guaranteed.
     Send {
-        /// The host to send to.
+        /// The receiving host.
         to: HostId,
         /// The message.
         message: Message,
     },
     /// Write and sync a batch, then answer `Persisted` or `PersistFailed`.
     Persist(Batch),
-    /// A committed payload, in order, each index at most once in the life of a node.
+    /// Apply a committed payload; in log order, each index at most once per node instance.
     Apply {
-        /// Its place.
+        /// The index of the entry.
         index: LogIndex,
-        /// Its term.
+        /// The term of the entry.
         term: Term,
         /// The application's bytes.
         payload: Bytes,
     },
-    /// Replace the application's state by this one.
+    /// Replace the application's state by the snapshot.
     Restore(Snapshot),
-    /// What became of a proposal.
+    /// Report the outcome of a proposal or replica change.
     Proposed {
-        /// The proposal's token.
+        /// The token of the proposal or replica change.
         token: Token,
-        /// What became of it.
+        /// The outcome.
         outcome: ProposalOutcome,
     },
-    /// All that was committed when the read was asked for has been applied.
+    /// Confirm a read: all entries committed before the request have been applied.
     ReadConfirmed {
         /// The read's token.
         token: Token,
-        /// The state is at least as new as this entry.
+        /// An entry that the applied state includes.
         index: LogIndex,
-        /// The round of heartbeats that a majority has answered, begun after the question.
+        /// The heartbeat round, begun after the request, that a majority has answered.
         round: u64,
     },
-    /// The node can't tell whether it is current.
+    /// Refuse a read: the node cannot confirm that its state is current.
     ReadRefused {
         /// The read's token.
         token: Token,
-        /// Who leads, where known.
+        /// The current leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// The log has grown; the application is asked for a snapshot when it suits it.
+    /// Ask the application for a snapshot, at a time of its choice, to compact the log.
     SnapshotWanted,
-    /// This replica leads from now on.
+    /// This replica has become the leader.
     BecameLeader {
-        /// In this term.
+        /// The term that it leads.
         term: Term,
     },
-    /// This replica does not lead any more.
+    /// This replica has stopped leading.
     SteppedDown {
-        /// The term in which it led.
+        /// The term that it led.
         term: Term,
-        /// Why it stopped.
-        reason: Resignation,
+        /// The reason.
+        reason: StepDownReason,
     },
-    /// The disk failed; the node is silent until it is made anew from its store.
+    /// The disk failed; the node does nothing until it is recreated from its store.
     Halted {
-        /// What the disk said.
+        /// The error of the disk.
         reason: String,
     },
-    /// The next `Tick` is due at this moment; replaces the previous `Wake`.
+    /// Schedule the next `Tick`; replaces the previous `Wake`.
     Wake {
-        /// When.
+        /// The moment at which the `Tick` is due.
         at: Moment,
     },
 }
 
-/// Why a leader stopped leading.
+/// The reason why a leader stopped leading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Resignation {
-    /// No majority has answered for an election timeout.
+pub enum StepDownReason {
+    /// No majority has answered within an election timeout.
     QuorumLost,
-    /// Its disk has owed an answer for too long.
-    DiskHangs,
-    /// Its disk has failed.
+    /// The disk has not persisted a batch within the timeout.
+    DiskStalled,
+    /// The disk has failed.
     DiskFailed,
     /// A later term has begun.
     LaterTerm,
-    /// It was asked to, before a planned stop.
-    Asked,
-    /// A change of the replicas that it led has removed it.
+    /// Leadership was transferred on request.
+    LeadershipTransferred,
+    /// A replica change has removed the leader.
     Removed,
 }
 
-impl Resignation {
-    /// The name, for logs.
+impl StepDownReason {
+    /// Returns the reason's name as logged.
     ///
     /// ```
-    /// assert_eq!(kumquatdrum_consensus::Resignation::QuorumLost.as_str(), "quorum lost");
+    /// assert_eq!(kumquatdrum_consensus::StepDownReason::QuorumLost.as_str(), "quorum lost");
     /// ```
     pub fn as_str(self) -> &'static str {
         match self {
             Self::QuorumLost => "quorum lost",
-            Self::DiskHangs => "disk hangs",
+            Self::DiskStalled => "disk hangs",
             Self::DiskFailed => "disk failed",
             Self::LaterTerm => "later term",
-            Self::Asked => "asked to",
+            Self::LeadershipTransferred => "asked to",
             Self::Removed => "removed",
         }
     }
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal or replica change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalOutcome {
     /// Committed by a majority, synced, and applied here.
     Committed {
-        /// Its place.
+        /// The index of the entry.
         index: LogIndex,
     },
-    /// Not taken; nothing of it will ever be committed.
+    /// Rejected, as this replica does not lead; will never be committed.
     NotLeader {
-        /// Who leads, where known.
+        /// The current leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// Not taken: too much is waiting to be committed, or another replica change is under way.
+    /// Rejected, as too much is uncommitted or another replica change is in progress.
     Busy,
-    /// Taken, and this replica stopped leading before it was committed; it may still be.
+    /// Accepted, but not known to be committed; it may be committed later.
     Unknown,
 }
 
 impl ProposalOutcome {
-    /// The name, for logs.
+    /// Returns the outcome's name as logged.
     ///
     /// ```
     /// assert_eq!(kumquatdrum_consensus::ProposalOutcome::Busy.name(), "busy");
--- a/crates/kumquatdrum_consensus/src/follower.rs
+++ b/crates/kumquatdrum_consensus/src/follower.rs
@@ -1,65 +1,70 @@
-//! Following a leader: entries, commit and snapshots.
+//! The follower side of replication: entries, the commit index and snapshots.
 
-use crate::durability::Held;
+use crate::durability::DeferredAction;
 use crate::node::{Node, Role};
 use crate::{
-    Append, AppendAck, Body, ClusterId, LogIndex, Probe, Reject, ReplicaId, Snapshot,
+    Append, AppendAck, Body, ClusterId, LogIndex, Probe, Rejection, ReplicaId, Snapshot,
     SnapshotChunk, Term,
 };
 
-/// A snapshot of which parts have arrived.
+/// A partially received snapshot.
 #[derive(Debug)]
-pub(crate) struct Incoming {
+pub(crate) struct IncomingSnapshot {
     term: Term,
     header: Snapshot,
     data: Vec<u8>,
 }
 
 impl Node {
-    /// A message of a cluster that this replica does not belong to. Where nothing hangs on this
-    /// replica yet, it may join.
-    pub(crate) fn on_foreign(&mut self, from: &ReplicaId, cluster: Option<ClusterId>, body: Body) {
-        let Some(cluster) = cluster.filter(|_| self.is_untouched()) else {
+    /// Handles a message of a cluster that this replica does not belong to; a replica without
+    /// state may join it.
+    pub(crate) fn on_foreign_message(
+        &mut self,
+        from: &ReplicaId,
+        cluster: Option<ClusterId>,
+        body: Body,
+    ) {
+        let Some(cluster) = cluster.filter(|_| self.has_no_state()) else {
             return;
         };
         match body {
             Body::Append(append) => {
-                let reject = needs_snapshot(&append);
+                let reject = snapshot_rejection(&append);
                 let ack = AppendAck {
                     term: append.term,
                     matched: LogIndex(0),
                     reject: Some(reject),
                     probe: append.probe,
                 };
-                self.send_in(cluster, from, Body::AppendAck(ack));
+                self.send_for_cluster(cluster, from, Body::AppendAck(ack));
             }
-            Body::SnapshotChunk(chunk) => self.collect(from, chunk),
+            Body::SnapshotChunk(chunk) => self.collect_chunk(from, chunk),
             Body::PreVote(vote) => {
-                self.adopt(cluster);
+                self.join_candidate_cluster(cluster);
                 self.on_pre_vote(from, &vote);
             }
             Body::RequestVote(vote) => {
-                self.adopt(cluster);
+                self.join_candidate_cluster(cluster);
                 self.on_request_vote(from, &vote);
             }
             _ => {}
         }
     }
 
-    /// Takes the cluster of a candidate that knows this very incarnation as a voter: one listed
-    /// when the cluster formed, which has missed all since. It cannot have voted before.
-    fn adopt(&mut self, cluster: ClusterId) {
+    /// Joins the cluster of a candidate that addresses this incarnation as a voter: an initial
+    /// replica that has received nothing since the cluster formed, and so has never voted.
+    fn join_candidate_cluster(&mut self, cluster: ClusterId) {
         self.hard_state.cluster = Some(cluster);
-        self.durability.hard_state_changed();
+        self.durability.mark_hard_state_dirty();
     }
 
-    /// Recognises a leader; false where its term is over.
+    /// Follows the sender as the leader; returns false if its term has ended.
     fn accept_leader(&mut self, from: &ReplicaId, term: Term) -> bool {
         if term < self.hard_state.term {
             return false;
         }
-        let known = term == self.hard_state.term && self.leader.as_ref() == Some(from);
-        if !known || !matches!(self.role, Role::Follower) {
+        let is_known = term == self.hard_state.term && self.leader.as_ref() == Some(from);
+        if !is_known || !matches!(self.role, Role::Follower) {
             self.become_follower(term, Some(from.clone()));
         }
         self.last_contact = self.now;
@@ -67,35 +72,35 @@
         true
     }
 
-    /// Lets the leader of an older term learn of this one; nothing is said of the log.
-    fn tell_own_term(&mut self, from: &ReplicaId) {
+    /// Informs the leader of an earlier term of the current one; acknowledges no entries.
+    fn send_own_term(&mut self, from: &ReplicaId) {
         let term = self.hard_state.term;
-        self.answer_append(from, term, LogIndex(0), None, Probe::default());
+        self.send_append_ack(from, term, LogIndex(0), None, Probe::default());
     }
 
     pub(crate) fn on_append(&mut self, from: &ReplicaId, append: Append) {
         let probe = append.probe;
         if !self.accept_leader(from, append.term) {
-            self.tell_own_term(from);
+            self.send_own_term(from);
             return;
         }
         self.probe = probe;
-        let reject = self.take_entries(append).err();
-        let matched = self.matched();
-        self.answer_append(from, self.hard_state.term, matched, reject, probe);
+        let reject = self.append_entries(append).err();
+        let matched = self.matched_index();
+        self.send_append_ack(from, self.hard_state.term, matched, reject, probe);
     }
 
-    /// Matches the leader's log and is on disk through here.
-    fn matched(&self) -> LogIndex {
-        self.verified.min(self.durability.persisted())
+    /// Returns the last persisted entry up to which the log matches the leader's.
+    fn matched_index(&self) -> LogIndex {
+        self.verified_index.min(self.durability.persisted())
     }
 
-    fn answer_append(
+    fn send_append_ack(
         &mut self,
         to: &ReplicaId,
         term: Term,
         matched: LogIndex,
-        reject: Option<Reject>,
+        reject: Option<Rejection>,
         probe: Probe,
     ) {
         let ack = AppendAck {
@@ -107,18 +112,18 @@
         self.send(to, Body::AppendAck(ack));
     }
 
-    fn take_entries(&mut self, append: Append) -> Result<(), Reject> {
+    fn append_entries(&mut self, append: Append) -> Result<(), Rejection> {
         if self.log.snapshot().is_none() {
-            return Err(needs_snapshot(&append));
+            return Err(snapshot_rejection(&append));
         }
         let previous = append.previous_index;
-        let fits =
+        let is_matching =
             previous <= self.commit || self.log.term_at(previous) == Some(append.previous_term);
-        if !fits {
+        if !is_matching {
             let below = previous.previous();
-            return Err(Reject {
+            return Err(Rejection {
                 previous_index: previous,
-                hint: self.log.last_not_after(below, append.previous_term),
+                hint: self.log.find_conflict_hint(below, append.previous_term),
                 needs_snapshot: false,
             });
         }
@@ -133,54 +138,55 @@
                 Some(term) if term == entry.term => {}
                 Some(_) => {
                     self.log.truncate(entry.index);
-                    self.durability.truncated(entry.index);
+                    self.durability.record_truncation(entry.index);
                     self.log.push(entry);
                 }
                 None => self.log.push(entry),
             }
         }
-        self.verified = self.verified.max(last);
-        self.commit = self.commit.max(append.commit.min(self.verified));
+        self.verified_index = self.verified_index.max(last);
+        self.commit = self.commit.max(append.commit.min(self.verified_index));
         Ok(())
     }
 
-    /// More of the log is on disk: the leader may count it.
+    /// Counts newly persisted entries as the leader, or acknowledges them as a follower.
     pub(crate) fn on_log_persisted(&mut self) {
         if self.is_leader() {
             self.advance_commit();
             return;
         }
         if let Some(leader) = self.leader.clone().filter(|leader| *leader != self.id) {
-            let matched = self.matched();
-            self.answer_append(&leader, self.hard_state.term, matched, None, self.probe);
+            let matched = self.matched_index();
+            self.send_append_ack(&leader, self.hard_state.term, matched, None, self.probe);
         }
     }
 
     pub(crate) fn on_snapshot_chunk(&mut self, from: &ReplicaId, chunk: SnapshotChunk) {
         let probe = chunk.probe;
         if !self.accept_leader(from, chunk.term) {
-            self.tell_own_term(from);
+            self.send_own_term(from);
             return;
         }
         self.probe = probe;
         let header = &chunk.header;
-        let known =
+        let has_entries =
             header.index <= self.commit || self.log.term_at(header.index) == Some(header.term);
-        if known && self.log.snapshot().is_some() {
-            self.verified = self.verified.max(header.index);
-            let matched = self.matched();
-            self.answer_append(from, self.hard_state.term, matched, None, probe);
+        if has_entries && self.log.snapshot().is_some() {
+            self.verified_index = self.verified_index.max(header.index);
+            let matched = self.matched_index();
+            self.send_append_ack(from, self.hard_state.term, matched, None, probe);
             return;
         }
-        self.collect(from, chunk);
+        self.collect_chunk(from, chunk);
     }
 
-    /// Adds a part to the incoming snapshot, and installs it when it is whole.
-    fn collect(&mut self, from: &ReplicaId, chunk: SnapshotChunk) {
-        let same = |known: &Incoming| known.term == chunk.term && known.header == chunk.header;
-        let mut incoming = match self.incoming.take() {
-            Some(known) if same(&known) => known,
-            _ => Incoming {
+    /// Adds a chunk to the incoming snapshot, and installs the snapshot once it is complete.
+    fn collect_chunk(&mut self, from: &ReplicaId, chunk: SnapshotChunk) {
+        let is_same =
+            |known: &IncomingSnapshot| known.term == chunk.term && known.header == chunk.header;
+        let mut incoming = match self.incoming_snapshot.take() {
+            Some(known) if is_same(&known) => known,
+            _ => IncomingSnapshot {
                 term: chunk.term,
                 header: chunk.header,
                 data: Vec::new(),
@@ -191,7 +197,7 @@
         }
         let received = incoming.data.len() as u64;
         if received >= chunk.total {
-            self.install(from, incoming, chunk.probe);
+            self.install_snapshot(from, incoming, chunk.probe);
             return;
         }
         let answer = Body::SnapshotAck {
@@ -201,39 +207,39 @@
             probe: chunk.probe,
         };
         let cluster = incoming.header.cluster;
-        self.incoming = Some(incoming);
-        self.send_in(cluster, from, answer);
+        self.incoming_snapshot = Some(incoming);
+        self.send_for_cluster(cluster, from, answer);
     }
 
-    fn install(&mut self, from: &ReplicaId, incoming: Incoming, probe: Probe) {
+    fn install_snapshot(&mut self, from: &ReplicaId, incoming: IncomingSnapshot, probe: Probe) {
         let snapshot = Snapshot {
             data: incoming.data.into(),
             ..incoming.header
         };
         if self.hard_state.cluster != Some(snapshot.cluster) {
             self.hard_state.cluster = Some(snapshot.cluster);
-            self.durability.hard_state_changed();
+            self.durability.mark_hard_state_dirty();
         }
         self.accept_leader(from, incoming.term);
         self.probe = probe;
         self.commit = snapshot.index;
-        self.verified = snapshot.index;
+        self.verified_index = snapshot.index;
         self.log.reset(snapshot.clone());
-        self.durability.installed(snapshot.clone());
+        self.durability.record_installation(snapshot.clone());
         let ack = AppendAck {
             term: self.hard_state.term,
             matched: snapshot.index,
             reject: None,
             probe,
         };
-        self.durability.hold(Held::Restore(snapshot));
-        self.send_synced(from, Body::AppendAck(ack));
+        self.durability.defer(DeferredAction::Restore(snapshot));
+        self.send_after_sync(from, Body::AppendAck(ack));
     }
 }
 
-/// The answer of a replica without any state: a snapshot tells it the replicas.
-fn needs_snapshot(append: &Append) -> Reject {
-    Reject {
+/// Returns the rejection of a replica without state, which needs a snapshot to learn the replicas.
+fn snapshot_rejection(append: &Append) -> Rejection {
+    Rejection {
         previous_index: append.previous_index,
         hint: LogIndex(0),
         needs_snapshot: true,
--- a/crates/kumquatdrum_consensus/src/formation.rs
+++ b/crates/kumquatdrum_consensus/src/formation.rs
@@ -1,11 +1,11 @@
-//! How a cluster forms, and how a replica without one makes itself known.
+//! Cluster formation, and the announcements of replicas that do not vote.
 //!
-//! A cluster forms only when all hosts with a data folder are fresh at once, the initial ones and
-//! the others: the first initial host by name asks all of them, each answer is meant for the
-//! asking incarnation, and only when every host has answered `Fresh` is the list of incarnations
-//! sent out. The others count too, as the replicas may have moved to them since. A replica counts as fresh until it has
-//! voted or stored an entry, since until then nothing hangs on it. From its first vote on it
-//! belongs to one cluster for good, and listens to no other.
+//! A cluster forms only while all hosts with a data folder are fresh. The first initial host by
+//! name queries the others, additional ones included, as the replicas of an existing cluster may
+//! have moved to them. Once all have answered `Fresh`, it sends out the replicas of the cluster.
+//!
+//! A replica is fresh until it has voted or stored an entry; its first vote binds it to one
+//! cluster.
 
 use indexmap::{IndexMap, IndexSet};
 use kumquatdrum_types::{HostId, Moment};
@@ -14,17 +14,17 @@
 use crate::node::Node;
 use crate::{Body, ClusterId, LogIndex, Member, ReplicaId, Replicas, Snapshot, Term};
 
-/// Heartbeats between two announcements of a replica that does not vote.
-const HELLO_HEARTBEATS: u32 = 5;
+/// Heartbeat intervals between two announcements of a replica that does not vote.
+const HELLO_INTERVAL_HEARTBEATS: u32 = 5;
 
-/// What a replica knows of other fresh ones.
+/// The state of cluster formation on one replica.
 #[derive(Debug)]
 pub(crate) struct Formation {
     pub(crate) hello_at: Moment,
-    /// Fresh replicas by host, as answered to this one.
+    /// Fresh replicas by host, as they answered.
     fresh: IndexMap<HostId, Member>,
-    /// Some initial host has state: no cluster may form any more.
-    settled: bool,
+    /// Whether a host has state, so that no cluster may form.
+    has_stateful_host: bool,
 }
 
 impl Formation {
@@ -32,32 +32,33 @@
         Self {
             hello_at: now,
             fresh: IndexMap::new(),
-            settled: false,
+            has_stateful_host: false,
         }
     }
 }
 
 impl Node {
-    /// Whether there is something to announce or to ask outside of any cluster.
-    pub(crate) fn is_outside(&self) -> bool {
-        self.is_untouched() || !self.log.replicas().is_voter(&self.id)
+    /// Returns whether this replica announces itself: it is fresh or does not vote.
+    pub(crate) fn is_announcing(&self) -> bool {
+        self.has_no_state() || !self.log.replicas().is_voter(&self.id)
     }
 
     pub(crate) fn on_formation_tick(&mut self) {
-        if !self.is_outside() || self.now < self.formation.hello_at {
+        if !self.is_announcing() || self.now < self.formation.hello_at {
             return;
         }
-        self.formation.hello_at = self.now + self.settings.heartbeat * HELLO_HEARTBEATS;
-        let quiet = self.now >= self.last_contact + self.settings.election_timeout;
-        if self.is_untouched() || quiet {
-            self.say_hello();
+        self.formation.hello_at =
+            self.now + self.settings.heartbeat_interval * HELLO_INTERVAL_HEARTBEATS;
+        let has_no_leader = self.now >= self.last_contact + self.settings.election_timeout;
+        if self.has_no_state() || has_no_leader {
+            self.send_hello();
         }
-        if self.is_untouched() && !self.formation.settled && self.is_first_initial() {
-            self.survey();
+        if self.has_no_state() && !self.formation.has_stateful_host && self.is_forming_host() {
+            self.query_hosts();
         }
     }
 
-    /// All other hosts with a data folder.
+    /// Returns all other hosts with a data folder.
     fn other_hosts(&self) -> IndexSet<HostId> {
         let hosts = self
             .settings
@@ -70,55 +71,55 @@
             .collect()
     }
 
-    fn say_hello(&mut self) {
+    fn send_hello(&mut self) {
         for host in self.other_hosts() {
             let member = self.settings.member.clone();
             self.send_to_host(&host, Body::Hello { member });
         }
     }
 
-    fn is_first_initial(&self) -> bool {
+    fn is_forming_host(&self) -> bool {
         self.settings.initial_hosts.iter().min() == Some(&self.id.host)
     }
 
-    fn survey(&mut self) {
+    fn query_hosts(&mut self) {
         for host in self.other_hosts() {
-            self.send_to_host(&host, Body::Survey);
+            self.send_to_host(&host, Body::FormationQuery);
         }
-        self.form_when_all_fresh();
+        self.form_if_all_fresh();
     }
 
-    pub(crate) fn on_survey(&mut self, from: ReplicaId) {
-        let body = if self.is_untouched() {
+    pub(crate) fn on_formation_query(&mut self, from: ReplicaId) {
+        let body = if self.has_no_state() {
             let member = self.settings.member.clone();
             Body::Fresh { member }
         } else {
-            Body::Settled
+            Body::NotFresh
         };
         self.send(&from, body);
     }
 
-    pub(crate) fn on_settled(&mut self) {
-        self.formation.settled = true;
+    pub(crate) fn on_not_fresh(&mut self) {
+        self.formation.has_stateful_host = true;
         self.formation.fresh.clear();
     }
 
     pub(crate) fn on_fresh(&mut self, member: Member) {
         let expected = self.other_hosts().contains(&member.id.host);
-        if expected && self.is_untouched() && !self.formation.settled {
+        if expected && self.has_no_state() && !self.formation.has_stateful_host {
             self.formation.fresh.insert(member.id.host.clone(), member);
-            self.form_when_all_fresh();
+            self.form_if_all_fresh();
         }
     }
 
-    fn form_when_all_fresh(&mut self) {
+    fn form_if_all_fresh(&mut self) {
         if self.formation.fresh.len() < self.other_hosts().len() {
             return;
         }
         let initial = &self.settings.initial_hosts;
         let fresh = self.formation.fresh.drain(..).map(|(_, member)| member);
-        let voting = fresh.filter(|member| initial.contains(&member.id.host));
-        let mut members: Vec<Member> = voting.collect();
+        let voters = fresh.filter(|member| initial.contains(&member.id.host));
+        let mut members: Vec<Member> = voters.collect();
         members.push(self.settings.member.clone());
         members.sort();
         if self.log.replicas().voters != members {
@@ -129,7 +130,7 @@
                 replicas: Replicas::from_voters(members),
                 data: bytes::Bytes::new(),
             };
-            self.enter(snapshot);
+            self.join_cluster(snapshot);
         }
         let Some(snapshot) = self.log.snapshot().cloned() else {
             return;
@@ -143,19 +144,19 @@
     }
 
     pub(crate) fn on_form(&mut self, snapshot: Snapshot) {
-        let new = self.hard_state.cluster != Some(snapshot.cluster);
-        let listed = snapshot.replicas.is_voter(&self.id);
-        if new && listed && self.is_untouched() && snapshot.index == LogIndex(0) {
-            self.enter(snapshot);
+        let is_new = self.hard_state.cluster != Some(snapshot.cluster);
+        let is_listed = snapshot.replicas.is_voter(&self.id);
+        if is_new && is_listed && self.has_no_state() && snapshot.index == LogIndex(0) {
+            self.join_cluster(snapshot);
         }
     }
 
-    /// Takes a cluster as the own one. It binds only with the first vote.
-    fn enter(&mut self, snapshot: Snapshot) {
+    /// Joins a newly formed cluster; until the first vote, another one may replace it.
+    fn join_cluster(&mut self, snapshot: Snapshot) {
         self.hard_state.cluster = Some(snapshot.cluster);
-        self.durability.hard_state_changed();
+        self.durability.mark_hard_state_dirty();
         self.log.reset(snapshot.clone());
-        self.durability.installed(snapshot);
+        self.durability.record_installation(snapshot);
         self.become_follower(Term(0), None);
     }
 }
--- a/crates/kumquatdrum_consensus/src/id.rs
+++ b/crates/kumquatdrum_consensus/src/id.rs
@@ -1,11 +1,11 @@
-//! Identifiers of replicas, clusters and places in the log.
+//! Identifiers of replicas, clusters, terms and log entries.
 
 use std::fmt;
 
 use kumquatdrum_types::{DataCentre, HostId};
 use serde::{Deserialize, Serialize};
 
-macro_rules! number {
+macro_rules! define_number {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -22,29 +22,29 @@
     };
 }
 
-number!(
-    /// A random number made together with a data folder; a new folder is a new replica.
+define_number!(
+    /// A random number created with a data folder; a new folder makes a new replica.
     Incarnation
 );
-number!(
-    /// A random number made when a cluster forms; replicas of other clusters are not listened to.
+define_number!(
+    /// A random number created when a cluster forms; messages of other clusters are ignored.
     ClusterId
 );
-number!(
-    /// An election term; at most one leader each.
+define_number!(
+    /// An election term, which has at most one leader.
     Term
 );
-number!(
-    /// A place in the log; the first entry is 1.
+define_number!(
+    /// The index of a log entry; the first entry has index 1.
     LogIndex
 );
-number!(
-    /// Chosen by the shell to recognise the answer to a proposal or read.
+define_number!(
+    /// Correlates a proposal, replica change or read with its outcome; chosen by the driver.
     Token
 );
 
 impl Term {
-    /// The following term.
+    /// Returns the following term.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
@@ -52,25 +52,25 @@
 }
 
 impl LogIndex {
-    /// The following place.
+    /// Returns the following index.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The place before, or 0.
+    /// Returns the preceding index, or 0.
     #[must_use]
     pub const fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
-/// A replica: a host together with the life of its data folder.
+/// Identifies a replica by its host and the incarnation of its data folder.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// The host that runs it.
+    /// The host that runs the replica.
     pub host: HostId,
-    /// The life of its data folder.
+    /// The incarnation of the replica's data folder.
     pub incarnation: Incarnation,
 }
 
@@ -80,17 +80,17 @@
     }
 }
 
-/// A replica and where it stands.
+/// A replica and the data centre of its host.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Who it is.
+    /// The replica.
     pub id: ReplicaId,
-    /// Where its host stands.
+    /// The data centre of the replica's host.
     pub data_centre: DataCentre,
 }
 
 impl Member {
-    /// A member from its parts.
+    /// Creates a member from its host, incarnation and data centre.
     ///
     /// ```
     /// let member = kumquatdrum_consensus::Member::new("ikeja-1", 7, "ikeja");
--- a/crates/kumquatdrum_consensus/src/leader.rs
+++ b/crates/kumquatdrum_consensus/src/leader.rs
@@ -1,43 +1,43 @@
-//! Leading: what a leader keeps, its heartbeat, and how it begins and ends.
+//! The leader's state, lease and proposals, and the start and end of its leadership.
 
 use std::collections::VecDeque;
 
 use indexmap::IndexMap;
 use kumquatdrum_types::{HostId, Moment};
 
-use crate::change::Change;
+use crate::change::ReplicaChange;
 use crate::node::{Node, Role};
 use crate::progress::Progress;
-use crate::read::Read;
+use crate::read::PendingRead;
 use crate::{
     Body, Content, Entry, LogIndex, Member, Output, Proposal, ProposalOutcome, ReplicaId,
-    Resignation, Term, Token,
+    StepDownReason, Term, Token,
 };
 
 /// State that only a leader needs.
 #[derive(Debug)]
 pub(crate) struct Leader {
-    pub(crate) since: Moment,
-    /// The first entry of the term; what is committed is known once this one is.
-    pub(crate) first: LogIndex,
+    pub(crate) elected_at: Moment,
+    /// The first entry of the term; once it is committed, so are all earlier entries.
+    pub(crate) first_index: LogIndex,
     pub(crate) peers: IndexMap<ReplicaId, Progress>,
-    /// Counts heartbeats, so that answers can be told apart.
+    /// The number of the latest heartbeat round, which identifies its answers.
     pub(crate) round: u64,
     pub(crate) heartbeat_at: Moment,
-    /// What was committed at the latest heartbeat; a learner this far has caught up.
+    /// The last committed entry at the latest heartbeat; a learner that has it has caught up.
     pub(crate) commit_at_heartbeat: LogIndex,
-    /// Bytes of entries that are not committed yet.
-    uncommitted: usize,
-    waiting: VecDeque<Waiting>,
-    pub(crate) reads: VecDeque<Read>,
-    /// New incarnations by host that asked to join.
-    pub(crate) newcomers: IndexMap<HostId, Member>,
-    pub(crate) change: Option<Change>,
+    /// Size of the uncommitted entries.
+    uncommitted_bytes: usize,
+    pending_proposals: VecDeque<PendingProposal>,
+    pub(crate) pending_reads: VecDeque<PendingRead>,
+    /// New incarnations of voters' hosts that are to become learners.
+    pub(crate) joining: IndexMap<HostId, Member>,
+    pub(crate) pending_change: Option<ReplicaChange>,
 }
 
-/// A proposal that is not committed yet.
+/// A proposal whose entry is not committed and applied yet.
 #[derive(Debug)]
-struct Waiting {
+struct PendingProposal {
     index: LogIndex,
     token: Token,
 }
@@ -45,29 +45,29 @@
 impl Node {
     pub(crate) fn become_leader(&mut self) {
         let term = self.hard_state.term;
-        let first = self.log.last_index().next();
+        let first_index = self.log.last_index().next();
         let leader = Leader {
-            since: self.now,
-            first,
+            elected_at: self.now,
+            first_index,
             peers: IndexMap::new(),
             round: 0,
             heartbeat_at: self.now,
             commit_at_heartbeat: LogIndex(u64::MAX),
-            uncommitted: 0,
-            waiting: VecDeque::new(),
-            reads: VecDeque::new(),
-            newcomers: IndexMap::new(),
-            change: None,
+            uncommitted_bytes: 0,
+            pending_proposals: VecDeque::new(),
+            pending_reads: VecDeque::new(),
+            joining: IndexMap::new(),
+            pending_change: None,
         };
         self.role = Role::Leader(Box::new(leader));
         self.leader = Some(self.id.clone());
         self.output(Output::BecameLeader { term });
         self.append(Content::Noop);
-        self.follow_replicas();
-        self.beat();
+        self.update_peers();
+        self.broadcast_heartbeat();
     }
 
-    /// Adds an entry to the own log.
+    /// Appends an entry to the leader's own log.
     pub(crate) fn append(&mut self, content: Content) -> LogIndex {
         let entry = Entry {
             term: self.hard_state.term,
@@ -76,14 +76,14 @@
         };
         let index = entry.index;
         if let Role::Leader(leader) = &mut self.role {
-            leader.uncommitted += entry.size();
+            leader.uncommitted_bytes += entry.size();
         }
         self.log.push(entry);
         index
     }
 
-    /// Keeps a progress for each other replica of the latest replicas, and no more.
-    pub(crate) fn follow_replicas(&mut self) {
+    /// Tracks the progress of exactly the other replicas that the log names last.
+    pub(crate) fn update_peers(&mut self) {
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
@@ -98,40 +98,41 @@
     }
 
     pub(crate) fn on_leader_tick(&mut self) {
-        if self.lost_quorum() {
-            self.give_up_leading(Resignation::QuorumLost);
+        if self.has_lost_quorum() {
+            self.step_down(StepDownReason::QuorumLost);
             return;
         }
-        if self.disk_hangs() {
-            self.give_up_leading(Resignation::DiskHangs);
+        if self.is_disk_stalled() {
+            self.step_down(StepDownReason::DiskStalled);
             return;
         }
         let Role::Leader(leader) = &self.role else {
             return;
         };
         if self.now >= leader.heartbeat_at {
-            self.beat();
+            self.broadcast_heartbeat();
         }
-        self.give_up_late_change();
+        self.abort_expired_change();
         self.advance_change();
     }
 
-    /// Whether no majority has answered for an election timeout.
-    fn lost_quorum(&self) -> bool {
+    /// Returns whether no majority has answered within an election timeout.
+    fn has_lost_quorum(&self) -> bool {
         let Role::Leader(leader) = &self.role else {
             return false;
         };
-        let heard = self.quorum_moment(|progress| progress.acked_at.unwrap_or(leader.since));
-        self.now > heard.max(leader.since) + self.settings.election_timeout
+        let acked_at =
+            self.quorum_moment(|progress| progress.acked_at.unwrap_or(leader.elected_at));
+        self.now > acked_at.max(leader.elected_at) + self.settings.election_timeout
     }
 
-    /// Whether the disk has owed an answer for too long to lead.
-    fn disk_hangs(&self) -> bool {
-        let since = self.durability.waiting_since();
+    /// Returns whether the batch in flight has exceeded the persist timeout.
+    fn is_disk_stalled(&self) -> bool {
+        let since = self.durability.in_flight_since();
         since.is_some_and(|since| self.now > since + self.settings.persist_timeout)
     }
 
-    /// The latest moment such that a majority is at it or later; this replica always is.
+    /// Returns the latest moment that a majority has reached; this replica counts as now.
     fn quorum_moment(&self, moment: impl Fn(&Progress) -> Moment) -> Moment {
         let Role::Leader(leader) = &self.role else {
             return Moment::ZERO;
@@ -139,7 +140,7 @@
         let micros = self
             .log
             .replicas()
-            .reached(|id| match leader.peers.get(id) {
+            .quorum_value(|id| match leader.peers.get(id) {
                 _ if *id == self.id => self.now.micros,
                 Some(progress) => moment(progress).micros,
                 None => 0,
@@ -147,34 +148,35 @@
         Moment { micros }
     }
 
-    /// Until when no other replica can lead, by this replica's clock; none where it does not
-    /// lead or has no lease. The shell checks it right before it gives an order.
+    /// Returns the end of this leader's lease on its own clock; until then no other replica can
+    /// lead. `None` without leadership or lease. The driver checks it right before it sends an
+    /// order.
     pub fn lease_until(&self) -> Option<Moment> {
         if !self.is_leader() {
             return None;
         }
-        let heard = self.quorum_moment(|progress| progress.acked_at.unwrap_or(Moment::ZERO));
+        let acked_at = self.quorum_moment(|progress| progress.acked_at.unwrap_or(Moment::ZERO));
         let timeout = self.settings.election_timeout;
-        let share = 100_u32.saturating_sub(self.settings.clock_drift_percent);
-        let lease = timeout * share / 100;
-        (heard > Moment::ZERO)
-            .then(|| heard + lease)
+        let lease_percent = 100_u32.saturating_sub(self.settings.clock_drift_percent);
+        let lease = timeout * lease_percent / 100;
+        (acked_at > Moment::ZERO)
+            .then(|| acked_at + lease)
             .filter(|until| *until > self.now)
     }
 
-    /// Whether it leads and has applied all that was committed before its term.
+    /// Returns whether this replica leads and has applied all entries of earlier terms.
     pub fn is_caught_up_leader(&self) -> bool {
-        matches!(&self.role, Role::Leader(leader) if self.applied >= leader.first)
+        matches!(&self.role, Role::Leader(leader) if self.applied >= leader.first_index)
     }
 
-    /// Ends leading in the term that goes on.
-    pub(crate) fn give_up_leading(&mut self, reason: Resignation) {
-        self.step_down(reason);
+    /// Stops leading and becomes a follower in the same term.
+    pub(crate) fn step_down(&mut self, reason: StepDownReason) {
+        self.end_leadership(reason);
         self.become_follower(self.hard_state.term, None);
     }
 
-    /// Ends leading: whoever waits for an answer gets one.
-    pub(crate) fn step_down(&mut self, reason: Resignation) {
+    /// Drops the leader's state, if any, and answers all pending proposals, changes and reads.
+    pub(crate) fn end_leadership(&mut self, reason: StepDownReason) {
         let role = std::mem::replace(&mut self.role, Role::Follower);
         let Role::Leader(leader) = role else {
             return;
@@ -182,13 +184,13 @@
         self.leader = None;
         let term: Term = self.hard_state.term;
         self.output(Output::SteppedDown { term, reason });
-        for waiting in leader.waiting {
-            self.proposed(waiting.token, ProposalOutcome::Unknown);
+        for proposal in leader.pending_proposals {
+            self.report_outcome(proposal.token, ProposalOutcome::Unknown);
         }
-        if let Some(change) = leader.change {
-            self.proposed(change.token, ProposalOutcome::Unknown);
+        if let Some(change) = leader.pending_change {
+            self.report_outcome(change.token, ProposalOutcome::Unknown);
         }
-        for read in leader.reads {
+        for read in leader.pending_reads {
             let token = read.token;
             self.output(Output::ReadRefused {
                 token,
@@ -197,31 +199,32 @@
         }
     }
 
-    /// Gives up the lease in favour of the voter that is furthest. Its vote is safe for the others
-    /// to release their promise for: it is for the very next term only, in which whoever has a
-    /// lease has the votes of a majority already.
-    pub(crate) fn on_resign(&mut self) {
+    /// Releases the lease in favour of the most up-to-date voter.
+    ///
+    /// The other voters may then vote for it despite their promise: their vote holds only for the
+    /// next term, and any leader with a lease in that term already has a majority of its votes.
+    pub(crate) fn transfer_leadership(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
         };
         let replicas = self.log.replicas();
-        let has_all = |id: &ReplicaId| {
+        let caught_up = |id: &ReplicaId| {
             let matched = leader.peers.get(id).map(|progress| progress.matched);
             matched.filter(|matched| *matched >= self.commit)
         };
         let voters = replicas.voters.iter().map(|voter| &voter.id);
-        let able = voters.filter_map(|id| has_all(id).map(|matched| (matched, id)));
-        let Some(heir) = able.max().map(|(_, id)| id.clone()) else {
+        let candidates = voters.filter_map(|id| caught_up(id).map(|matched| (matched, id)));
+        let Some(successor) = candidates.max().map(|(_, id)| id.clone()) else {
             return;
         };
         let term = self.hard_state.term;
-        self.give_up_leading(Resignation::Asked);
-        self.send(&heir, Body::Succeed { term });
+        self.step_down(StepDownReason::LeadershipTransferred);
+        self.send(&successor, Body::TimeoutNow { term });
     }
 
     pub(crate) fn on_propose(&mut self, proposals: Vec<Proposal>) {
         if !self.is_leader() {
-            self.refuse_proposals(proposals);
+            self.reject_proposals(proposals);
             return;
         }
         for proposal in proposals {
@@ -232,24 +235,27 @@
 
     fn propose(&mut self, proposal: Proposal) {
         let limit = self.settings.max_uncommitted_bytes;
-        let full = match &self.role {
+        let is_full = match &self.role {
             Role::Leader(leader) => {
-                leader.uncommitted > 0 && leader.uncommitted + proposal.payload.len() > limit
+                leader.uncommitted_bytes > 0
+                    && leader.uncommitted_bytes + proposal.payload.len() > limit
             }
             _ => true,
         };
-        if full {
-            self.proposed(proposal.token, ProposalOutcome::Busy);
+        if is_full {
+            self.report_outcome(proposal.token, ProposalOutcome::Busy);
             return;
         }
         let index = self.append(Content::Payload(proposal.payload));
         if let Role::Leader(leader) = &mut self.role {
             let token = proposal.token;
-            leader.waiting.push_back(Waiting { index, token });
+            leader
+                .pending_proposals
+                .push_back(PendingProposal { index, token });
         }
     }
 
-    /// Commits what a majority has on disk.
+    /// Commits the entries that a majority has persisted.
     pub(crate) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -258,38 +264,38 @@
         let reached = self
             .log
             .replicas()
-            .reached(|id| match leader.peers.get(id) {
+            .quorum_value(|id| match leader.peers.get(id) {
                 _ if *id == self.id => persisted.0,
                 Some(progress) => progress.matched.0,
                 None => 0,
             });
         let reached = LogIndex(reached);
-        let own_term = self.log.term_at(reached) == Some(self.hard_state.term);
-        if reached <= self.commit || !own_term {
+        let is_of_current_term = self.log.term_at(reached) == Some(self.hard_state.term);
+        if reached <= self.commit || !is_of_current_term {
             return;
         }
         let mut index = self.commit;
         while index < reached {
             index = index.next();
             let size = self.log.entry(index).map_or(0, Entry::size);
-            leader.uncommitted = leader.uncommitted.saturating_sub(size);
+            leader.uncommitted_bytes = leader.uncommitted_bytes.saturating_sub(size);
         }
         self.commit = reached;
         self.advance_change();
     }
 
     /// Answers proposals whose entries have been applied.
-    pub(crate) fn answer_proposals(&mut self) {
+    pub(crate) fn answer_applied_proposals(&mut self) {
         let applied = self.applied;
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let done = leader
-            .waiting
-            .partition_point(|waiting| waiting.index <= applied);
-        let done: Vec<Waiting> = leader.waiting.drain(..done).collect();
-        for Waiting { index, token } in done {
-            self.proposed(token, ProposalOutcome::Committed { index });
+            .pending_proposals
+            .partition_point(|proposal| proposal.index <= applied);
+        let done: Vec<PendingProposal> = leader.pending_proposals.drain(..done).collect();
+        for PendingProposal { index, token } in done {
+            self.report_outcome(token, ProposalOutcome::Committed { index });
         }
     }
 }
--- a/crates/kumquatdrum_consensus/src/lib.rs
+++ b/crates/kumquatdrum_consensus/src/lib.rs
@@ -1,16 +1,16 @@
-//! Core: elections, replicated log, snapshots and replica changes.
+//! Consensus core: elections, replicated log, snapshots and replica changes.
 //!
-//! [`Node`] is a state machine without clock, socket or disk. The shell hands it an [`Input`]
-//! with the current [`Moment`](kumquatdrum_types::Moment) and carries out the [`Output`]s, in
-//! their order:
+//! [`Node`] is a state machine without clock, socket or disk. The driver passes it an [`Input`]
+//! with the current [`Moment`](kumquatdrum_types::Moment) and executes the returned [`Output`]s
+//! in order:
 //!
-//! - `Send` may go out at once. The node itself withholds whatever has to be on disk first.
+//! - `Send` may be executed at once: the node defers messages that depend on unsynced state.
 //! - `Persist` is written and synced as one transaction, then answered by `Persisted` with the
-//!   same sequence number, or by `PersistFailed`. At most one is outstanding; what comes up
-//!   meanwhile rides in the next one, which is the group commit.
-//! - `Apply` and `Restore` go to the application in order, before any later
+//!   same sequence number, or by `PersistFailed`. At most one batch is in flight; later changes
+//!   are grouped into the next one (group commit).
+//! - `Apply` and `Restore` are passed to the application in order, before any later
 //!   `Proposed` or `ReadConfirmed`.
-//! - `Wake` names the moment at which the next `Tick` is due; it replaces the previous one.
+//! - `Wake` sets the moment at which the next `Tick` is due and replaces the previous one.
 
 mod change;
 mod durability;
@@ -34,11 +34,11 @@
 mod storage;
 
 pub use entry::{Content, Entry, Snapshot};
-pub use event::{Input, Output, Proposal, ProposalOutcome, Resignation};
+pub use event::{Input, Output, Proposal, ProposalOutcome, StepDownReason};
 pub use id::{ClusterId, Incarnation, LogIndex, Member, ReplicaId, Term, Token};
-pub use message::{Append, AppendAck, Body, Message, Probe, Reject, SnapshotChunk, Vote};
+pub use message::{Append, AppendAck, Body, Message, Probe, Rejection, SnapshotChunk, VoteRequest};
 pub use node::Node;
 pub use replicas::Replicas;
-pub use settings::{Rules, Settings};
+pub use settings::{Safeguards, Settings};
 pub use status::{PeerStatus, RoleName, Status};
 pub use storage::{Batch, HardState, StoredState};
--- a/crates/kumquatdrum_consensus/src/log.rs
+++ b/crates/kumquatdrum_consensus/src/log.rs
@@ -1,20 +1,20 @@
-//! The log in memory: the entries after a base, and the replicas that they name.
+//! The in-memory log: the entries after a base entry, and the replicas that they contain.
 
 use std::collections::VecDeque;
 
 use crate::{Content, Entry, LogIndex, ReplicaId, Replicas, Snapshot, StoredState, Term};
 
-/// The log as the replica sees it; the tail may not be on disk yet.
+/// The in-memory log, whose tail may not be persisted yet.
 #[derive(Debug)]
 pub(crate) struct Log {
     snapshot: Option<Snapshot>,
-    /// The entry before the first one held.
+    /// The entry before the first of `entries`.
     base_index: LogIndex,
     base_term: Term,
     entries: VecDeque<Entry>,
-    /// Replicas by the entry that names them; the first one holds at the snapshot.
+    /// Replicas by the entry that contains them; the first item is in force at the snapshot.
     replicas: Vec<(LogIndex, Replicas)>,
-    /// Bytes of the entries after the snapshot.
+    /// Size of the entries after the snapshot.
     bytes: usize,
 }
 
@@ -59,7 +59,7 @@
             .map_or(self.base_term, |entry| entry.term)
     }
 
-    /// Bytes of the entries after the snapshot.
+    /// Returns the size of the entries after the snapshot in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -69,7 +69,7 @@
         self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// The term of an entry, the base included; none where the log does not reach.
+    /// Returns the term of an entry or of the base entry, if the log has it.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -77,7 +77,7 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// Entries from `from` on, up to `max_bytes`, at least one where there is one.
+    /// Returns entries from `from` on, limited to `max_bytes` but at least one if there is any.
     pub(crate) fn slice(&self, from: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let mut size = 0;
         let mut slice = Vec::new();
@@ -93,23 +93,23 @@
         slice
     }
 
-    /// All entries from `from` on.
+    /// Returns all entries from `from` on.
     pub(crate) fn tail(&self, from: LogIndex) -> Vec<Entry> {
         self.slice(from, usize::MAX)
     }
 
-    /// The latest replicas.
+    /// Returns the latest replicas.
     pub(crate) fn replicas(&self) -> &Replicas {
         &self.replicas[self.replicas.len() - 1].1
     }
 
-    /// The entry that names the latest replicas.
+    /// Returns the index of the entry that contains the latest replicas.
     pub(crate) fn replicas_index(&self) -> LogIndex {
         self.replicas[self.replicas.len() - 1].0
     }
 
-    /// Whether a replica votes by the replicas that are committed or by any after them.
-    pub(crate) fn may_vote_since(&self, commit: LogIndex, id: &ReplicaId) -> bool {
+    /// Returns whether a replica votes in the committed replicas or in any later ones.
+    pub(crate) fn can_vote_since(&self, commit: LogIndex, id: &ReplicaId) -> bool {
         let committed = self.replicas.iter().rposition(|(at, _)| *at <= commit);
         let since = &self.replicas[committed.unwrap_or(0)..];
         since.iter().any(|(_, replicas)| replicas.is_voter(id))
@@ -124,7 +124,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Removes the entries at `from` and above.
+    /// Removes the entries from `from` on.
     pub(crate) fn truncate(&mut self, from: LogIndex) {
         while self.last_index() >= from {
             let Some(entry) = self.entries.pop_back() else {
@@ -135,12 +135,16 @@
         self.replicas.retain(|(index, _)| *index < from);
     }
 
-    /// Takes a snapshot of a place within the log and drops all but `keep` entries before it.
-    pub(crate) fn compact(&mut self, snapshot: Snapshot, keep: u64) {
+    /// Replaces the snapshot by one within the log, and drops all but `retained_entries` entries
+    /// up to it.
+    pub(crate) fn compact(&mut self, snapshot: Snapshot, retained_entries: u64) {
         let index = snapshot.index;
         let current = self.replicas.iter().rposition(|(at, _)| *at <= index);
         self.replicas.drain(..current.unwrap_or(0));
-        let base = index.0.saturating_sub(keep).max(self.base_index.0);
+        let base = index
+            .0
+            .saturating_sub(retained_entries)
+            .max(self.base_index.0);
         while self.base_index.0 < base {
             let Some(entry) = self.entries.pop_front() else {
                 break;
@@ -153,7 +157,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Replaces everything by a snapshot.
+    /// Replaces the whole log by a snapshot.
     pub(crate) fn reset(&mut self, snapshot: Snapshot) {
         self.entries.clear();
         self.bytes = 0;
@@ -163,14 +167,15 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// The replicas as of an entry.
+    /// Returns the replicas in force at an entry.
     pub(crate) fn replicas_at(&self, index: LogIndex) -> &Replicas {
         let found = self.replicas.iter().rev().find(|(at, _)| *at <= index);
         found.map_or(&self.replicas[0].1, |(_, replicas)| replicas)
     }
 
-    /// The last entry at or before `index` that may match a log whose entry there has `term`.
-    pub(crate) fn last_not_after(&self, index: LogIndex, term: Term) -> LogIndex {
+    /// Returns the last entry up to `index` whose term is at most `term`; no later one can match a
+    /// log that has an entry of `term` after `index`.
+    pub(crate) fn find_conflict_hint(&self, index: LogIndex, term: Term) -> LogIndex {
         let mut candidate = index.min(self.last_index());
         while candidate > self.base_index && self.term_at(candidate).is_some_and(|t| t > term) {
             candidate = candidate.previous();
--- a/crates/kumquatdrum_consensus/src/message.rs
+++ b/crates/kumquatdrum_consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use bytes::Bytes;
 use kumquatdrum_types::Moment;
@@ -9,157 +9,162 @@
 /// A message between replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender's cluster; none in messages by which clusters form.
+    /// The sender's cluster; `None` in messages of cluster formation.
     pub cluster: Option<ClusterId>,
-    /// Who speaks.
+    /// The sender.
     pub from: ReplicaId,
-    /// The one it is meant for; none for whichever replica the host has.
+    /// The recipient; `None` addresses any incarnation on the receiving host.
     pub to: Option<ReplicaId>,
-    /// What is said.
+    /// The content of the message.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Would you vote for me? Changes nothing.
-    PreVote(Vote),
+    /// Asks whether the receiver would grant a vote; changes no state.
+    PreVote(VoteRequest),
     /// Answer to `PreVote`.
     PreVoteAnswer {
         /// The answering replica's term.
         term: Term,
-        /// The term that was asked about.
+        /// The term named in the request.
         asked: Term,
-        /// Whether it would.
+        /// Whether the replica would grant the vote.
         granted: bool,
     },
-    /// Vote for me.
-    RequestVote(Vote),
-    /// The leader of this term has stopped leading in favour of the one it says this to.
-    Succeed {
-        /// The term that ends.
+    /// Requests a vote.
+    RequestVote(VoteRequest),
+    /// Asks the receiver to start an election at once, as the leader has stepped down in its
+    /// favour.
+    #[serde(rename = "Succeed")]
+    TimeoutNow {
+        /// The term of the leader that has stepped down.
         term: Term,
     },
-    /// Answer to `RequestVote`, synced.
+    /// Answer to `RequestVote`, sent after the vote is synced.
     VoteAnswer {
         /// The answering replica's term.
         term: Term,
-        /// Whether it voted for the candidate in that term.
+        /// Whether the replica voted for the candidate in that term.
         granted: bool,
     },
-    /// Entries, or a heartbeat where there are none.
+    /// Entries to append; a heartbeat if there are none.
     Append(Append),
-    /// Answer to `Append`, and to a `SnapshotChunk` that completed a snapshot.
+    /// Answer to `Append`, and to the `SnapshotChunk` that completes a snapshot.
     AppendAck(AppendAck),
-    /// A part of a snapshot.
+    /// A chunk of a snapshot.
     SnapshotChunk(SnapshotChunk),
-    /// How much of a snapshot has arrived.
+    /// Acknowledges the received part of a snapshot.
     SnapshotAck {
         /// The answering replica's term.
         term: Term,
         /// The snapshot's index.
         index: LogIndex,
-        /// Bytes received without a gap.
+        /// Contiguous bytes received from the start.
         received: u64,
-        /// From the chunk that is answered.
+        /// The probe of the acknowledged chunk.
         probe: Probe,
     },
-    /// A replica that does not vote makes itself known.
+    /// Announces a replica that does not vote.
     Hello {
-        /// Who and where.
+        /// The announced replica.
         member: Member,
     },
-    /// Are you fresh? Asked by the host that would form a cluster.
-    Survey,
-    /// Answer to `Survey`: I have never voted nor stored an entry.
+    /// Asks whether the replica is fresh; sent by the host that forms the cluster.
+    #[serde(rename = "Survey")]
+    FormationQuery,
+    /// Answer to `FormationQuery`: the replica has neither voted nor stored an entry.
     Fresh {
-        /// Who and where.
+        /// The answering replica.
         member: Member,
     },
-    /// Answer to `Survey`: I have state; no cluster may form.
-    Settled,
-    /// All initial hosts are fresh: this is the cluster.
+    /// Answer to `FormationQuery`: the replica has state, so no cluster may form.
+    #[serde(rename = "Settled")]
+    NotFresh,
+    /// Forms the cluster, as all hosts are fresh.
     Form {
-        /// The empty snapshot that names the cluster and its replicas.
+        /// The empty snapshot with the cluster's identifier and replicas.
         snapshot: Snapshot,
     },
 }
 
-/// A candidate's question.
+/// A candidate's request for a vote or pre-vote.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Vote {
-    /// The term that the candidate would lead.
+pub struct VoteRequest {
+    /// The term in which the candidate would lead.
     pub term: Term,
-    /// The candidate's last entry.
+    /// The index of the candidate's last entry.
     pub last_index: LogIndex,
     /// The term of that entry.
     pub last_term: Term,
-    /// The leader of the term before has given up its lease in favour of the candidate.
-    pub succeeds: bool,
+    /// Whether the leader of the previous term has released its lease in favour of the candidate.
+    #[serde(rename = "succeeds")]
+    pub is_leadership_transfer: bool,
 }
 
-/// Lets a leader tell which of its messages is answered. Echoed as it is.
+/// Identifies the leader's message that an answer belongs to; echoed unchanged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
     /// The leader's heartbeat round.
     pub round: u64,
-    /// When the leader sent it, on the leader's clock.
+    /// The send time on the leader's clock.
     pub sent_at: Moment,
 }
 
-/// Entries that follow a known one.
+/// Entries to append after a known entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Append {
     /// The leader's term.
     pub term: Term,
-    /// The entry before the first of `entries`.
+    /// The index of the entry before the first of `entries`.
     pub previous_index: LogIndex,
     /// The term of that entry.
     pub previous_term: Term,
-    /// The entries, contiguous; none in a heartbeat.
+    /// Contiguous entries; empty in a heartbeat.
     pub entries: Vec<Entry>,
-    /// All through here are committed.
+    /// The last committed entry.
     pub commit: LogIndex,
     /// Echoed in the answer.
     pub probe: Probe,
 }
 
-/// How far the follower's log matches the leader's.
+/// Acknowledges or rejects entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendAck {
     /// The answering replica's term.
     pub term: Term,
-    /// Its log matches the leader's through here, synced.
+    /// The last synced entry up to which the log matches the leader's.
     pub matched: LogIndex,
-    /// Set where the entries did not fit.
-    pub reject: Option<Reject>,
-    /// From the message that is answered.
+    /// Set if the follower's log has no matching previous entry.
+    pub reject: Option<Rejection>,
+    /// The probe of the answered message.
     pub probe: Probe,
 }
 
-/// Why entries did not fit.
+/// Reports that the previous entry of an append does not match the follower's log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reject {
+pub struct Rejection {
     /// The `previous_index` that did not match.
     pub previous_index: LogIndex,
-    /// The logs may match through here, and don't match after.
+    /// The last entry up to which the logs may match.
     pub hint: LogIndex,
-    /// The replica has no state yet and needs a snapshot to start from.
+    /// Whether the replica has no state and needs a snapshot first.
     pub needs_snapshot: bool,
 }
 
-/// A part of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
     /// The leader's term.
     pub term: Term,
     /// The snapshot with empty data.
     pub header: Snapshot,
-    /// Bytes of the whole snapshot.
+    /// Size of the whole snapshot's data in bytes.
     pub total: u64,
-    /// Where in the snapshot `data` starts.
+    /// Offset of `data` in the whole snapshot's data.
     pub offset: u64,
-    /// The part.
+    /// The bytes of this chunk.
     pub data: Bytes,
     /// Echoed in the answer.
     pub probe: Probe,
--- a/crates/kumquatdrum_consensus/src/node.rs
+++ b/crates/kumquatdrum_consensus/src/node.rs
@@ -1,21 +1,21 @@
-//! The node: its state, and the way of inputs through it.
+//! The node's state and the dispatch of its inputs.
 
 use kumquatdrum_types::{HostId, Moment};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-use crate::durability::{Durability, Held};
+use crate::durability::{DeferredAction, Durability};
 use crate::election::Votes;
-use crate::follower::Incoming;
+use crate::follower::IncomingSnapshot;
 use crate::formation::Formation;
 use crate::leader::Leader;
 use crate::log::Log;
 use crate::{
     Body, ClusterId, Content, HardState, Input, LogIndex, Message, Output, Probe, Proposal,
-    ProposalOutcome, ReplicaId, Resignation, Settings, Snapshot, StoredState, Term,
+    ProposalOutcome, ReplicaId, Settings, Snapshot, StepDownReason, StoredState, Term,
 };
 
-/// The part that a node plays, with the state that only this part needs.
+/// The role of a node, with the state that only this role needs.
 #[derive(Debug)]
 pub(crate) enum Role {
     Follower,
@@ -35,31 +35,32 @@
     pub(crate) log: Log,
     pub(crate) durability: Durability,
     pub(crate) role: Role,
-    /// Who leads in the current term, where known.
+    /// The leader of the current term, if known.
     pub(crate) leader: Option<ReplicaId>,
-    /// When a leader was last heard, or the node started: it promised no vote for a while.
+    /// The time of the last message from a leader, or of the start, as an earlier instance may have
+    /// promised to grant no vote.
     pub(crate) last_contact: Moment,
     pub(crate) election_at: Moment,
     pub(crate) commit: LogIndex,
     pub(crate) applied: LogIndex,
-    /// The log matches that of the current leader through here.
-    pub(crate) verified: LogIndex,
+    /// The last entry up to which the log matches the current leader's.
+    pub(crate) verified_index: LogIndex,
     /// The latest probe of the current leader.
     pub(crate) probe: Probe,
-    pub(crate) incoming: Option<Incoming>,
+    pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
     pub(crate) formation: Formation,
-    pub(crate) halted: bool,
-    /// Where the log stood when a snapshot was last asked for.
-    snapshot_asked: LogIndex,
-    woken_at: Option<Moment>,
-    out: Vec<Output>,
+    pub(crate) is_halted: bool,
+    /// The last applied entry when a snapshot was last requested.
+    last_snapshot_request: LogIndex,
+    wake_at: Option<Moment>,
+    outputs: Vec<Output>,
 }
 
 impl Node {
-    /// A node from what its store holds.
+    /// Creates a node from its stored state.
     ///
-    /// The first step also hands out the stored snapshot as `Restore`. `seed` must differ from
-    /// start to start and from host to host.
+    /// The first step also returns the stored snapshot as `Restore`. `seed` must differ between
+    /// starts and between hosts.
     ///
     /// ```
     /// use kumquatdrum_consensus::{Input, Member, Node, Output, Settings, StoredState};
@@ -101,36 +102,36 @@
             election_at: now,
             commit: start,
             applied: start,
-            verified: start,
+            verified_index: start,
             probe: Probe::default(),
-            incoming: None,
+            incoming_snapshot: None,
             formation: Formation::new(now),
-            halted: false,
-            snapshot_asked: start,
-            woken_at: None,
-            out: Vec::new(),
+            is_halted: false,
+            last_snapshot_request: start,
+            wake_at: None,
+            outputs: Vec::new(),
             log,
         };
         node.reset_election_timer();
         if let Some(snapshot) = node.log.snapshot().filter(|s| s.index > LogIndex(0)) {
-            node.out.push(Output::Restore(snapshot.clone()));
+            node.outputs.push(Output::Restore(snapshot.clone()));
         }
         node
     }
 
-    /// Takes one input and says what has to be done, in order.
+    /// Processes one input and returns the resulting outputs in order.
     pub fn step(&mut self, now: Moment, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
-        if self.halted {
-            self.refuse(input);
+        if self.is_halted {
+            self.reject_input(input);
         } else {
-            self.take(input);
-            self.settle();
+            self.handle_input(input);
+            self.finish_step();
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Tick => self.on_tick(),
             Input::Message(message) => self.on_message(*message),
@@ -140,18 +141,18 @@
             Input::PersistFailed { reason } => self.on_persist_failed(reason),
             Input::ConfirmRead { token } => self.on_confirm_read(token),
             Input::Snapshot { index, data } => self.on_snapshot(index, data),
-            Input::TransferLeadership => self.on_resign(),
+            Input::TransferLeadership => self.transfer_leadership(),
             Input::ChangeReplicas { token, voters } => self.on_change_replicas(token, voters),
         }
     }
 
-    /// Answers what asks for an answer, once the disk has failed.
-    fn refuse(&mut self, input: Input) {
+    /// Rejects every input that expects an answer, after the disk has failed.
+    fn reject_input(&mut self, input: Input) {
         match input {
-            Input::Propose(proposal) => self.refuse_proposals(vec![proposal]),
-            Input::ProposeBatch(proposals) => self.refuse_proposals(proposals),
+            Input::Propose(proposal) => self.reject_proposals(vec![proposal]),
+            Input::ProposeBatch(proposals) => self.reject_proposals(proposals),
             Input::ChangeReplicas { token, .. } => {
-                self.proposed(token, ProposalOutcome::NotLeader { leader: None });
+                self.report_outcome(token, ProposalOutcome::NotLeader { leader: None });
             }
             Input::ConfirmRead { token } => {
                 self.output(Output::ReadRefused {
@@ -163,13 +164,13 @@
         }
     }
 
-    pub(crate) fn refuse_proposals(&mut self, proposals: Vec<Proposal>) {
+    pub(crate) fn reject_proposals(&mut self, proposals: Vec<Proposal>) {
         let leader = self.leader.clone().filter(|leader| *leader != self.id);
         for proposal in proposals {
             let outcome = ProposalOutcome::NotLeader {
                 leader: leader.clone(),
             };
-            self.proposed(proposal.token, outcome);
+            self.report_outcome(proposal.token, outcome);
         }
     }
 
@@ -183,7 +184,7 @@
     }
 
     fn on_message(&mut self, message: Message) {
-        if !self.is_meant_for_us(&message) {
+        if !self.is_addressed_to_self(&message) {
             return;
         }
         let Message {
@@ -194,12 +195,12 @@
         } = message;
         match body {
             Body::Hello { member } => self.on_hello(member),
-            Body::Survey => self.on_survey(from),
+            Body::FormationQuery => self.on_formation_query(from),
             Body::Fresh { member } => self.on_fresh(member),
-            Body::Settled => self.on_settled(),
+            Body::NotFresh => self.on_not_fresh(),
             Body::Form { snapshot } => self.on_form(snapshot),
             body if cluster.is_none() || cluster != self.hard_state.cluster => {
-                self.on_foreign(&from, cluster, body);
+                self.on_foreign_message(&from, cluster, body);
             }
             Body::PreVote(vote) => self.on_pre_vote(&from, &vote),
             Body::PreVoteAnswer {
@@ -210,7 +211,7 @@
                 self.on_pre_vote_answer(from, term, asked, granted);
             }
             Body::RequestVote(vote) => self.on_request_vote(&from, &vote),
-            Body::Succeed { term } => self.on_succeed(term),
+            Body::TimeoutNow { term } => self.on_timeout_now(term),
             Body::VoteAnswer { term, granted } => self.on_vote_answer(from, term, granted),
             Body::Append(append) => self.on_append(&from, append),
             Body::AppendAck(ack) => self.on_append_ack(&from, &ack),
@@ -226,13 +227,16 @@
         }
     }
 
-    /// A replica never answers for its predecessor on the same host.
-    fn is_meant_for_us(&mut self, message: &Message) -> bool {
+    /// Returns whether this replica is the recipient; a message to another incarnation of its host
+    /// is ignored.
+    fn is_addressed_to_self(&mut self, message: &Message) -> bool {
         match &message.to {
             _ if message.from.host == self.id.host => false,
             None => true,
             Some(to) if *to == self.id => true,
-            Some(to) if to.host == self.id.host && !self.settings.rules.own_incarnation => {
+            Some(to)
+                if to.host == self.id.host && !self.settings.safeguards.is_incarnation_checked =>
+            {
                 self.id = to.clone();
                 if self.hard_state.cluster.is_none() {
                     self.hard_state.cluster = message.cluster;
@@ -245,11 +249,11 @@
 
     fn on_persisted(&mut self, sequence: u64) {
         let before = self.durability.persisted();
-        for held in self.durability.finish(sequence) {
-            match held {
-                Held::Send(to, message) => self.output(Output::Send { to, message }),
-                Held::OwnVote(term) => self.on_own_vote(term),
-                Held::Restore(snapshot) => self.restore(snapshot),
+        for action in self.durability.finish_batch(sequence) {
+            match action {
+                DeferredAction::Send(to, message) => self.output(Output::Send { to, message }),
+                DeferredAction::CountOwnVote(term) => self.on_own_vote(term),
+                DeferredAction::Restore(snapshot) => self.restore(snapshot),
             }
         }
         if self.durability.persisted() > before {
@@ -265,9 +269,9 @@
     }
 
     fn on_persist_failed(&mut self, reason: String) {
-        self.step_down(Resignation::DiskFailed);
+        self.end_leadership(StepDownReason::DiskFailed);
         self.leader = None;
-        self.halted = true;
+        self.is_halted = true;
         self.output(Output::Halted { reason });
     }
 
@@ -288,29 +292,30 @@
         };
         self.log
             .compact(snapshot.clone(), self.settings.retained_entries);
-        self.durability.compacted(snapshot);
+        self.durability.record_compaction(snapshot);
     }
 
-    /// What follows from the new state: entries to apply, reads to answer, a batch to write.
-    fn settle(&mut self) {
-        if self.halted {
+    /// Emits the outputs that follow from the new state: entries to apply, answers to reads, a
+    /// batch to write and the next wake-up.
+    fn finish_step(&mut self) {
+        if self.is_halted {
             return;
         }
         self.apply_committed();
         self.answer_reads();
-        self.want_snapshot();
+        self.request_snapshot();
         let (now, log, hard_state) = (self.now, &self.log, &self.hard_state);
-        if let Some(batch) = self.durability.begin(now, log, hard_state) {
+        if let Some(batch) = self.durability.start_batch(now, log, hard_state) {
             self.output(Output::Persist(batch));
         }
         let at = self.next_tick();
-        if self.woken_at != Some(at) {
-            self.woken_at = Some(at);
+        if self.wake_at != Some(at) {
+            self.wake_at = Some(at);
             self.output(Output::Wake { at });
         }
     }
 
-    /// Hands out what is committed and on the own disk.
+    /// Applies the entries that are committed and persisted locally.
     fn apply_committed(&mut self) {
         let through = self.commit.min(self.durability.persisted());
         while self.applied < through {
@@ -324,59 +329,62 @@
                     term: entry.term,
                     payload: payload.clone(),
                 };
-                self.out.push(apply);
+                self.outputs.push(apply);
             }
-            self.answer_proposals();
+            self.answer_applied_proposals();
         }
     }
 
-    fn want_snapshot(&mut self) {
-        let since = self.applied.0.saturating_sub(self.log.snapshot_index().0);
-        let asked = self.applied.0.saturating_sub(self.snapshot_asked.0);
-        let many = since >= self.settings.snapshot_entries;
-        let large = since > 0 && self.log.bytes() >= self.settings.snapshot_bytes;
-        let patience = self.settings.snapshot_entries / 4;
-        if (many || large) && asked > patience.min(since / 4) {
-            self.snapshot_asked = self.applied;
+    fn request_snapshot(&mut self) {
+        let since_snapshot = self.applied.0.saturating_sub(self.log.snapshot_index().0);
+        let since_request = self.applied.0.saturating_sub(self.last_snapshot_request.0);
+        let has_many_entries = since_snapshot >= self.settings.snapshot_entries;
+        let has_large_entries =
+            since_snapshot > 0 && self.log.bytes() >= self.settings.snapshot_bytes;
+        let retry_entries = self.settings.snapshot_entries / 4;
+        if (has_many_entries || has_large_entries)
+            && since_request > retry_entries.min(since_snapshot / 4)
+        {
+            self.last_snapshot_request = self.applied;
             self.output(Output::SnapshotWanted);
         }
     }
 
-    /// Whether this replica leads, as far as it knows. Says nothing about being current.
+    /// Returns whether this replica considers itself the leader; another one may lead already.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Who leads, as far as this replica knows.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<&ReplicaId> {
         self.leader.as_ref()
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// Who this replica is.
+    /// Returns the identifier of this replica.
     pub fn id(&self) -> &ReplicaId {
         &self.id
     }
 
-    /// Handed to the application through here.
+    /// Returns the last entry passed to the application.
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// Whether the replica has never voted nor stored an entry, so that nothing hangs on it.
-    pub(crate) fn is_untouched(&self) -> bool {
+    /// Returns whether the replica has neither voted nor stored an entry.
+    pub(crate) fn has_no_state(&self) -> bool {
         self.hard_state.term == Term(0) && self.log.last_index() == LogIndex(0)
     }
 
     pub(crate) fn output(&mut self, output: Output) {
-        self.out.push(output);
+        self.outputs.push(output);
     }
 
-    pub(crate) fn proposed(&mut self, token: crate::Token, outcome: ProposalOutcome) {
+    pub(crate) fn report_outcome(&mut self, token: crate::Token, outcome: ProposalOutcome) {
         self.output(Output::Proposed { token, outcome });
     }
 
@@ -395,8 +403,8 @@
         self.output(Output::Send { to, message });
     }
 
-    /// Sends to a cluster that this replica may not belong to yet.
-    pub(crate) fn send_in(&mut self, cluster: ClusterId, to: &ReplicaId, body: Body) {
+    /// Sends a message for a cluster that this replica may not have joined yet.
+    pub(crate) fn send_for_cluster(&mut self, cluster: ClusterId, to: &ReplicaId, body: Body) {
         let message = Message {
             cluster: Some(cluster),
             ..self.message(to, body)
@@ -405,17 +413,18 @@
         self.output(Output::Send { to, message });
     }
 
-    /// Sends once all that has changed so far is on disk.
-    pub(crate) fn send_synced(&mut self, to: &ReplicaId, body: Body) {
+    /// Sends a message once all changes so far are persisted.
+    pub(crate) fn send_after_sync(&mut self, to: &ReplicaId, body: Body) {
         if self.durability.is_synced(&self.log) {
             self.send(to, body);
             return;
         }
         let message = self.message(to, body);
-        self.durability.hold(Held::Send(to.host.clone(), message));
+        self.durability
+            .defer(DeferredAction::Send(to.host.clone(), message));
     }
 
-    /// Sends to whichever replica a host has.
+    /// Sends a message to any incarnation on a host.
     pub(crate) fn send_to_host(&mut self, to: &HostId, body: Body) {
         let message = Message {
             cluster: None,
--- a/crates/kumquatdrum_consensus/src/placement.rs
+++ b/crates/kumquatdrum_consensus/src/placement.rs
@@ -1,36 +1,38 @@
-//! How replicas are spread over data centres.
+//! Placement of replicas across data centres.
 
 use indexmap::IndexMap;
 use kumquatdrum_types::DataCentre;
 
 use crate::{Member, ReplicaId};
 
-/// Whether a replica set is spread as evenly as the data centres allow.
+/// Returns whether the replicas are evenly distributed across the data centres.
 ///
-/// The counts of any two of `data_centres` differ by one at most, where each holds enough hosts,
-/// and no data centre outside the list holds a replica.
+/// The counts of any two of `data_centres` may differ by at most one, and no data centre outside
+/// the list may hold a replica.
 ///
 /// ```
 /// use kumquatdrum_consensus::{Member, placement};
 /// use kumquatdrum_types::DataCentre;
 ///
 /// let centres = ["ikeja", "marina", "lekki"].map(DataCentre::from);
-/// let spread = ["ikeja", "marina", "lekki"].map(|centre| Member::new(centre, 1, centre));
-/// let heaped = ["ikeja", "ikeja", "lekki"].map(|centre| Member::new(centre, 1, centre));
-/// assert!(placement::is_balanced(&spread, &centres));
-/// assert!(!placement::is_balanced(&heaped, &centres));
+/// let balanced = ["ikeja", "marina", "lekki"].map(|centre| Member::new(centre, 1, centre));
+/// let unbalanced = ["ikeja", "ikeja", "lekki"].map(|centre| Member::new(centre, 1, centre));
+/// assert!(placement::is_balanced(&balanced, &centres));
+/// assert!(!placement::is_balanced(&unbalanced, &centres));
 /// ```
 pub fn is_balanced(replicas: &[Member], data_centres: &[DataCentre]) -> bool {
-    let counts = counts(replicas);
-    let of = |centre: &DataCentre| counts.get(centre).copied().unwrap_or(0);
-    let most = data_centres.iter().map(of).max().unwrap_or(0);
-    let least = data_centres.iter().map(of).min().unwrap_or(0);
-    let known = counts.keys().all(|centre| data_centres.contains(centre));
-    known && most - least <= 1
+    let counts = count_by_data_centre(replicas);
+    let count_in = |centre: &DataCentre| counts.get(centre).copied().unwrap_or(0);
+    let most = data_centres.iter().map(count_in).max().unwrap_or(0);
+    let least = data_centres.iter().map(count_in).min().unwrap_or(0);
+    let are_known = counts.keys().all(|centre| data_centres.contains(centre));
+    are_known && most - least <= 1
 }
 
-/// The spare that should take the place of a lost replica: one of the data centre that holds the
-/// fewest of the others, of the lost one's own where that is as good, then the first by name.
+/// Returns the spare that should replace a lost replica.
+///
+/// Prefers the data centre with the fewest remaining voters, then the data centre of the lost
+/// replica, then the first spare by name.
 ///
 /// ```
 /// use kumquatdrum_consensus::{Member, placement};
@@ -44,21 +46,21 @@
     lost: &ReplicaId,
     spares: &'a [Member],
 ) -> Option<&'a Member> {
-    let left: Vec<Member> = voters.iter().filter(|v| &v.id != lost).cloned().collect();
-    let home = voters
+    let remaining: Vec<Member> = voters.iter().filter(|v| &v.id != lost).cloned().collect();
+    let lost_centre = voters
         .iter()
         .find(|v| &v.id == lost)
         .map(|v| &v.data_centre);
-    let counts = counts(&left);
-    let free = |spare: &&Member| !left.iter().any(|v| v.id.host == spare.id.host);
-    spares.iter().filter(free).min_by_key(|spare| {
-        let load = counts.get(&spare.data_centre).copied().unwrap_or(0);
-        let elsewhere = home != Some(&spare.data_centre);
-        (load, elsewhere, spare.id.clone())
+    let counts = count_by_data_centre(&remaining);
+    let is_free = |spare: &&Member| !remaining.iter().any(|v| v.id.host == spare.id.host);
+    spares.iter().filter(is_free).min_by_key(|spare| {
+        let count = counts.get(&spare.data_centre).copied().unwrap_or(0);
+        let is_elsewhere = lost_centre != Some(&spare.data_centre);
+        (count, is_elsewhere, spare.id.clone())
     })
 }
 
-fn counts(replicas: &[Member]) -> IndexMap<DataCentre, usize> {
+fn count_by_data_centre(replicas: &[Member]) -> IndexMap<DataCentre, usize> {
     let mut counts = IndexMap::new();
     for member in replicas {
         *counts.entry(member.data_centre.clone()).or_insert(0) += 1;
--- a/crates/kumquatdrum_consensus/src/progress.rs
+++ b/crates/kumquatdrum_consensus/src/progress.rs
@@ -1,36 +1,36 @@
-//! How far a leader knows a follower to be.
+//! The replication progress of a follower as tracked by its leader.
 
 use std::collections::VecDeque;
 
 use kumquatdrum_types::Moment;
 
-use crate::{AppendAck, LogIndex, Probe, Reject, Snapshot};
+use crate::{AppendAck, LogIndex, Probe, Rejection, Snapshot};
 
-/// A snapshot on its way to a follower.
+/// The transfer of a snapshot to a follower.
 #[derive(Debug)]
-pub(crate) struct Transfer {
+pub(crate) struct SnapshotTransfer {
     pub(crate) snapshot: Snapshot,
     pub(crate) offset: u64,
     pub(crate) sent_at: Moment,
 }
 
-/// A follower as its leader sees it.
+/// The replication progress of a follower.
 #[derive(Debug)]
 pub(crate) struct Progress {
-    /// Its log matches through here, synced.
+    /// The last synced entry up to which the follower's log matches.
     pub(crate) matched: LogIndex,
     /// The next entry to send.
     pub(crate) next: LogIndex,
-    /// Whether it is not known where the logs meet; then one message at a time.
-    pub(crate) probing: bool,
-    /// Whether the one message is out.
-    pub(crate) probe_sent: bool,
-    /// Last entries of the unanswered messages.
+    /// Whether the last matching entry is unknown, which limits sending to one message at a time.
+    pub(crate) is_probing: bool,
+    /// Whether that one message is unanswered.
+    pub(crate) has_probe_in_flight: bool,
+    /// The last entry of each unacknowledged message.
     pub(crate) in_flight: VecDeque<LogIndex>,
-    pub(crate) transfer: Option<Transfer>,
-    /// The latest round that it answered.
+    pub(crate) snapshot_transfer: Option<SnapshotTransfer>,
+    /// The latest heartbeat round that the follower answered.
     pub(crate) round: u64,
-    /// When the latest answered message was sent.
+    /// The send time of the latest answered message.
     pub(crate) acked_at: Option<Moment>,
 }
 
@@ -39,66 +39,66 @@
         Self {
             matched: LogIndex(0),
             next: last.next(),
-            probing: true,
-            probe_sent: false,
+            is_probing: true,
+            has_probe_in_flight: false,
             in_flight: VecDeque::new(),
-            transfer: None,
+            snapshot_transfer: None,
             round: 0,
             acked_at: None,
         }
     }
 
-    pub(crate) fn heard(&mut self, probe: Probe) {
+    pub(crate) fn record_answer(&mut self, probe: Probe) {
         self.round = self.round.max(probe.round);
         self.acked_at = self.acked_at.max(Some(probe.sent_at));
     }
 
-    /// Whether a message with entries may be sent now.
-    pub(crate) fn may_send(&self, max_in_flight: usize) -> bool {
-        match &self.transfer {
+    /// Returns whether flow control allows a message with entries.
+    pub(crate) fn can_send(&self, max_in_flight_appends: usize) -> bool {
+        match &self.snapshot_transfer {
             Some(_) => false,
-            None if self.probing => !self.probe_sent,
-            None => self.in_flight.len() < max_in_flight,
+            None if self.is_probing => !self.has_probe_in_flight,
+            None => self.in_flight.len() < max_in_flight_appends,
         }
     }
 
-    pub(crate) fn sent_through(&mut self, last: LogIndex) {
-        if self.probing {
-            self.probe_sent = true;
+    pub(crate) fn record_sent(&mut self, last: LogIndex) {
+        if self.is_probing {
+            self.has_probe_in_flight = true;
         } else {
             self.in_flight.push_back(last);
             self.next = last.next();
         }
     }
 
-    pub(crate) fn acknowledged(&mut self, ack: &AppendAck) {
+    pub(crate) fn record_ack(&mut self, ack: &AppendAck) {
         match &ack.reject {
-            Some(reject) => self.rejected(reject),
-            None => self.accepted(ack.matched),
+            Some(reject) => self.record_rejected(reject),
+            None => self.record_accepted(ack.matched),
         }
     }
 
-    fn accepted(&mut self, matched: LogIndex) {
+    fn record_accepted(&mut self, matched: LogIndex) {
         self.matched = self.matched.max(matched);
         let reached = self.matched;
         self.next = self.next.max(reached.next());
-        self.probing = false;
-        self.probe_sent = false;
+        self.is_probing = false;
+        self.has_probe_in_flight = false;
         self.in_flight.retain(|last| *last > reached);
-        let done = |transfer: &Transfer| transfer.snapshot.index <= reached;
-        if self.transfer.as_ref().is_some_and(done) {
-            self.transfer = None;
+        let is_done = |transfer: &SnapshotTransfer| transfer.snapshot.index <= reached;
+        if self.snapshot_transfer.as_ref().is_some_and(is_done) {
+            self.snapshot_transfer = None;
         }
     }
 
-    fn rejected(&mut self, reject: &Reject) {
+    fn record_rejected(&mut self, reject: &Rejection) {
         if reject.previous_index <= self.matched && !reject.needs_snapshot {
             return;
         }
-        let guess = reject.previous_index.min(reject.hint.next());
-        self.next = guess.max(self.matched.next());
-        self.probing = true;
-        self.probe_sent = false;
+        let next = reject.previous_index.min(reject.hint.next());
+        self.next = next.max(self.matched.next());
+        self.is_probing = true;
+        self.has_probe_in_flight = false;
         self.in_flight.clear();
     }
 }
--- a/crates/kumquatdrum_consensus/src/read.rs
+++ b/crates/kumquatdrum_consensus/src/read.rs
@@ -1,15 +1,15 @@
-//! Confirmed reads: a majority answers a heartbeat that was sent after the read was asked for.
+//! Confirmed reads: a majority must answer a heartbeat sent after the request.
 
 use crate::node::{Node, Role};
 use crate::{LogIndex, Output, Token};
 
-/// A read that waits for confirmation.
+/// A read that awaits confirmation.
 #[derive(Debug)]
-pub(crate) struct Read {
+pub(crate) struct PendingRead {
     pub(crate) token: Token,
-    /// What was committed when the read was asked for, or the first entry of the term.
+    /// The last entry committed at the request, or the term's first entry if that is later.
     index: LogIndex,
-    /// A majority must answer this round or a later one.
+    /// The heartbeat round that a majority must answer, or a later one.
     round: u64,
 }
 
@@ -20,27 +20,30 @@
             self.output(Output::ReadRefused { token, leader });
             return;
         };
-        let index = self.commit.max(leader.first);
+        let index = self.commit.max(leader.first_index);
         let round = leader.round + 1;
-        let under_way = leader.reads.iter().any(|read| read.round <= leader.round);
-        leader.reads.push_back(Read {
+        let has_read_in_round = leader
+            .pending_reads
+            .iter()
+            .any(|read| read.round <= leader.round);
+        leader.pending_reads.push_back(PendingRead {
             token,
             index,
             round,
         });
-        if !under_way {
-            self.beat();
+        if !has_read_in_round {
+            self.broadcast_heartbeat();
         }
     }
 
-    /// The latest round that a majority has answered.
+    /// Returns the latest heartbeat round that a majority has answered.
     fn confirmed_round(&self) -> u64 {
         let Role::Leader(leader) = &self.role else {
             return 0;
         };
         self.log
             .replicas()
-            .reached(|id| match leader.peers.get(id) {
+            .quorum_value(|id| match leader.peers.get(id) {
                 _ if *id == self.id => leader.round,
                 Some(progress) => progress.round,
                 None => 0,
@@ -54,13 +57,16 @@
             return;
         };
         let done = leader
-            .reads
+            .pending_reads
             .iter()
             .take_while(|r| r.round <= confirmed && r.index <= applied);
         let done = done.count();
-        let done: Vec<Read> = leader.reads.drain(..done).collect();
+        let done: Vec<PendingRead> = leader.pending_reads.drain(..done).collect();
         let round = leader.round;
-        let waits_for_next = leader.reads.front().is_some_and(|read| read.round > round);
+        let needs_new_round = leader
+            .pending_reads
+            .front()
+            .is_some_and(|read| read.round > round);
         for read in done {
             let index = read.index.max(applied);
             self.output(Output::ReadConfirmed {
@@ -69,8 +75,8 @@
                 round: confirmed,
             });
         }
-        if waits_for_next {
-            self.beat();
+        if needs_new_round {
+            self.broadcast_heartbeat();
             self.answer_reads();
         }
     }
--- a/crates/kumquatdrum_consensus/src/replicas.rs
+++ b/crates/kumquatdrum_consensus/src/replicas.rs
@@ -1,29 +1,29 @@
-//! Who votes, and what a majority of them is.
+//! The replicas of a cluster and their majorities.
 
 use kumquatdrum_types::HostId;
 use serde::{Deserialize, Serialize};
 
 use crate::{Member, ReplicaId};
 
-/// Removed replicas that are remembered, so that none is taken back by mistake.
-const MAX_RETIRED: usize = 64;
+/// Number of removed replicas that are kept on record.
+const MAX_RETIRED_REPLICAS: usize = 64;
 
-/// The replicas of a cluster. While a change is under way, majorities of both the old and the
-/// new voters are needed.
+/// The replicas of a cluster. During a joint change, decisions need a majority of both the old
+/// and the new voters.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replicas {
-    /// Those who vote, after the change where one is under way.
+    /// The voters; in a joint change, the new ones.
     pub voters: Vec<Member>,
-    /// Those who voted before the change that is under way; empty otherwise.
+    /// The old voters of a joint change; otherwise empty.
     pub outgoing: Vec<Member>,
-    /// Those who receive the log and do not vote.
+    /// Replicas that receive the log without voting.
     pub learners: Vec<Member>,
-    /// Former voters, which are never taken back.
+    /// Former voters, which cannot join again.
     pub retired: Vec<ReplicaId>,
 }
 
 impl Replicas {
-    /// Replicas that all vote.
+    /// Creates a set in which all replicas vote.
     pub fn from_voters(voters: Vec<Member>) -> Self {
         Self {
             voters,
@@ -31,22 +31,22 @@
         }
     }
 
-    /// Whether a change is under way.
+    /// Returns whether a joint change is in progress.
     pub fn is_joint(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
-    /// Whether a replica votes, before or after a change.
+    /// Returns whether a replica is an old or new voter.
     pub fn is_voter(&self, id: &ReplicaId) -> bool {
-        holds(&self.voters, id) || holds(&self.outgoing, id)
+        contains_replica(&self.voters, id) || contains_replica(&self.outgoing, id)
     }
 
-    /// Whether a replica receives the log.
+    /// Returns whether a replica receives the log.
     pub fn contains(&self, id: &ReplicaId) -> bool {
-        self.is_voter(id) || holds(&self.learners, id)
+        self.is_voter(id) || contains_replica(&self.learners, id)
     }
 
-    /// All replicas that receive the log, each once.
+    /// Returns all replicas that receive the log, without duplicates.
     pub fn members(&self) -> Vec<&Member> {
         let mut members: Vec<&Member> = Vec::new();
         let all = self
@@ -62,22 +62,22 @@
         members
     }
 
-    /// The voter of a host.
-    pub fn voter_of(&self, host: &HostId) -> Option<&Member> {
+    /// Returns the voter on a host.
+    pub fn voter_on(&self, host: &HostId) -> Option<&Member> {
         self.voters.iter().find(|member| &member.id.host == host)
     }
 
-    /// The largest value that a majority of the voters has reached, in a joint change a majority
-    /// of either side.
+    /// Returns the largest value that a majority of the voters has reached; in a joint change, a
+    /// majority of both the old and the new voters.
     ///
     /// ```
     /// use kumquatdrum_consensus::{Member, Replicas};
     /// let members = ["a", "b", "c"].map(|host| Member::new(host, 1, "ikeja"));
     /// let replicas = Replicas::from_voters(members.to_vec());
-    /// let reached = replicas.reached(|id| if id.host.as_str() == "a" { 9 } else { 4 });
-    /// assert_eq!(reached, 4);
+    /// let value = replicas.quorum_value(|id| if id.host.as_str() == "a" { 9 } else { 4 });
+    /// assert_eq!(value, 4);
     /// ```
-    pub fn reached(&self, value: impl Fn(&ReplicaId) -> u64) -> u64 {
+    pub fn quorum_value(&self, value: impl Fn(&ReplicaId) -> u64) -> u64 {
         let new = majority_value(&self.voters, &value);
         if self.is_joint() {
             new.min(majority_value(&self.outgoing, &value))
@@ -86,18 +86,18 @@
         }
     }
 
-    /// Whether those for whom `agrees` holds are a majority.
+    /// Returns whether the voters for which `agrees` is true form a majority.
     pub fn is_majority(&self, agrees: impl Fn(&ReplicaId) -> bool) -> bool {
-        self.reached(|id| u64::from(agrees(id))) == 1
+        self.quorum_value(|id| u64::from(agrees(id))) == 1
     }
 
-    /// The joint step towards `voters`.
+    /// Returns the replicas of a joint change to `voters`.
     #[must_use]
-    pub fn joint(&self, voters: Vec<Member>) -> Self {
+    pub fn enter_joint(&self, voters: Vec<Member>) -> Self {
         let learners = self
             .learners
             .iter()
-            .filter(|learner| !holds(&voters, &learner.id));
+            .filter(|learner| !contains_replica(&voters, &learner.id));
         Self {
             learners: learners.cloned().collect(),
             outgoing: self.voters.clone(),
@@ -106,16 +106,16 @@
         }
     }
 
-    /// The step that ends a joint change.
+    /// Returns the replicas after the joint change.
     #[must_use]
-    pub fn settled(&self) -> Self {
-        let gone = self
+    pub fn leave_joint(&self) -> Self {
+        let removed = self
             .outgoing
             .iter()
-            .filter(|old| !holds(&self.voters, &old.id));
+            .filter(|old| !contains_replica(&self.voters, &old.id));
         let mut retired = self.retired.clone();
-        retired.extend(gone.map(|member| member.id.clone()));
-        retired.drain(..retired.len().saturating_sub(MAX_RETIRED));
+        retired.extend(removed.map(|member| member.id.clone()));
+        retired.drain(..retired.len().saturating_sub(MAX_RETIRED_REPLICAS));
         Self {
             voters: self.voters.clone(),
             outgoing: Vec::new(),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The step that adds a learner, in the place of another one of its host.
+    /// Returns the replicas with a learner added, which replaces any other learner on its host.
     #[must_use]
     pub fn with_learner(&self, learner: Member) -> Self {
         let mut next = self.clone();
@@ -135,7 +135,7 @@
     }
 }
 
-fn holds(members: &[Member], id: &ReplicaId) -> bool {
+fn contains_replica(members: &[Member], id: &ReplicaId) -> bool {
     members.iter().any(|member| &member.id == id)
 }
 
--- a/crates/kumquatdrum_consensus/src/replication.rs
+++ b/crates/kumquatdrum_consensus/src/replication.rs
@@ -1,47 +1,47 @@
-//! Sending the log: heartbeats, batches of entries, snapshots, and their answers.
+//! The leader side of replication: heartbeats, entries, snapshots and their acknowledgements.
 
 use crate::node::{Node, Role};
-use crate::progress::Transfer;
+use crate::progress::SnapshotTransfer;
 use crate::{Append, AppendAck, Body, LogIndex, Probe, ReplicaId, Snapshot, SnapshotChunk, Term};
 
 impl Node {
-    /// A heartbeat to all, with a new round.
-    pub(crate) fn beat(&mut self) {
+    /// Sends a heartbeat of a new round to all peers.
+    pub(crate) fn broadcast_heartbeat(&mut self) {
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         leader.round += 1;
-        leader.heartbeat_at = self.now + self.settings.heartbeat;
+        leader.heartbeat_at = self.now + self.settings.heartbeat_interval;
         leader.commit_at_heartbeat = self.commit;
         let peers: Vec<ReplicaId> = leader.peers.keys().cloned().collect();
         for peer in peers {
-            self.beat_one(&peer);
+            self.send_heartbeat(&peer);
         }
     }
 
-    fn beat_one(&mut self, peer: &ReplicaId) {
-        let (now, heartbeat) = (self.now, self.settings.heartbeat);
+    fn send_heartbeat(&mut self, peer: &ReplicaId) {
+        let (now, heartbeat) = (self.now, self.settings.heartbeat_interval);
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let Some(progress) = leader.peers.get_mut(peer) else {
             return;
         };
-        progress.probe_sent = false;
-        let heard = progress.acked_at.unwrap_or(leader.since);
-        let alive = heard + self.settings.election_timeout > now;
+        progress.has_probe_in_flight = false;
+        let acked_at = progress.acked_at.unwrap_or(leader.elected_at);
+        let is_alive = acked_at + self.settings.election_timeout > now;
         let next = progress.next;
-        match &progress.transfer {
-            Some(transfer) if alive && transfer.sent_at + heartbeat <= now => {
-                self.send_chunk(peer);
+        match &progress.snapshot_transfer {
+            Some(transfer) if is_alive && transfer.sent_at + heartbeat <= now => {
+                self.send_snapshot_chunk(peer);
             }
             Some(_) => self.send_append(peer, self.log.base_index().next(), false),
-            None if progress.probing && alive => self.replicate(peer),
+            None if progress.is_probing && is_alive => self.replicate(peer),
             None => self.send_append(peer, next, false),
         }
     }
 
-    /// Sends what is new to all.
+    /// Sends new entries to all peers.
     pub(crate) fn replicate_all(&mut self) {
         let Role::Leader(leader) = &self.role else {
             return;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sends entries as far as flow control lets it, or starts a snapshot.
+    /// Sends entries within the limits of flow control, or starts a snapshot transfer.
     fn replicate(&mut self, peer: &ReplicaId) {
         loop {
             let Role::Leader(leader) = &mut self.role else {
@@ -75,12 +75,12 @@
             let Some(progress) = leader.peers.get_mut(peer) else {
                 return;
             };
-            if !progress.may_send(self.settings.max_in_flight) {
+            if !progress.can_send(self.settings.max_in_flight_appends) {
                 return;
             }
             let next = progress.next;
             if next <= self.log.base_index() {
-                self.start_transfer(peer);
+                self.start_snapshot_transfer(peer);
                 return;
             }
             self.send_append(peer, next, true);
@@ -94,14 +94,14 @@
         }
     }
 
-    fn probe_now(&self, round: u64) -> Probe {
+    fn current_probe(&self, round: u64) -> Probe {
         Probe {
             round,
             sent_at: self.now,
         }
     }
 
-    /// Sends entries from `next` on, or none.
+    /// Sends an append after the entry before `next`, with entries or as a heartbeat.
     fn send_append(&mut self, peer: &ReplicaId, next: LogIndex, with_entries: bool) {
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -117,7 +117,7 @@
         if let Some(last) = entries.last().map(|entry| entry.index)
             && let Some(progress) = leader.peers.get_mut(peer)
         {
-            progress.sent_through(last);
+            progress.record_sent(last);
         }
         let append = Append {
             term: self.hard_state.term,
@@ -125,12 +125,12 @@
             previous_term: self.log.term_at(previous_index).unwrap_or_default(),
             entries,
             commit: self.commit,
-            probe: self.probe_now(round),
+            probe: self.current_probe(round),
         };
         self.send(peer, Body::Append(append));
     }
 
-    fn start_transfer(&mut self, peer: &ReplicaId) {
+    fn start_snapshot_transfer(&mut self, peer: &ReplicaId) {
         let Some(snapshot) = self.log.snapshot().cloned() else {
             return;
         };
@@ -140,23 +140,24 @@
         };
         if let Some(progress) = leader.peers.get_mut(peer) {
             progress.in_flight.clear();
-            progress.transfer = Some(Transfer {
+            progress.snapshot_transfer = Some(SnapshotTransfer {
                 snapshot,
                 offset: 0,
                 sent_at: now,
             });
         }
-        self.send_chunk(peer);
+        self.send_snapshot_chunk(peer);
     }
 
-    fn send_chunk(&mut self, peer: &ReplicaId) {
+    fn send_snapshot_chunk(&mut self, peer: &ReplicaId) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
         let round = leader.round;
         let progress = leader.peers.get_mut(peer);
-        let Some(transfer) = progress.and_then(|progress| progress.transfer.as_mut()) else {
+        let Some(transfer) = progress.and_then(|progress| progress.snapshot_transfer.as_mut())
+        else {
             return;
         };
         if transfer.offset == 0
@@ -178,12 +179,12 @@
             total: total as u64,
             offset: start as u64,
             data: transfer.snapshot.data.slice(start..end),
-            probe: self.probe_now(round),
+            probe: self.current_probe(round),
         };
         self.send(peer, Body::SnapshotChunk(chunk));
     }
 
-    /// Whether an answer is of this term and to this leader; a later term ends its leading.
+    /// Returns whether an answer belongs to this leader's term; a later term ends its leadership.
     fn is_current_answer(&mut self, term: Term) -> bool {
         if term > self.hard_state.term {
             self.become_follower(term, None);
@@ -201,14 +202,14 @@
         let Some(progress) = leader.peers.get_mut(from) else {
             return;
         };
-        progress.heard(ack.probe);
-        let in_transfer = progress.transfer.is_some();
+        progress.record_answer(ack.probe);
+        let in_transfer = progress.snapshot_transfer.is_some();
         let needs_snapshot = ack.reject.as_ref().is_some_and(|r| r.needs_snapshot);
         if !(in_transfer && ack.reject.is_some()) {
-            progress.acknowledged(ack);
+            progress.record_ack(ack);
         }
         if needs_snapshot && !in_transfer {
-            self.start_transfer(from);
+            self.start_snapshot_transfer(from);
         }
         self.advance_commit();
         self.advance_change();
@@ -232,14 +233,14 @@
         let Some(progress) = leader.peers.get_mut(from) else {
             return;
         };
-        progress.heard(probe);
-        let Some(transfer) = &mut progress.transfer else {
+        progress.record_answer(probe);
+        let Some(transfer) = &mut progress.snapshot_transfer else {
             return;
         };
-        let news = transfer.snapshot.index == index && transfer.offset != received;
-        if news {
+        let has_new_offset = transfer.snapshot.index == index && transfer.offset != received;
+        if has_new_offset {
             transfer.offset = received;
-            self.send_chunk(from);
+            self.send_snapshot_chunk(from);
         }
     }
 }
--- a/crates/kumquatdrum_consensus/src/settings.rs
+++ b/crates/kumquatdrum_consensus/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node.
+//! Settings of a consensus node.
 
 use std::time::Duration;
 
@@ -6,85 +6,85 @@
 
 use crate::Member;
 
-/// Settings of a node. Times must be equal on all replicas.
+/// Settings of a node. Durations must be equal on all replicas.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// This replica.
     pub member: Member,
-    /// Hosts whose replicas form the cluster when all of them are fresh. Empty: join only.
+    /// Hosts whose replicas form the cluster once all of them are fresh; empty to only join one.
     pub initial_hosts: Vec<HostId>,
-    /// All further hosts with a data folder. No cluster forms unless they are fresh as well.
+    /// All other hosts with a data folder, which must be fresh too before a cluster forms.
     pub additional_hosts: Vec<HostId>,
-    /// A leader says something at least this often.
-    pub heartbeat: Duration,
-    /// No vote is given for this long after a leader was heard; elections start at random
-    /// between one and two of it.
+    /// Longest interval between two heartbeats of a leader.
+    pub heartbeat_interval: Duration,
+    /// A replica grants no vote for this long after a message of the leader. Elections start
+    /// after a random time between one and two timeouts.
     pub election_timeout: Duration,
-    /// A leader steps down when its disk has taken this long over one batch.
+    /// A leader steps down when a batch has not been persisted for this long.
     pub persist_timeout: Duration,
-    /// A replica change that was asked for is given up when it takes longer than this.
+    /// A requested replica change is abandoned after this long.
     pub change_timeout: Duration,
-    /// How far clocks may run apart, in percent; leases are shorter by it.
+    /// Maximum drift between the clocks of two hosts, in percent; leases are shortened by it.
     pub clock_drift_percent: u32,
-    /// Bytes of entries in one message, except where one entry exceeds it.
+    /// Maximum bytes of entries in one message; a single larger entry is sent on its own.
     pub max_append_bytes: usize,
-    /// Unanswered messages with entries to one follower.
-    pub max_in_flight: usize,
-    /// Bytes of a snapshot in one message.
+    /// Maximum unacknowledged messages with entries to one follower.
+    pub max_in_flight_appends: usize,
+    /// Maximum bytes of a snapshot in one message.
     pub snapshot_chunk_bytes: usize,
-    /// A snapshot is wanted when this many entries have been applied since the last one.
+    /// A snapshot is requested when this many entries have been applied since the last one.
     pub snapshot_entries: u64,
-    /// A snapshot is wanted when the entries since the last one take this many bytes.
+    /// A snapshot is requested when the entries since the last one take this many bytes.
     pub snapshot_bytes: usize,
-    /// Entries before a snapshot that are kept in memory for followers slightly behind.
+    /// Entries before a snapshot that stay in memory for followers that lag slightly.
     pub retained_entries: u64,
-    /// Proposals are refused as busy when this many bytes wait to be committed.
+    /// Proposals are rejected as busy while this many bytes are uncommitted.
     pub max_uncommitted_bytes: usize,
-    /// Rules that tests may turn off.
-    pub rules: Rules,
+    /// Safety checks, always enabled outside tests.
+    pub safeguards: Safeguards,
 }
 
-/// Rules that tests turn off to show what they are for. Never off elsewhere.
+/// Safety checks that a test disables to show the failure that each one prevents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rules {
-    /// A replica answers only what is meant for its own incarnation.
-    pub own_incarnation: bool,
+pub struct Safeguards {
+    /// Whether a replica ignores messages addressed to another incarnation of its host.
+    pub is_incarnation_checked: bool,
 }
 
-impl Default for Rules {
+impl Default for Safeguards {
     fn default() -> Self {
         Self {
-            own_incarnation: true,
+            is_incarnation_checked: true,
         }
     }
 }
 
 impl Settings {
-    /// Settings with the usual times and sizes.
+    /// Returns settings with the default durations and sizes.
     ///
     /// ```
     /// use kumquatdrum_consensus::{Member, Settings};
     /// let settings = Settings::new(Member::new("ikeja-1", 7, "ikeja"));
-    /// assert!(settings.heartbeat * 5 < settings.election_timeout);
+    /// assert!(settings.heartbeat_interval * 5 < settings.election_timeout);
     /// ```
     pub fn new(member: Member) -> Self {
         Self {
             member,
             initial_hosts: Vec::new(),
             additional_hosts: Vec::new(),
-            heartbeat: Duration::from_millis(100),
+            heartbeat_interval: Duration::from_millis(100),
             election_timeout: Duration::from_secs(1),
             persist_timeout: Duration::from_secs(5),
             change_timeout: Duration::from_secs(60),
             clock_drift_percent: 10,
             max_append_bytes: 256 * 1024,
-            max_in_flight: 16,
+            max_in_flight_appends: 16,
             snapshot_chunk_bytes: 128 * 1024,
             snapshot_entries: 1_000,
             snapshot_bytes: 4 * 1024 * 1024,
             retained_entries: 200,
             max_uncommitted_bytes: 16 * 1024 * 1024,
-            rules: Rules::default(),
+            safeguards: Safeguards::default(),
         }
     }
 }
--- a/crates/kumquatdrum_consensus/src/status.rs
+++ b/crates/kumquatdrum_consensus/src/status.rs
@@ -1,4 +1,4 @@
-//! What a node says of itself to operators.
+//! The status that a node reports to operators.
 
 use kumquatdrum_types::Moment;
 
@@ -6,67 +6,67 @@
 use crate::progress::Progress;
 use crate::{LogIndex, ReplicaId, Replicas, Term};
 
-/// The part that a replica plays.
+/// The role of a replica as reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoleName {
-    /// Belongs to no cluster yet.
+    /// Has not joined a cluster.
     Fresh,
     /// Receives the log without voting.
     Learner,
-    /// Follows a leader or looks for one.
+    /// Votes, and follows a leader or awaits one.
     Follower,
-    /// Stands for election.
+    /// Runs for leader, in a pre-vote or a vote.
     Candidate,
-    /// Leads.
+    /// Leads the cluster.
     Leader,
-    /// Silent after its disk failed.
+    /// Stopped after a disk failure.
     Halted,
 }
 
 /// A node's view of itself and of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// Who it is.
+    /// This replica.
     pub id: ReplicaId,
-    /// What part it plays.
+    /// The role of this replica.
     pub role: RoleName,
-    /// Its term.
+    /// The current term.
     pub term: Term,
-    /// Who leads, where known.
+    /// The current leader, if known.
     pub leader: Option<ReplicaId>,
-    /// Known as committed through here.
+    /// The last entry known to be committed.
     pub commit: LogIndex,
-    /// Handed to the application through here.
+    /// The last entry passed to the application.
     pub applied: LogIndex,
-    /// The end of its log.
-    pub last: LogIndex,
+    /// The last entry of the log.
+    pub last_index: LogIndex,
     /// The last entry that the snapshot includes.
-    pub snapshot: LogIndex,
-    /// The replicas as its log names them.
+    pub snapshot_index: LogIndex,
+    /// The latest replicas in the log.
     pub replicas: Replicas,
-    /// The entry that names them.
+    /// The entry that contains these replicas.
     pub replicas_index: LogIndex,
-    /// Whether that entry is known as committed.
+    /// Whether that entry is known to be committed.
     pub replicas_committed: bool,
-    /// How far the others are; only on a leader.
+    /// The progress of the other replicas; empty except on a leader.
     pub peers: Vec<PeerStatus>,
 }
 
-/// How far a replica is, as its leader knows.
+/// The replication progress of a replica as known to its leader.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Who.
+    /// The replica.
     pub id: ReplicaId,
-    /// Its log matches through here, synced.
+    /// The last synced entry up to which its log matches the leader's.
     pub matched: LogIndex,
     /// Whether it answered within the last election timeout.
     pub is_alive: bool,
-    /// Whether it is being sent a snapshot.
-    pub snapshot: bool,
+    /// Whether a snapshot is being transferred to it.
+    pub is_receiving_snapshot: bool,
 }
 
 impl Node {
-    /// What the node says of itself.
+    /// Returns the node's status.
     pub fn status(&self) -> Status {
         Status {
             id: self.id.clone(),
@@ -75,8 +75,8 @@
             leader: self.leader.clone(),
             commit: self.commit,
             applied: self.applied,
-            last: self.log.last_index(),
-            snapshot: self.log.snapshot_index(),
+            last_index: self.log.last_index(),
+            snapshot_index: self.log.snapshot_index(),
             replicas: self.log.replicas().clone(),
             replicas_index: self.log.replicas_index(),
             replicas_committed: self.log.replicas_index() <= self.commit,
@@ -86,7 +86,7 @@
 
     fn role_name(&self) -> RoleName {
         match &self.role {
-            _ if self.halted => RoleName::Halted,
+            _ if self.is_halted => RoleName::Halted,
             _ if self.log.snapshot().is_none() => RoleName::Fresh,
             Role::Leader(_) => RoleName::Leader,
             Role::PreCandidate(_) | Role::Candidate(_) => RoleName::Candidate,
@@ -99,26 +99,26 @@
         let Role::Leader(leader) = &self.role else {
             return Vec::new();
         };
-        let alive = |at: Moment| at + self.settings.election_timeout > self.now;
+        let is_alive = |at: Moment| at + self.settings.election_timeout > self.now;
         let status = |(id, progress): (&ReplicaId, &Progress)| PeerStatus {
             id: id.clone(),
             matched: progress.matched,
-            is_alive: progress.acked_at.is_some_and(alive),
-            snapshot: progress.transfer.is_some(),
+            is_alive: progress.acked_at.is_some_and(is_alive),
+            is_receiving_snapshot: progress.snapshot_transfer.is_some(),
         };
         leader.peers.iter().map(status).collect()
     }
 
-    /// When the next `Tick` is due.
+    /// Returns the moment at which the next `Tick` is due.
     pub(crate) fn next_tick(&self) -> Moment {
-        let role = match &self.role {
+        let role_at = match &self.role {
             Role::Leader(leader) => leader.heartbeat_at,
             _ => self.election_at,
         };
-        if self.is_outside() {
-            role.min(self.formation.hello_at)
+        if self.is_announcing() {
+            role_at.min(self.formation.hello_at)
         } else {
-            role
+            role_at
         }
     }
 }
--- a/crates/kumquatdrum_consensus/src/storage.rs
+++ b/crates/kumquatdrum_consensus/src/storage.rs
@@ -1,50 +1,50 @@
-//! What a replica keeps on disk, and the changes to it.
+//! The persistent state of a replica and the batches that change it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{ClusterId, Entry, LogIndex, ReplicaId, Snapshot, Term};
 
-/// The small state that must be on disk before the replica speaks for it.
+/// The state that must be persisted before the replica sends a message that depends on it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The cluster that the replica belongs to, once it belongs to one.
+    /// The cluster that the replica has joined, if any.
     pub cluster: Option<ClusterId>,
-    /// The highest term it has taken part in.
+    /// The current term, the highest that the replica has seen.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// The candidate voted for in that term.
     pub vote: Option<ReplicaId>,
 }
 
-/// One change of the store: applied as a whole or not at all, synced before it is acknowledged.
+/// A change of the store, applied atomically and synced before it is acknowledged.
 ///
-/// The parts are applied in the order of the fields.
+/// The fields are applied in their order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// Returned in `Persisted`; grows by one each time.
+    /// Returned in `Persisted`; increases by one with each batch.
     pub sequence: u64,
     /// Replaces the hard state.
     pub hard_state: Option<HardState>,
-    /// Entries at this index and above are removed.
+    /// Removes the entries from this index on.
     pub truncate_from: Option<LogIndex>,
-    /// Replaces the snapshot; entries at its index and below are removed.
+    /// Replaces the snapshot and removes the entries up to its index.
     pub snapshot: Option<Snapshot>,
-    /// Added to the end of the log, contiguous.
+    /// Contiguous entries that are appended to the log.
     pub entries: Vec<Entry>,
 }
 
-/// What a store holds when a replica starts.
+/// The content of a store, loaded when a replica starts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StoredState {
-    /// The small state.
+    /// The latest hard state.
     pub hard_state: HardState,
     /// The latest snapshot, if any.
     pub snapshot: Option<Snapshot>,
-    /// Entries after the snapshot, contiguous.
+    /// Contiguous entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
 impl StoredState {
-    /// Applies a batch, as every store must.
+    /// Applies a batch; every store must behave like this.
     ///
     /// ```
     /// use kumquatdrum_consensus::{Batch, Content, Entry, LogIndex, StoredState, Term};
--- a/crates/kumquatdrum_consensus/tests/commit.rs
+++ b/crates/kumquatdrum_consensus/tests/commit.rs
@@ -1,4 +1,4 @@
-//! One node by hand: what it says, when, and what it withholds.
+//! Drives a single node by hand: commit, acknowledgements, batching and disk failures.
 
 use bytes::Bytes;
 use kumquatdrum_consensus::{
@@ -10,16 +10,17 @@
 
 const CLUSTER: ClusterId = ClusterId(5);
 
-/// A node with two peers, of whom the test plays both.
-struct Bench {
+/// A node with two peers that the test simulates.
+struct Harness {
     node: Node,
     now: Moment,
     members: Vec<Member>,
-    out: Vec<Output>,
-    sync: bool,
+    outputs: Vec<Output>,
+    /// Whether batches are synced at once.
+    is_sync_immediate: bool,
 }
 
-impl Bench {
+impl Harness {
     fn new(term: u64, entries: Vec<Entry>) -> Self {
         let members = ["a", "b", "c"]
             .map(|host| Member::new(host, 1, "ikeja"))
@@ -46,8 +47,8 @@
             node: Node::new(settings, stored, Moment::ZERO, 1),
             now: Moment::ZERO,
             members,
-            out: Vec::new(),
-            sync: true,
+            outputs: Vec::new(),
+            is_sync_immediate: true,
         }
     }
 
@@ -55,19 +56,19 @@
         for output in self.node.step(self.now, input) {
             match &output {
                 Output::Wake { at } => self.now = *at,
-                Output::Persist(batch) if self.sync => {
+                Output::Persist(batch) if self.is_sync_immediate => {
                     let sequence = batch.sequence;
-                    self.out.push(output);
+                    self.outputs.push(output);
                     self.step(Input::Persisted { sequence });
                     continue;
                 }
                 _ => {}
             }
-            self.out.push(output);
+            self.outputs.push(output);
         }
     }
 
-    fn say(&mut self, peer: usize, body: Body) {
+    fn deliver(&mut self, peer: usize, body: Body) {
         let message = Message {
             cluster: Some(CLUSTER),
             from: self.members[peer].id.clone(),
@@ -84,16 +85,16 @@
             reject: None,
             probe: Probe::default(),
         };
-        self.say(peer, Body::AppendAck(ack));
+        self.deliver(peer, Body::AppendAck(ack));
     }
 
-    /// Lets the node win an election with the votes of the first peer.
-    fn lead(&mut self) {
-        let asks = |output: &Output| match output {
+    /// Makes the node win an election with the vote of the first peer.
+    fn win_election(&mut self) {
+        let is_pre_vote = |output: &Output| match output {
             Output::Send { message, .. } => matches!(message.body, Body::PreVote(_)),
             _ => false,
         };
-        while !self.out.iter().any(asks) {
+        while !self.outputs.iter().any(is_pre_vote) {
             self.step(Input::Tick);
         }
         let asked = Term(self.node.term().0 + 1);
@@ -102,12 +103,12 @@
             asked,
             granted: true,
         };
-        self.say(1, answer);
+        self.deliver(1, answer);
         let vote = Body::VoteAnswer {
             term: asked,
             granted: true,
         };
-        self.say(1, vote);
+        self.deliver(1, vote);
         assert!(self.node.is_leader());
     }
 
@@ -120,7 +121,7 @@
     }
 
     fn outcome(&self, wanted: u64) -> Option<&ProposalOutcome> {
-        self.out.iter().find_map(|output| match output {
+        self.outputs.iter().find_map(|output| match output {
             Output::Proposed { token, outcome } if token.0 == wanted => Some(outcome),
             _ => None,
         })
@@ -128,7 +129,7 @@
 
     fn batches(&self) -> Vec<&Batch> {
         let mut batches = Vec::new();
-        for output in &self.out {
+        for output in &self.outputs {
             if let Output::Persist(batch) = output {
                 batches.push(batch);
             }
@@ -141,7 +142,7 @@
     }
 }
 
-/// Entries that follow the first one, from a leader that the test plays.
+/// Returns a leader's append of entries after index 1.
 fn append(leader_term: u64, entries: Vec<Entry>) -> Body {
     Body::Append(Append {
         term: Term(leader_term),
@@ -153,18 +154,18 @@
     })
 }
 
-/// A batch on its way to the disk says nothing about entries that have replaced its own since.
+/// The sync of a batch acknowledges no entries that replaced those of the batch meanwhile.
 #[test]
-fn entries_are_not_acknowledged_for_those_they_replaced() {
-    let mut bench = Bench::new(3, vec![payload(1, 2)]);
-    bench.step(Input::Tick);
-    bench.sync = false;
-    bench.say(1, append(4, vec![payload(2, 4), payload(3, 4)]));
-    let old = bench.last_sequence();
-    bench.say(2, append(5, vec![payload(2, 5)]));
-    bench.step(Input::Persisted { sequence: old });
-    let matched = |bench: &Bench| {
-        let highest = bench.out.iter().filter_map(|output| match output {
+fn a_synced_batch_does_not_acknowledge_entries_that_replaced_its_own() {
+    let mut harness = Harness::new(3, vec![payload(1, 2)]);
+    harness.step(Input::Tick);
+    harness.is_sync_immediate = false;
+    harness.deliver(1, append(4, vec![payload(2, 4), payload(3, 4)]));
+    let old = harness.last_sequence();
+    harness.deliver(2, append(5, vec![payload(2, 5)]));
+    harness.step(Input::Persisted { sequence: old });
+    let matched = |harness: &Harness| {
+        let highest = harness.outputs.iter().filter_map(|output| match output {
             Output::Send { message, .. } => match &message.body {
                 Body::AppendAck(ack) if ack.term == Term(5) => Some(ack.matched),
                 _ => None,
@@ -173,37 +174,37 @@
         });
         highest.max()
     };
-    assert_eq!(matched(&bench), Some(LogIndex(1)));
-    let new = bench.last_sequence();
+    assert_eq!(matched(&harness), Some(LogIndex(1)));
+    let new = harness.last_sequence();
     assert!(new > old);
-    bench.step(Input::Persisted { sequence: new });
-    assert_eq!(matched(&bench), Some(LogIndex(2)));
+    harness.step(Input::Persisted { sequence: new });
+    assert_eq!(matched(&harness), Some(LogIndex(2)));
 }
 
-/// A leader that a change removes may be the only one that has its last step; the others wait
-/// for it, as the step before needs its vote.
+/// A removed leader may be the only replica with the last step of the change, which the others
+/// cannot commit without its vote.
 #[test]
-fn a_removed_replica_stands_until_the_change_is_committed() {
+fn a_removed_replica_campaigns_until_the_change_is_committed() {
     let all = ["a", "b", "c", "d"].map(|host| Member::new(host, 1, "ikeja"));
-    let joint = Replicas::from_voters(all[..3].to_vec()).joint(all[1..].to_vec());
-    let steps = [joint.clone(), joint.settled()];
+    let joint = Replicas::from_voters(all[..3].to_vec()).enter_joint(all[1..].to_vec());
+    let steps = [joint.clone(), joint.leave_joint()];
     let entry = |(number, replicas): (usize, Replicas)| Entry {
         term: Term(2),
         index: LogIndex(1 + number as u64),
         content: Content::Replicas(replicas),
     };
-    let mut bench = Bench::new(3, steps.into_iter().enumerate().map(entry).collect());
-    let asked = |bench: &Bench| {
-        let asks = |output: &&Output| match output {
+    let mut harness = Harness::new(3, steps.into_iter().enumerate().map(entry).collect());
+    let pre_votes = |harness: &Harness| {
+        let is_pre_vote = |output: &&Output| match output {
             Output::Send { message, .. } => matches!(message.body, Body::PreVote(_)),
             _ => false,
         };
-        bench.out.iter().filter(asks).count()
+        harness.outputs.iter().filter(is_pre_vote).count()
     };
     for _ in 0..20 {
-        bench.step(Input::Tick);
+        harness.step(Input::Tick);
     }
-    assert!(asked(&bench) > 0);
+    assert!(pre_votes(&harness) > 0);
     let heartbeat = Append {
         term: Term(4),
         previous_index: LogIndex(2),
@@ -212,12 +213,12 @@
         commit: LogIndex(2),
         probe: Probe::default(),
     };
-    bench.say(1, Body::Append(heartbeat));
-    bench.out.clear();
+    harness.deliver(1, Body::Append(heartbeat));
+    harness.outputs.clear();
     for _ in 0..20 {
-        bench.step(Input::Tick);
+        harness.step(Input::Tick);
     }
-    assert_eq!(asked(&bench), 0);
+    assert_eq!(pre_votes(&harness), 0);
 }
 
 fn payload(index: u64, term: u64) -> Entry {
@@ -228,70 +229,70 @@
     }
 }
 
-/// An entry of an earlier term that a majority has may still be overwritten by a leader that the
-/// others elect, until an entry of the own term covers it.
+/// An entry of an earlier term that a majority has can still be overwritten by another leader
+/// until an entry of the current term is committed.
 #[test]
-fn entries_of_earlier_terms_commit_only_with_one_of_the_own() {
-    let mut bench = Bench::new(3, vec![payload(1, 2)]);
-    bench.lead();
-    let applies = |bench: &Bench| {
-        let applies = bench
-            .out
+fn entries_of_earlier_terms_commit_only_with_one_of_the_current_term() {
+    let mut harness = Harness::new(3, vec![payload(1, 2)]);
+    harness.win_election();
+    let applies = |harness: &Harness| {
+        let applies = harness
+            .outputs
             .iter()
             .filter(|o| matches!(o, Output::Apply { .. }));
         applies.count()
     };
-    bench.acknowledge(1, 1);
-    bench.acknowledge(2, 1);
-    assert_eq!(applies(&bench), 0);
-    bench.acknowledge(1, 2);
-    assert_eq!(applies(&bench), 1);
+    harness.acknowledge(1, 1);
+    harness.acknowledge(2, 1);
+    assert_eq!(applies(&harness), 0);
+    harness.acknowledge(1, 2);
+    assert_eq!(applies(&harness), 1);
 }
 
 #[test]
-fn nothing_is_said_for_a_vote_before_it_is_synced() {
-    let mut bench = Bench::new(3, Vec::new());
-    bench.sync = false;
-    bench.step(Input::Tick);
-    bench.now = Moment::from_millis(10_000);
-    let vote = kumquatdrum_consensus::Vote {
+fn a_vote_is_not_sent_before_it_is_synced() {
+    let mut harness = Harness::new(3, Vec::new());
+    harness.is_sync_immediate = false;
+    harness.step(Input::Tick);
+    harness.now = Moment::from_millis(10_000);
+    let vote = kumquatdrum_consensus::VoteRequest {
         term: Term(4),
         last_index: LogIndex(9),
         last_term: Term(3),
-        succeeds: false,
+        is_leadership_transfer: false,
     };
-    bench.say(1, Body::RequestVote(vote));
-    let answered = |bench: &Bench| {
-        bench.out.iter().any(|output| match output {
+    harness.deliver(1, Body::RequestVote(vote));
+    let has_granted = |harness: &Harness| {
+        harness.outputs.iter().any(|output| match output {
             Output::Send { message, .. } => {
                 matches!(message.body, Body::VoteAnswer { granted: true, .. })
             }
             _ => false,
         })
     };
-    assert!(!answered(&bench));
-    let vote = bench.batches()[0].hard_state.clone().and_then(|h| h.vote);
-    assert_eq!(vote.as_ref(), Some(&bench.members[1].id));
-    let sequence = bench.last_sequence();
-    bench.step(Input::Persisted { sequence });
-    assert!(answered(&bench));
+    assert!(!has_granted(&harness));
+    let vote = harness.batches()[0].hard_state.clone().and_then(|h| h.vote);
+    assert_eq!(vote.as_ref(), Some(&harness.members[1].id));
+    let sequence = harness.last_sequence();
+    harness.step(Input::Persisted { sequence });
+    assert!(has_granted(&harness));
 }
 
-/// What comes up while the disk is busy goes into one batch, and the leader commits nothing that
-/// only one peer has while its own disk is behind.
+/// Proposals made while the disk is busy share one batch, and the leader commits no entry that
+/// only one peer has persisted.
 #[test]
 fn proposals_share_a_batch_while_the_disk_is_busy() {
-    let mut bench = Bench::new(3, Vec::new());
-    bench.lead();
-    bench.sync = false;
+    let mut harness = Harness::new(3, Vec::new());
+    harness.win_election();
+    harness.is_sync_immediate = false;
     for token in 0..9 {
-        bench.propose(token, 1);
+        harness.propose(token, 1);
     }
-    let first = bench.last_sequence();
-    bench.acknowledge(1, 10);
-    assert_eq!(bench.outcome(0), None);
-    bench.step(Input::Persisted { sequence: first });
-    let sizes: Vec<usize> = bench
+    let first = harness.last_sequence();
+    harness.acknowledge(1, 10);
+    assert_eq!(harness.outcome(0), None);
+    harness.step(Input::Persisted { sequence: first });
+    let sizes: Vec<usize> = harness
         .batches()
         .iter()
         .rev()
@@ -299,10 +300,10 @@
         .map(|b| b.entries.len())
         .collect();
     assert_eq!(sizes, [8, 1]);
-    let last = bench.last_sequence();
-    bench.step(Input::Persisted { sequence: last });
+    let last = harness.last_sequence();
+    harness.step(Input::Persisted { sequence: last });
     assert_eq!(
-        bench.outcome(8),
+        harness.outcome(8),
         Some(&ProposalOutcome::Committed {
             index: LogIndex(10)
         })
@@ -310,67 +311,72 @@
 }
 
 #[test]
-fn proposals_beyond_the_limit_are_refused_at_once() {
-    let mut bench = Bench::new(3, Vec::new());
-    bench.lead();
-    bench.propose(1, 400);
-    bench.propose(2, 400);
-    assert_eq!(bench.outcome(1), None);
-    assert_eq!(bench.outcome(2), Some(&ProposalOutcome::Busy));
-    bench.acknowledge(1, 2);
-    bench.propose(3, 400);
-    assert_eq!(bench.outcome(3), None);
+fn proposals_beyond_the_limit_are_rejected_at_once() {
+    let mut harness = Harness::new(3, Vec::new());
+    harness.win_election();
+    harness.propose(1, 400);
+    harness.propose(2, 400);
+    assert_eq!(harness.outcome(1), None);
+    assert_eq!(harness.outcome(2), Some(&ProposalOutcome::Busy));
+    harness.acknowledge(1, 2);
+    harness.propose(3, 400);
+    assert_eq!(harness.outcome(3), None);
 }
 
 #[test]
-fn a_failed_disk_ends_leading_and_silences_the_node() {
-    let mut bench = Bench::new(3, Vec::new());
-    bench.lead();
-    bench.sync = false;
-    bench.propose(1, 1);
+fn a_leader_whose_disk_fails_steps_down_and_halts() {
+    let mut harness = Harness::new(3, Vec::new());
+    harness.win_election();
+    harness.is_sync_immediate = false;
+    harness.propose(1, 1);
     let reason = "no space left".to_owned();
-    bench.step(Input::PersistFailed { reason });
-    assert_eq!(bench.outcome(1), Some(&ProposalOutcome::Unknown));
+    harness.step(Input::PersistFailed { reason });
+    assert_eq!(harness.outcome(1), Some(&ProposalOutcome::Unknown));
     assert!(
-        bench
-            .out
+        harness
+            .outputs
             .iter()
             .any(|o| matches!(o, Output::SteppedDown { .. }))
     );
-    assert!(bench.out.iter().any(|o| matches!(o, Output::Halted { .. })));
-    bench.out.clear();
-    bench.acknowledge(1, 2);
-    bench.now = Moment::from_millis(100_000);
-    bench.step(Input::Tick);
-    assert_eq!(bench.out, []);
-    bench.propose(2, 1);
+    assert!(
+        harness
+            .outputs
+            .iter()
+            .any(|o| matches!(o, Output::Halted { .. }))
+    );
+    harness.outputs.clear();
+    harness.acknowledge(1, 2);
+    harness.now = Moment::from_millis(100_000);
+    harness.step(Input::Tick);
+    assert_eq!(harness.outputs, []);
+    harness.propose(2, 1);
     assert_eq!(
-        bench.outcome(2),
+        harness.outcome(2),
         Some(&ProposalOutcome::NotLeader { leader: None })
     );
 }
 
 #[test]
-fn a_leader_whose_disk_hangs_steps_down() {
-    let mut bench = Bench::new(3, Vec::new());
-    bench.lead();
-    bench.sync = false;
-    bench.propose(1, 1);
+fn a_leader_whose_disk_stalls_steps_down() {
+    let mut harness = Harness::new(3, Vec::new());
+    harness.win_election();
+    harness.is_sync_immediate = false;
+    harness.propose(1, 1);
     for _ in 0..60 {
         let probe = Probe {
             round: 1,
-            sent_at: bench.now,
+            sent_at: harness.now,
         };
-        let (term, matched) = (bench.node.term(), LogIndex(1));
+        let (term, matched) = (harness.node.term(), LogIndex(1));
         let ack = AppendAck {
             term,
             matched,
             reject: None,
             probe,
         };
-        bench.say(1, Body::AppendAck(ack));
-        bench.step(Input::Tick);
+        harness.deliver(1, Body::AppendAck(ack));
+        harness.step(Input::Tick);
     }
-    assert!(!bench.node.is_leader());
-    assert_eq!(bench.outcome(1), Some(&ProposalOutcome::Unknown));
+    assert!(!harness.node.is_leader());
+    assert_eq!(harness.outcome(1), Some(&ProposalOutcome::Unknown));
 }
--- a/crates/kumquatdrum_consensus/tests/common/mod.rs
+++ b/crates/kumquatdrum_consensus/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fake network and fake disks around a few nodes, driven by a seed. Each test file uses a part.
+//! Simulates a cluster with a fake network and fake disks, deterministic by seed.
 #![allow(dead_code)]
 
 pub mod checker;
@@ -12,16 +12,16 @@
 use checker::Checker;
 use kumquatdrum_consensus::{
     Batch, Incarnation, Input, LogIndex, Member, Message, Node, Output, Proposal, ProposalOutcome,
-    Replicas, RoleName, Rules, Settings, StoredState, Token,
+    Replicas, RoleName, Safeguards, Settings, StoredState, Token,
 };
 use kumquatdrum_types::{HostId, Moment};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// How often events of a paused host are tried again.
-const PAUSE_MICROS: u64 = 50_000;
+/// Interval at which events for a paused host are retried.
+const PAUSED_RETRY_MICROS: u64 = 50_000;
 
-/// What the network and the disks do.
+/// The faults of the network, and the longest delays of the network and the disks.
 #[derive(Debug, Clone, Copy)]
 pub struct Faults {
     pub loss_percent: u64,
@@ -30,7 +30,7 @@
     pub sync_micros: u64,
 }
 
-pub const CALM: Faults = Faults {
+pub const NO_FAULTS: Faults = Faults {
     loss_percent: 0,
     duplicate_percent: 0,
     delay_micros: 2_000,
@@ -44,76 +44,76 @@
     Wake(usize, u64),
 }
 
-/// A host: what outlives a crash, and the node while it runs.
+/// A simulated host: the state that survives a crash, and the node while it runs.
 pub struct Host {
     pub member: Member,
     pub disk: StoredState,
     pub node: Option<Node>,
-    /// The batch that the disk has been given and has not synced.
+    /// The batch that is written but not synced.
     pending: Option<Batch>,
-    /// Counts starts, so that events of earlier ones are dropped.
-    life: u64,
-    /// Clocks start anywhere and run up to 3 % fast or slow.
+    /// Number of starts and crashes; events scheduled before the latest one are dropped.
+    start_count: u64,
+    /// Clocks start at a random offset and run up to 3 % fast or slow.
     clock_offset: u64,
     clock_percent: u64,
-    pub disk_fails: bool,
-    /// The application: the hash of all that was applied, and how far.
+    pub has_failing_disk: bool,
+    /// The state of the application: the hash of all applied payloads.
     pub hash: u64,
     pub applied: LogIndex,
     pub restores: u64,
     pub applies: u64,
 }
 
-/// Nodes under a fake network and fake disks.
+/// A simulated cluster.
 pub struct Cluster {
     pub now: Moment,
     pub random: Pcg32,
     pub hosts: Vec<Host>,
     pub faults: Faults,
-    pub cut: BTreeSet<(usize, usize)>,
-    /// Hosts whose process stands still, while their clock runs on.
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// Hosts whose process is paused while their clock runs on.
     pub paused: BTreeSet<usize>,
     pub checker: Checker,
     pub outcomes: BTreeMap<Token, ProposalOutcome>,
-    /// Whether a read was confirmed; none while it is open.
+    /// Whether each read was confirmed; `None` while it is pending.
     pub reads: BTreeMap<Token, Option<bool>>,
     /// Tokens of replica changes.
     changes: BTreeSet<Token>,
-    pub initial: usize,
-    pub rules: Rules,
+    pub initial_count: usize,
+    pub safeguards: Safeguards,
     pub snapshot_entries: u64,
     pub steps: u64,
     pub messages_sent: u64,
     pub bytes_sent: u64,
-    /// The replicas last known as committed, and the entry that names them.
+    /// The replicas last known to be committed, and the entry that contains them.
     pub replicas: (LogIndex, Replicas),
     queue: BTreeMap<(Moment, u64), Event>,
-    serial: u64,
+    next_event: u64,
     next_token: u64,
 }
 
 impl Cluster {
-    pub fn new(seed: u64, hosts: usize, initial: usize, rules: Rules) -> Self {
+    pub fn new(seed: u64, hosts: usize, initial_count: usize, safeguards: Safeguards) -> Self {
         let mut cluster = Self {
             now: Moment::ZERO,
             random: Pcg32::seed_from_u64(seed),
             hosts: Vec::new(),
-            faults: CALM,
-            cut: BTreeSet::new(),
+            faults: NO_FAULTS,
+            cut_links: BTreeSet::new(),
             paused: BTreeSet::new(),
             checker: Checker::default(),
             outcomes: BTreeMap::new(),
             reads: BTreeMap::new(),
             changes: BTreeSet::new(),
-            initial,
-            rules,
+            initial_count,
+            safeguards,
             snapshot_entries: 40,
             steps: 0,
             messages_sent: 0,
             bytes_sent: 0,
             replicas: (LogIndex(0), Replicas::default()),
             queue: BTreeMap::new(),
-            serial: 0,
+            next_event: 0,
             next_token: 0,
         };
         for number in 0..hosts {
@@ -125,10 +125,10 @@
                 disk: StoredState::default(),
                 node: None,
                 pending: None,
-                life: 0,
+                start_count: 0,
                 clock_offset,
                 clock_percent,
-                disk_fails: false,
+                has_failing_disk: false,
                 hash: 0,
                 applied: LogIndex(0),
                 restores: 0,
@@ -141,9 +141,9 @@
         cluster
     }
 
-    /// A cluster of `hosts` that has formed and elected a leader.
-    pub fn formed(seed: u64, hosts: usize, initial: usize) -> Self {
-        let mut cluster = Self::new(seed, hosts, initial, Rules::default());
+    /// Creates a cluster that has formed and elected a leader.
+    pub fn formed(seed: u64, hosts: usize, initial_count: usize) -> Self {
+        let mut cluster = Self::new(seed, hosts, initial_count, Safeguards::default());
         assert!(
             cluster.run_until(20_000, |c| c.leader().is_some()),
             "no leader"
@@ -159,15 +159,15 @@
                 .map(|host| host.member.id.host.clone());
             ids.collect::<Vec<HostId>>()
         };
-        settings.initial_hosts = hosts(0..self.initial);
-        settings.additional_hosts = hosts(self.initial..self.hosts.len());
-        settings.heartbeat = Duration::from_millis(200);
+        settings.initial_hosts = hosts(0..self.initial_count);
+        settings.additional_hosts = hosts(self.initial_count..self.hosts.len());
+        settings.heartbeat_interval = Duration::from_millis(200);
         settings.snapshot_entries = self.snapshot_entries;
         settings.retained_entries = 5;
         settings.max_append_bytes = 150;
-        settings.max_in_flight = 4;
+        settings.max_in_flight_appends = 4;
         settings.snapshot_chunk_bytes = 16;
-        settings.rules = self.rules;
+        settings.safeguards = self.safeguards;
         settings
     }
 
@@ -183,9 +183,9 @@
     }
 
     fn schedule(&mut self, after_micros: u64, event: Event) {
-        self.serial += 1;
+        self.next_event += 1;
         let at = self.now + Duration::from_micros(after_micros);
-        self.queue.insert((at, self.serial), event);
+        self.queue.insert((at, self.next_event), event);
     }
 
     pub fn start(&mut self, number: usize) {
@@ -195,7 +195,7 @@
         let seed = self.random.next_u64();
         let (settings, clock) = (self.settings(number), self.clock(number));
         let host = &mut self.hosts[number];
-        host.life += 1;
+        host.start_count += 1;
         host.hash = 0;
         host.applied = LogIndex(0);
         host.restores = 0;
@@ -204,20 +204,20 @@
         self.step(number, Input::Tick);
     }
 
-    /// The process dies; what was not synced may or may not have reached the disk.
+    /// Stops a process; an unsynced batch may or may not have reached the disk.
     pub fn crash(&mut self, number: usize) {
-        let landed = self.random_below(2) == 0;
+        let is_written = self.random_below(2) == 0;
         let host = &mut self.hosts[number];
         host.node = None;
-        host.life += 1;
-        host.disk_fails = false;
-        if let Some(batch) = host.pending.take().filter(|_| landed) {
+        host.start_count += 1;
+        host.has_failing_disk = false;
+        if let Some(batch) = host.pending.take().filter(|_| is_written) {
             host.disk.apply(&batch);
-            self.checker.synced(&host.disk, &batch);
+            self.checker.check_batch(&host.disk, &batch);
         }
     }
 
-    /// The process dies and its disk is lost; it comes back with a new data folder.
+    /// Stops a process and replaces its disk; it restarts with a new incarnation.
     pub fn wipe(&mut self, number: usize) {
         self.crash(number);
         let incarnation = self.random.next_u64();
@@ -228,17 +228,17 @@
 
     pub fn isolate(&mut self, number: usize) {
         for other in 0..self.hosts.len() {
-            self.cut.insert((number, other));
-            self.cut.insert((other, number));
+            self.cut_links.insert((number, other));
+            self.cut_links.insert((other, number));
         }
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
         self.paused.clear();
-        self.faults = CALM;
+        self.faults = NO_FAULTS;
         for number in 0..self.hosts.len() {
-            self.hosts[number].disk_fails = false;
+            self.hosts[number].has_failing_disk = false;
             if self
                 .status(number)
                 .is_some_and(|s| s.role == RoleName::Halted)
@@ -264,7 +264,7 @@
     pub fn read(&mut self, number: usize) -> Token {
         let token = self.token();
         self.reads.insert(token, None);
-        self.checker.read_asked(token);
+        self.checker.record_read(token);
         self.step(number, Input::ConfirmRead { token });
         token
     }
@@ -280,11 +280,11 @@
         token
     }
 
-    pub fn resign(&mut self, number: usize) {
+    pub fn transfer_leadership(&mut self, number: usize) {
         self.step(number, Input::TransferLeadership);
     }
 
-    /// Commits a value, trying again where leadership moves.
+    /// Commits a value, with retries when the leader changes.
     pub fn commit(&mut self) -> bool {
         for _ in 0..50 {
             let Some(leader) = self.leader() else {
@@ -304,7 +304,7 @@
         self.run_until(millis, |_| false);
     }
 
-    /// Runs until a condition holds; false where the time is up before.
+    /// Runs until a condition holds; returns false if the time runs out first.
     pub fn run_until(&mut self, millis: u64, done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + Duration::from_millis(millis);
         while !done(self) {
@@ -327,15 +327,17 @@
         let (Event::Deliver(number, _) | Event::Wake(number, _) | Event::Synced(number, ..)) =
             event;
         if self.paused.contains(&number) {
-            self.schedule(PAUSE_MICROS, event);
+            self.schedule(PAUSED_RETRY_MICROS, event);
             return;
         }
         match event {
             Event::Deliver(to, message) => self.step(to, Input::Message(Box::new(message))),
-            Event::Wake(number, life) if self.hosts[number].life == life => {
+            Event::Wake(number, start_count) if self.hosts[number].start_count == start_count => {
                 self.step(number, Input::Tick);
             }
-            Event::Synced(number, life, batch) if self.hosts[number].life == life => {
+            Event::Synced(number, start_count, batch)
+                if self.hosts[number].start_count == start_count =>
+            {
                 self.synced(number, &batch);
             }
             Event::Wake(..) | Event::Synced(..) => {}
@@ -345,13 +347,13 @@
     fn synced(&mut self, number: usize, batch: &Batch) {
         let host = &mut self.hosts[number];
         host.pending = None;
-        if host.disk_fails {
+        if host.has_failing_disk {
             let reason = "no space left".to_owned();
             self.step(number, Input::PersistFailed { reason });
             return;
         }
         host.disk.apply(batch);
-        self.checker.synced(&host.disk, batch);
+        self.checker.check_batch(&host.disk, batch);
         let sequence = batch.sequence;
         self.step(number, Input::Persisted { sequence });
     }
@@ -363,26 +365,26 @@
         };
         self.steps += 1;
         for output in node.step(clock, input) {
-            self.carry_out(number, output);
+            self.execute(number, output);
         }
         self.check_leases(number);
     }
 
-    fn carry_out(&mut self, number: usize, output: Output) {
-        let life = self.hosts[number].life;
+    fn execute(&mut self, number: usize, output: Output) {
+        let start_count = self.hosts[number].start_count;
         match output {
             Output::Send { to, message } => self.transmit(number, &to, &message),
             Output::Persist(batch) => {
                 self.hosts[number].pending = Some(batch.clone());
                 let delay = self.random_below(self.faults.sync_micros);
-                self.schedule(delay, Event::Synced(number, life, batch));
+                self.schedule(delay, Event::Synced(number, start_count, batch));
             }
             Output::Wake { at } => {
                 let wait = at - self.clock(number);
                 let micros = u64::try_from(wait.as_micros()).unwrap_or(u64::MAX);
                 let percent = self.hosts[number].clock_percent;
                 let micros = micros.saturating_mul(100) / percent + 1;
-                self.schedule(micros, Event::Wake(number, life));
+                self.schedule(micros, Event::Wake(number, start_count));
             }
             Output::Apply {
                 index,
@@ -392,39 +394,46 @@
                 let host = &mut self.hosts[number];
                 host.applies += 1;
                 host.applied = index;
-                host.hash = checker::chain(host.hash, &payload);
-                self.checker.applied(index, term, &payload, host.hash);
+                host.hash = checker::extend_hash(host.hash, &payload);
+                self.checker.check_apply(index, term, &payload, host.hash);
             }
             Output::Restore(snapshot) => {
                 let host = &mut self.hosts[number];
-                assert!(snapshot.index > host.applied, "a state went back");
+                assert!(
+                    snapshot.index > host.applied,
+                    "restored state is older than the applied state"
+                );
                 host.restores += 1;
                 host.applied = snapshot.index;
-                host.hash = self.checker.restored(&snapshot);
+                host.hash = self.checker.check_restore(&snapshot);
             }
             Output::SnapshotWanted => {
                 let host = &self.hosts[number];
-                let data = checker::snapshot_data(host.hash);
-                let index = host.node.as_ref().expect("it runs").applied();
+                let data = checker::encode_snapshot(host.hash);
+                let index = host.node.as_ref().expect("node is running").applied();
                 self.step(number, Input::Snapshot { index, data });
             }
             Output::Proposed { token, outcome } => {
                 if !self.changes.contains(&token) {
-                    self.checker.proposed(token, &outcome);
+                    self.checker.check_outcome(token, &outcome);
                 }
                 self.outcomes.insert(token, outcome);
             }
             Output::ReadConfirmed { token, .. } => {
-                let applied = self.hosts[number].node.as_ref().expect("it runs").applied();
-                self.checker.read_confirmed(token, applied);
+                let applied = self.hosts[number]
+                    .node
+                    .as_ref()
+                    .expect("node is running")
+                    .applied();
+                self.checker.check_read(token, applied);
                 self.reads.insert(token, Some(true));
             }
             Output::ReadRefused { token, .. } => {
                 self.reads.insert(token, Some(false));
             }
             Output::BecameLeader { term } => {
-                let status = self.status(number).expect("it runs");
-                self.checker.became_leader(term, &status);
+                let status = self.status(number).expect("node is running");
+                self.checker.check_leader(term, &status);
             }
             Output::SteppedDown { .. } | Output::Halted { .. } => {}
         }
@@ -438,16 +447,16 @@
         else {
             return;
         };
-        let lost = self.random_below(100) < self.faults.loss_percent;
-        if lost || self.cut.contains(&(from, to)) {
+        let is_lost = self.random_below(100) < self.faults.loss_percent;
+        if is_lost || self.cut_links.contains(&(from, to)) {
             return;
         }
-        let bytes = postcard::to_stdvec(message).expect("it can be encoded");
+        let bytes = postcard::to_stdvec(message).expect("message can be encoded");
         self.bytes_sent += bytes.len() as u64;
         self.messages_sent += 1;
-        let message: Message = postcard::from_bytes(&bytes).expect("it can be decoded");
-        let twice = self.random_below(100) < self.faults.duplicate_percent;
-        for _ in 0..=u64::from(twice) {
+        let message: Message = postcard::from_bytes(&bytes).expect("message can be decoded");
+        let is_duplicated = self.random_below(100) < self.faults.duplicate_percent;
+        for _ in 0..=u64::from(is_duplicated) {
             let delay = self.random_below(self.faults.delay_micros);
             self.schedule(delay, Event::Deliver(to, message.clone()));
         }
--- a/crates/kumquatdrum_consensus/tests/common/schedule.rs
+++ b/crates/kumquatdrum_consensus/tests/common/schedule.rs
@@ -1,16 +1,16 @@
-//! Randomised schedules: faults of all kinds for a while, then healing and progress.
+//! Randomised schedules: a phase of faults, after which the cluster must recover.
 
-use kumquatdrum_consensus::{Member, Rules};
+use kumquatdrum_consensus::{Member, Safeguards};
 use rand_core::Rng;
 
-use super::{CALM, Cluster, Faults};
+use super::{Cluster, Faults, NO_FAULTS};
 
-const ACTIONS: u64 = 120;
-const MAX_BURST: u64 = 16;
+const ACTION_COUNT: u64 = 120;
+const MAX_BURST_PROPOSALS: u64 = 16;
 const MAX_PAUSE_MILLIS: u64 = 500;
-const HEALING_MILLIS: u64 = 120_000;
+const RECOVERY_TIMEOUT_MILLIS: u64 = 120_000;
 
-/// What a schedule came to.
+/// The event counts of one or more schedules.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Report {
     pub steps: u64,
@@ -32,31 +32,37 @@
     }
 }
 
-/// Runs the schedule of a seed; panics where safety or progress is violated.
+/// Runs the schedule of a seed; panics on a violation of safety or progress.
 pub fn run(seed: u64) -> Report {
-    let (hosts, initial) = [(3, 3), (5, 3), (5, 5), (4, 3)][(seed % 4) as usize];
-    let mut cluster = Cluster::new(seed, hosts, initial, Rules::default());
+    let (hosts, initial_count) = [(3, 3), (5, 3), (5, 5), (4, 3)][(seed % 4) as usize];
+    let mut cluster = Cluster::new(seed, hosts, initial_count, Safeguards::default());
     let mut report = Report::default();
     cluster.run_until(20_000, |c| c.leader().is_some());
-    for _ in 0..ACTIONS {
-        act(&mut cluster, &mut report);
+    for _ in 0..ACTION_COUNT {
+        run_random_action(&mut cluster, &mut report);
         let pause = cluster.random.next_u64() % MAX_PAUSE_MILLIS;
         cluster.run_for(pause);
     }
     cluster.heal();
-    let whole = cluster.run_until(HEALING_MILLIS, |c| c.leader().is_some() && c.is_whole());
-    assert!(whole, "not repaired: {}", statuses(&cluster));
-    assert!(cluster.commit(), "no progress: {}", statuses(&cluster));
-    let caught_up = cluster.run_until(20_000, Cluster::is_whole);
-    assert!(caught_up, "a voter lags: {}", statuses(&cluster));
+    let is_repaired = cluster.run_until(RECOVERY_TIMEOUT_MILLIS, |c| {
+        c.leader().is_some() && c.is_fully_replicated()
+    });
+    assert!(is_repaired, "not repaired: {}", describe_hosts(&cluster));
+    assert!(
+        cluster.commit(),
+        "no progress: {}",
+        describe_hosts(&cluster)
+    );
+    let has_caught_up = cluster.run_until(20_000, Cluster::is_fully_replicated);
+    assert!(has_caught_up, "a voter lags: {}", describe_hosts(&cluster));
     report.steps = cluster.steps;
     report.elections = cluster.checker.elections;
     report.committed = cluster.checker.last_applied().0;
     report
 }
 
-/// One line a host, for the message of a failure.
-fn statuses(cluster: &Cluster) -> String {
+/// Describes the status of each host on one line, for failure messages.
+fn describe_hosts(cluster: &Cluster) -> String {
     let names = |members: &[Member]| members.iter().map(|m| m.id.to_string()).collect::<Vec<_>>();
     let line = |number: usize| {
         let Some(status) = cluster.status(number) else {
@@ -69,7 +75,7 @@
             status.term,
             status.commit,
             status.applied,
-            status.last,
+            status.last_index,
             names(&status.replicas.voters),
             names(&status.replicas.outgoing),
             names(&status.replicas.learners),
@@ -78,14 +84,14 @@
     (0..cluster.hosts.len()).map(line).collect()
 }
 
-fn act(cluster: &mut Cluster, report: &mut Report) {
+fn run_random_action(cluster: &mut Cluster, report: &mut Report) {
     cluster.observe();
     let count = cluster.hosts.len() as u64;
     let any = (cluster.random.next_u64() % count) as usize;
     let leader = cluster.leader().unwrap_or(any);
     match cluster.random.next_u64() % 100 {
         0..42 => {
-            let burst = cluster.random.next_u64() % MAX_BURST;
+            let burst = cluster.random.next_u64() % MAX_BURST_PROPOSALS;
             let target = if burst == 0 { any } else { leader };
             for _ in 0..=burst {
                 cluster.propose(target);
@@ -106,26 +112,26 @@
         58..72 => cluster.start(any),
         72..75 => cluster.isolate(leader),
         75..78 => {
-            cluster.cut.insert((any, leader));
+            cluster.cut_links.insert((any, leader));
         }
         78..80 => {
             cluster.paused.insert(leader);
         }
         80..83 => resume(cluster),
-        83 => cluster.resign(leader),
-        84..86 => cluster.cut.clear(),
-        86..89 => cluster.faults = CALM,
-        89..92 => cluster.faults = bad_weather(cluster),
-        92..96 if may_wipe(cluster, any) => {
+        83 => cluster.transfer_leadership(leader),
+        84..86 => cluster.cut_links.clear(),
+        86..89 => cluster.faults = NO_FAULTS,
+        89..92 => cluster.faults = random_faults(cluster),
+        92..96 if can_wipe(cluster, any) => {
             cluster.wipe(any);
             cluster.start(any);
             report.wipes += 1;
         }
         96..98 => {
-            cluster.hosts[any].disk_fails = true;
+            cluster.hosts[any].has_failing_disk = true;
         }
         98..100 => {
-            let voters = some_hosts(cluster);
+            let voters = choose_voters(cluster);
             cluster.change(leader, &voters);
             report.changes += 1;
         }
@@ -133,14 +139,14 @@
     }
 }
 
-/// Processes go on where they stood; the first thing they get is a read.
+/// Resumes all paused processes, each with a read as its first input.
 fn resume(cluster: &mut Cluster) {
     for number in std::mem::take(&mut cluster.paused) {
         cluster.read(number);
     }
 }
 
-fn bad_weather(cluster: &mut Cluster) -> Faults {
+fn random_faults(cluster: &mut Cluster) -> Faults {
     Faults {
         loss_percent: cluster.random.next_u64() % 30,
         duplicate_percent: cluster.random.next_u64() % 30,
@@ -149,17 +155,17 @@
     }
 }
 
-/// Three hosts, whichever.
-fn some_hosts(cluster: &mut Cluster) -> Vec<usize> {
+/// Chooses three hosts at random.
+fn choose_voters(cluster: &mut Cluster) -> Vec<usize> {
     let count = cluster.hosts.len();
     let start = (cluster.random.next_u64() % count as u64) as usize;
     (0..3).map(|offset| (start + offset) % count).collect()
 }
 
-/// A disk may be lost only while a majority of the voters' disks stays, as no system survives
-/// more. While a change is under way no further loss is provoked.
-fn may_wipe(cluster: &mut Cluster, victim: usize) -> bool {
-    let Some(voters) = cluster.settled_voters() else {
+/// Returns whether a disk may be lost: a majority of the voters' disks must remain, and no
+/// replica change may be in progress.
+fn can_wipe(cluster: &mut Cluster, victim: usize) -> bool {
+    let Some(voters) = cluster.committed_voters() else {
         return false;
     };
     let id = &cluster.hosts[victim].member.id;
--- a/crates/kumquatdrum_consensus/tests/common/view.rs
+++ b/crates/kumquatdrum_consensus/tests/common/view.rs
@@ -1,4 +1,4 @@
-//! What can be seen of a cluster from outside.
+//! Observes the state of a simulated cluster.
 
 use kumquatdrum_consensus::{Content, Entry, LogIndex, Member, Node, ReplicaId, Status};
 
@@ -9,7 +9,7 @@
         self.hosts[number].node.as_ref().map(Node::status)
     }
 
-    /// The leader of the highest term.
+    /// Returns the leader of the highest term.
     pub fn leader(&self) -> Option<usize> {
         let leads = |number: &usize| {
             self.hosts[*number]
@@ -21,42 +21,44 @@
         (0..self.hosts.len()).filter(leads).max_by_key(term)
     }
 
-    /// At most one replica may rely on its lease at a time.
+    /// Checks that at most one replica holds a lease.
     pub fn check_leases(&self, number: usize) {
-        let holds = |number: usize| {
+        let holds_lease = |number: usize| {
             let node = self.hosts[number].node.as_ref();
             let until = node.and_then(Node::lease_until);
             until.is_some_and(|until| until > self.clock(number))
         };
-        if holds(number) {
-            let holders = (0..self.hosts.len()).filter(|other| holds(*other)).count();
+        if holds_lease(number) {
+            let holders = (0..self.hosts.len())
+                .filter(|other| holds_lease(*other))
+                .count();
             assert_eq!(holders, 1, "two leases at once");
         }
     }
 
-    /// Learns which replicas were last committed, from all nodes that run. They only ever move on.
+    /// Updates the last committed replicas from all running nodes.
     pub fn observe(&mut self) {
         for number in 0..self.hosts.len() {
             let Some(status) = self.status(number) else {
                 continue;
             };
             let replicas = &status.replicas;
-            let settled = status.replicas_committed && !replicas.is_joint();
-            let formed = !replicas.voters.is_empty();
-            if settled && formed && status.replicas_index >= self.replicas.0 {
+            let is_committed = status.replicas_committed && !replicas.is_joint();
+            let has_formed = !replicas.voters.is_empty();
+            if is_committed && has_formed && status.replicas_index >= self.replicas.0 {
                 self.replicas = (status.replicas_index, status.replicas);
             }
         }
     }
 
-    /// The latest replicas that any node or disk names.
+    /// Returns the index of the latest replicas on any node or disk.
     pub fn latest_replicas_index(&self) -> LogIndex {
-        let names = |entry: &&Entry| matches!(entry.content, Content::Replicas(_));
+        let has_replicas = |entry: &&Entry| matches!(entry.content, Content::Replicas(_));
         let on_disk = |host: &Host| {
             host.disk
                 .entries
                 .iter()
-                .filter(names)
+                .filter(has_replicas)
                 .map(|e| e.index)
                 .max()
         };
@@ -68,21 +70,21 @@
             .unwrap_or_default()
     }
 
-    /// The voters last known as committed, unless a change may be under way.
-    pub fn settled_voters(&mut self) -> Option<Vec<ReplicaId>> {
+    /// Returns the voters last known to be committed, unless a change may be in progress.
+    pub fn committed_voters(&mut self) -> Option<Vec<ReplicaId>> {
         self.observe();
         let (index, replicas) = &self.replicas;
-        let settled = *index >= self.latest_replicas_index() && !replicas.voters.is_empty();
-        settled.then(|| replicas.voters.iter().map(|v| v.id.clone()).collect())
+        let is_committed = *index >= self.latest_replicas_index() && !replicas.voters.is_empty();
+        is_committed.then(|| replicas.voters.iter().map(|v| v.id.clone()).collect())
     }
 
-    /// The host of a replica, if that incarnation still exists.
+    /// Returns the host of a replica, if that incarnation still exists.
     pub fn host_of(&self, id: &ReplicaId) -> Option<usize> {
         self.hosts.iter().position(|host| host.member.id == *id)
     }
 
-    /// Whether a leader's voters all exist, and run, and have applied what it has.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether all voters of the leader are running and have applied as much as it has.
+    pub fn is_fully_replicated(&self) -> bool {
         let Some(leader) = self.leader() else {
             return false;
         };
