--- a/crates/kumquatdrum_consensus/tests/replicas.rs
+++ b/crates/kumquatdrum_consensus/tests/replicas.rs
@@ -1,4 +1,4 @@
-//! Changes of the replicas, asked for or made by the leader itself.
+//! Replica changes, requested or made by the leader itself.
 
 mod common;
 
@@ -18,11 +18,11 @@
 }
 
 fn voters(cluster: &mut Cluster) -> BTreeSet<ReplicaId> {
-    cluster.settled_voters().unwrap().into_iter().collect()
+    cluster.committed_voters().unwrap().into_iter().collect()
 }
 
 #[test]
-fn the_voters_can_be_replaced_one_and_all() {
+fn some_or_all_voters_can_be_replaced() {
     let mut cluster = Cluster::formed(1, 6, 3);
     assert!(cluster.commit());
     for target in [[0, 1, 3], [3, 4, 5], [0, 1, 2]] {
@@ -32,14 +32,14 @@
             "{outcome:?}"
         );
         let expected = target.map(|number| cluster.hosts[number].member.id.clone());
-        assert!(cluster.run_until(20_000, |c| c.leader().is_some() && c.is_whole()));
+        assert!(cluster.run_until(20_000, |c| c.leader().is_some() && c.is_fully_replicated()));
         assert_eq!(voters(&mut cluster), expected.into());
         assert!(cluster.commit());
     }
 }
 
 #[test]
-fn a_replica_that_never_comes_is_given_up() {
+fn a_change_to_a_replica_that_never_joins_is_aborted() {
     let mut cluster = Cluster::formed(2, 4, 3);
     let before = voters(&mut cluster);
     cluster.crash(3);
@@ -51,14 +51,14 @@
     cluster.wipe(victim);
     cluster.start(victim);
     assert!(
-        cluster.run_until(20_000, Cluster::is_whole),
-        "a lost disk is repaired after it"
+        cluster.run_until(20_000, Cluster::is_fully_replicated),
+        "a lost disk is not repaired after the aborted change"
     );
 }
 
-/// A learner that is gone for good holds up the repair of no other host.
+/// A learner that never catches up must not block the repair of another host.
 #[test]
-fn a_dead_successor_holds_up_no_other_repair() {
+fn a_failed_learner_does_not_block_other_repairs() {
     let mut cluster = Cluster::formed(3, 5, 5);
     assert!(cluster.commit());
     let leader = cluster.leader().unwrap();
@@ -66,7 +66,7 @@
     cluster.wipe(first);
     cluster.start(first);
     let id = cluster.hosts[first].member.id.clone();
-    let listed = |c: &Cluster| {
+    let is_learner = |c: &Cluster| {
         let status = c.status(leader).unwrap();
         status
             .replicas
@@ -74,18 +74,19 @@
             .iter()
             .any(|learner| learner.id == id)
     };
-    assert!(cluster.run_until(20_000, listed));
+    assert!(cluster.run_until(20_000, is_learner));
     cluster.crash(first);
     cluster.wipe(second);
     cluster.start(second);
     let id = cluster.hosts[second].member.id.clone();
-    let voting = |c: &Cluster| c.status(leader).unwrap().replicas.is_voter(&id);
-    assert!(cluster.run_until(20_000, voting));
+    let is_voter = |c: &Cluster| c.status(leader).unwrap().replicas.is_voter(&id);
+    assert!(cluster.run_until(20_000, is_voter));
 }
 
-/// A newly elected leader knows nothing as committed; an empty learner has not caught up with it.
+/// A newly elected leader does not know the commit index; an empty learner must not count as
+/// caught up with it.
 #[test]
-fn an_empty_learner_becomes_no_voter() {
+fn an_empty_learner_does_not_become_a_voter() {
     for seed in 0..20 {
         let mut cluster = Cluster::formed(seed, 4, 3);
         let leader = cluster.leader().unwrap();
