--- a/crates/kumquatdrum_consensus/src/change.rs
+++ b/crates/kumquatdrum_consensus/src/change.rs
@@ -9,7 +9,7 @@
 
 /// A requested change of the voters.
 #[derive(Debug)]
-pub(crate) struct ReplicaChange {
+pub(crate) struct Change {
     pub(crate) token: Token,
     voters: Vec<Member>,
     deadline: Moment,
@@ -23,7 +23,7 @@
         let deadline = self.now + self.settings.change_timeout;
         let outcome = match &mut self.role {
             Role::Leader(leading) if leading.pending_change.is_none() && !voters.is_empty() => {
-                leading.pending_change = Some(ReplicaChange {
+                leading.pending_change = Some(Change {
                     token,
                     voters,
                     deadline,
@@ -65,7 +65,7 @@
         }
         let is_predecessor =
             |target: &Member| target.id.host == member.id.host && target.id != member.id;
-        let is_obsolete = |change: &ReplicaChange| change.voters.iter().any(is_predecessor);
+        let is_obsolete = |change: &Change| change.voters.iter().any(is_predecessor);
         let aborted = leader.pending_change.take_if(|change| is_obsolete(change));
         leader.joining.insert(member.id.host.clone(), member);
         if let Some(change) = aborted {
@@ -108,7 +108,7 @@
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let is_reached = |change: &mut ReplicaChange| {
+        let is_reached = |change: &mut Change| {
             let mut voters = replicas.voters.clone();
             voters.sort();
             voters == change.voters
--- a/crates/kumquatdrum_consensus/src/durability.rs
+++ b/crates/kumquatdrum_consensus/src/durability.rs
@@ -7,7 +7,7 @@
 
 /// An action that is deferred until the current state is persisted.
 #[derive(Debug)]
-pub(crate) enum DeferredAction {
+pub(crate) enum Action {
     /// Send a message.
     Send(HostId, Message),
     /// Count the candidate's vote for itself.
@@ -31,8 +31,8 @@
     is_hard_state_dirty: bool,
     truncate_from: Option<LogIndex>,
     snapshot: Option<Snapshot>,
-    deferred: Vec<DeferredAction>,
-    deferred_in_flight: Vec<DeferredAction>,
+    deferred: Vec<Action>,
+    deferred_in_flight: Vec<Action>,
 }
 
 impl Durability {
@@ -86,7 +86,7 @@
     }
 
     /// Defers an action until all changes so far are persisted.
-    pub(crate) fn defer(&mut self, action: DeferredAction) {
+    pub(crate) fn defer(&mut self, action: Action) {
         self.deferred.push(action);
     }
 
@@ -136,7 +136,7 @@
 
     /// Marks the batch in flight as persisted and returns the actions deferred for it; ignores
     /// other sequence numbers.
-    pub(crate) fn finish_batch(&mut self, sequence: u64) -> Vec<DeferredAction> {
+    pub(crate) fn finish_batch(&mut self, sequence: u64) -> Vec<Action> {
         if !self.has_batch_in_flight || sequence != self.sequence {
             return Vec::new();
         }
--- a/crates/kumquatdrum_consensus/src/election.rs
+++ b/crates/kumquatdrum_consensus/src/election.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexSet;
 use kumquatdrum_types::Moment;
 
-use crate::durability::DeferredAction;
+use crate::durability;
 use crate::node::{Node, Role};
 use crate::{Body, ReplicaId, StepDownReason, Term, VoteRequest};
 
@@ -79,7 +79,7 @@
         self.durability.mark_hard_state_dirty();
         self.role = Role::Candidate(Votes::default());
         self.durability
-            .defer(DeferredAction::CountOwnVote(self.hard_state.term));
+            .defer(durability::Action::CountOwnVote(self.hard_state.term));
         let request = VoteRequest {
             is_leadership_transfer,
             ..self.vote_request(self.hard_state.term)
--- a/crates/kumquatdrum_consensus/src/follower.rs
+++ b/crates/kumquatdrum_consensus/src/follower.rs
@@ -1,6 +1,6 @@
 //! The follower side of replication: entries, the commit index and snapshots.
 
-use crate::durability::DeferredAction;
+use crate::durability;
 use crate::node::{Node, Role};
 use crate::{
     Append, AppendAck, Body, ClusterId, LogIndex, Probe, Rejection, ReplicaId, Snapshot,
@@ -9,7 +9,7 @@
 
 /// A partially received snapshot.
 #[derive(Debug)]
-pub(crate) struct IncomingSnapshot {
+pub(crate) struct Transfer {
     term: Term,
     header: Snapshot,
     data: Vec<u8>,
@@ -182,11 +182,10 @@
 
     /// Adds a chunk to the incoming snapshot, and installs the snapshot once it is complete.
     fn collect_chunk(&mut self, from: &ReplicaId, chunk: SnapshotChunk) {
-        let is_same =
-            |known: &IncomingSnapshot| known.term == chunk.term && known.header == chunk.header;
+        let is_same = |known: &Transfer| known.term == chunk.term && known.header == chunk.header;
         let mut incoming = match self.incoming_snapshot.take() {
             Some(known) if is_same(&known) => known,
-            _ => IncomingSnapshot {
+            _ => Transfer {
                 term: chunk.term,
                 header: chunk.header,
                 data: Vec::new(),
@@ -211,7 +210,7 @@
         self.send_for_cluster(cluster, from, answer);
     }
 
-    fn install_snapshot(&mut self, from: &ReplicaId, incoming: IncomingSnapshot, probe: Probe) {
+    fn install_snapshot(&mut self, from: &ReplicaId, incoming: Transfer, probe: Probe) {
         let snapshot = Snapshot {
             data: incoming.data.into(),
             ..incoming.header
@@ -232,7 +231,7 @@
             reject: None,
             probe,
         };
-        self.durability.defer(DeferredAction::Restore(snapshot));
+        self.durability.defer(durability::Action::Restore(snapshot));
         self.send_after_sync(from, Body::AppendAck(ack));
     }
 }
--- a/crates/kumquatdrum_consensus/src/leader.rs
+++ b/crates/kumquatdrum_consensus/src/leader.rs
@@ -5,10 +5,10 @@
 use indexmap::IndexMap;
 use kumquatdrum_types::{HostId, Moment};
 
-use crate::change::ReplicaChange;
+use crate::change;
 use crate::node::{Node, Role};
 use crate::progress::Progress;
-use crate::read::PendingRead;
+use crate::read;
 use crate::{
     Body, Content, Entry, LogIndex, Member, Output, Proposal, ProposalOutcome, ReplicaId,
     StepDownReason, Term, Token,
@@ -28,16 +28,16 @@
     pub(crate) commit_at_heartbeat: LogIndex,
     /// Size of the uncommitted entries.
     uncommitted_bytes: usize,
-    pending_proposals: VecDeque<PendingProposal>,
-    pub(crate) pending_reads: VecDeque<PendingRead>,
+    pending_proposals: VecDeque<Waiter>,
+    pub(crate) pending_reads: VecDeque<read::Request>,
     /// New incarnations of voters' hosts that are to become learners.
     pub(crate) joining: IndexMap<HostId, Member>,
-    pub(crate) pending_change: Option<ReplicaChange>,
+    pub(crate) pending_change: Option<change::Change>,
 }
 
-/// A proposal whose entry is not committed and applied yet.
+/// A proposal that awaits the commit and application of its entry.
 #[derive(Debug)]
-struct PendingProposal {
+struct Waiter {
     index: LogIndex,
     token: Token,
 }
@@ -249,9 +249,7 @@
         let index = self.append(Content::Payload(proposal.payload));
         if let Role::Leader(leader) = &mut self.role {
             let token = proposal.token;
-            leader
-                .pending_proposals
-                .push_back(PendingProposal { index, token });
+            leader.pending_proposals.push_back(Waiter { index, token });
         }
     }
 
@@ -293,8 +291,8 @@
         let done = leader
             .pending_proposals
             .partition_point(|proposal| proposal.index <= applied);
-        let done: Vec<PendingProposal> = leader.pending_proposals.drain(..done).collect();
-        for PendingProposal { index, token } in done {
+        let done: Vec<Waiter> = leader.pending_proposals.drain(..done).collect();
+        for Waiter { index, token } in done {
             self.report_outcome(token, ProposalOutcome::Committed { index });
         }
     }
--- a/crates/kumquatdrum_consensus/src/node.rs
+++ b/crates/kumquatdrum_consensus/src/node.rs
@@ -4,9 +4,9 @@
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-use crate::durability::{DeferredAction, Durability};
+use crate::durability::{self, Durability};
 use crate::election::Votes;
-use crate::follower::IncomingSnapshot;
+use crate::follower;
 use crate::formation::Formation;
 use crate::leader::Leader;
 use crate::log::Log;
@@ -47,7 +47,7 @@
     pub(crate) verified_index: LogIndex,
     /// The latest probe of the current leader.
     pub(crate) probe: Probe,
-    pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
+    pub(crate) incoming_snapshot: Option<follower::Transfer>,
     pub(crate) formation: Formation,
     pub(crate) is_halted: bool,
     /// The last applied entry when a snapshot was last requested.
@@ -251,9 +251,9 @@
         let before = self.durability.persisted();
         for action in self.durability.finish_batch(sequence) {
             match action {
-                DeferredAction::Send(to, message) => self.output(Output::Send { to, message }),
-                DeferredAction::CountOwnVote(term) => self.on_own_vote(term),
-                DeferredAction::Restore(snapshot) => self.restore(snapshot),
+                durability::Action::Send(to, message) => self.output(Output::Send { to, message }),
+                durability::Action::CountOwnVote(term) => self.on_own_vote(term),
+                durability::Action::Restore(snapshot) => self.restore(snapshot),
             }
         }
         if self.durability.persisted() > before {
@@ -421,7 +421,7 @@
         }
         let message = self.message(to, body);
         self.durability
-            .defer(DeferredAction::Send(to.host.clone(), message));
+            .defer(durability::Action::Send(to.host.clone(), message));
     }
 
     /// Sends a message to any incarnation on a host.
--- a/crates/kumquatdrum_consensus/src/progress.rs
+++ b/crates/kumquatdrum_consensus/src/progress.rs
@@ -8,7 +8,7 @@
 
 /// The transfer of a snapshot to a follower.
 #[derive(Debug)]
-pub(crate) struct SnapshotTransfer {
+pub(crate) struct Transfer {
     pub(crate) snapshot: Snapshot,
     pub(crate) offset: u64,
     pub(crate) sent_at: Moment,
@@ -27,7 +27,7 @@
     pub(crate) has_probe_in_flight: bool,
     /// The last entry of each unacknowledged message.
     pub(crate) in_flight: VecDeque<LogIndex>,
-    pub(crate) snapshot_transfer: Option<SnapshotTransfer>,
+    pub(crate) snapshot_transfer: Option<Transfer>,
     /// The latest heartbeat round that the follower answered.
     pub(crate) round: u64,
     /// The send time of the latest answered message.
@@ -85,7 +85,7 @@
         self.is_probing = false;
         self.has_probe_in_flight = false;
         self.in_flight.retain(|last| *last > reached);
-        let is_done = |transfer: &SnapshotTransfer| transfer.snapshot.index <= reached;
+        let is_done = |transfer: &Transfer| transfer.snapshot.index <= reached;
         if self.snapshot_transfer.as_ref().is_some_and(is_done) {
             self.snapshot_transfer = None;
         }
--- a/crates/kumquatdrum_consensus/src/read.rs
+++ b/crates/kumquatdrum_consensus/src/read.rs
@@ -5,7 +5,7 @@
 
 /// A read that awaits confirmation.
 #[derive(Debug)]
-pub(crate) struct PendingRead {
+pub(crate) struct Request {
     pub(crate) token: Token,
     /// The last entry committed at the request, or the term's first entry if that is later.
     index: LogIndex,
@@ -26,7 +26,7 @@
             .pending_reads
             .iter()
             .any(|read| read.round <= leader.round);
-        leader.pending_reads.push_back(PendingRead {
+        leader.pending_reads.push_back(Request {
             token,
             index,
             round,
@@ -61,7 +61,7 @@
             .iter()
             .take_while(|r| r.round <= confirmed && r.index <= applied);
         let done = done.count();
-        let done: Vec<PendingRead> = leader.pending_reads.drain(..done).collect();
+        let done: Vec<Request> = leader.pending_reads.drain(..done).collect();
         let round = leader.round;
         let needs_new_round = leader
             .pending_reads
--- a/crates/kumquatdrum_consensus/src/replication.rs
+++ b/crates/kumquatdrum_consensus/src/replication.rs
@@ -1,7 +1,7 @@
 //! The leader side of replication: heartbeats, entries, snapshots and their acknowledgements.
 
 use crate::node::{Node, Role};
-use crate::progress::SnapshotTransfer;
+use crate::progress;
 use crate::{Append, AppendAck, Body, LogIndex, Probe, ReplicaId, Snapshot, SnapshotChunk, Term};
 
 impl Node {
@@ -140,7 +140,7 @@
         };
         if let Some(progress) = leader.peers.get_mut(peer) {
             progress.in_flight.clear();
-            progress.snapshot_transfer = Some(SnapshotTransfer {
+            progress.snapshot_transfer = Some(progress::Transfer {
                 snapshot,
                 offset: 0,
                 sent_at: now,
