--- a/crates/kumquatdrum_consensus/src/event.rs
+++ b/crates/kumquatdrum_consensus/src/event.rs
@@ -106,7 +106,7 @@
         leader: Option<ReplicaId>,
     },
     /// Ask the application for a snapshot, at a time of its choice, to compact the log.
-    SnapshotWanted,
+    SnapshotRequested,
     /// This replica has become the leader.
     BecameLeader {
         /// The term that it leads.
--- a/crates/kumquatdrum_consensus/src/node.rs
+++ b/crates/kumquatdrum_consensus/src/node.rs
@@ -346,7 +346,7 @@
             && since_request > retry_entries.min(since_snapshot / 4)
         {
             self.last_snapshot_request = self.applied;
-            self.output(Output::SnapshotWanted);
+            self.output(Output::SnapshotRequested);
         }
     }
 
--- a/crates/kumquatdrum_consensus/tests/common/mod.rs
+++ b/crates/kumquatdrum_consensus/tests/common/mod.rs
@@ -407,7 +407,7 @@
                 host.applied = snapshot.index;
                 host.hash = self.checker.check_restore(&snapshot);
             }
-            Output::SnapshotWanted => {
+            Output::SnapshotRequested => {
                 let host = &self.hosts[number];
                 let data = checker::encode_snapshot(host.hash);
                 let index = host.node.as_ref().expect("node is running").applied();
--- a/crates/kumquatdrum_gateway/src/replica.rs
+++ b/crates/kumquatdrum_gateway/src/replica.rs
@@ -340,7 +340,7 @@
             Output::ReadRefused { token, leader } => {
                 self.unconfirmed(token, leader.map(|leader| leader.host));
             }
-            Output::SnapshotWanted => self.snapshot(),
+            Output::SnapshotRequested => self.snapshot(),
             Output::BecameLeader { term } => {
                 self.silent.clear();
                 self.parts.meters.leader.set(1);
--- a/crates/kumquatdrum_host/src/control/machine.rs
+++ b/crates/kumquatdrum_host/src/control/machine.rs
@@ -288,7 +288,7 @@
             Output::Proposed { token, outcome } => self.proposed(token, outcome),
             Output::ReadConfirmed { token, .. } => self.confirmed(token),
             Output::ReadRefused { token, leader } => self.refused(token, leader),
-            Output::SnapshotWanted => {
+            Output::SnapshotRequested => {
                 let index = LogIndex(self.state.applied());
                 let data = Bytes::from(self.state.encode());
                 self.step(Input::Snapshot { index, data });
