--- a/crates/kumquatdrum_host/benches/control.rs
+++ b/crates/kumquatdrum_host/benches/control.rs
@@ -12,7 +12,7 @@
 use kumquatdrum_host::Host;
 use kumquatdrum_host::embedded::{self, Spec};
 use kumquatdrum_peer::Channel;
-use kumquatdrum_setup::{ApplyAnswer, Claim, ClaimAnswer, Digest, Request};
+use kumquatdrum_setup::{ApplyAnswer, ApplyRequest, Claim, ClaimAnswer, Digest};
 use kumquatdrum_types::{AttemptId, HostId, IdempotencyKey, Version, WorkspaceName};
 
 const APPLIES: u64 = 60;
@@ -50,7 +50,7 @@
 }
 
 async fn apply(hosts: &[Host], base: u64, workspaces: u64) -> Duration {
-    let request = Request::new("bench", Version(base), declaration(base, workspaces));
+    let request = ApplyRequest::new("bench", Version(base), declaration(base, workspaces));
     loop {
         let accepted = hosts[0].control().apply(request.clone()).await;
         let started = Instant::now();
--- a/crates/kumquatdrum_host/src/control/link.rs
+++ b/crates/kumquatdrum_host/src/control/link.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use kumquatdrum_peer::{Channel, Client};
-use kumquatdrum_setup::claim::Held;
+use kumquatdrum_setup::claim::Holder;
 use kumquatdrum_setup::control::{Page, Reply, Status};
 use kumquatdrum_setup::{
-    ApplyAnswer, Claim, ClaimAnswer, Control, Digest, Failure, Request, Selector, SettleAnswer,
-    Settlement, Shown, Standing,
+    ApplyAnswer, ApplyRequest, Claim, ClaimAnswer, Control, Digest, Failure, Revision, Selector,
+    SettleAnswer, Settlement, Standing,
 };
 use kumquatdrum_types::{HostId, IdempotencyKey, Version, WorkspaceName};
 use parking_lot::Mutex;
@@ -90,7 +90,7 @@
                         *self.leader.lock() = Some(host);
                         return Ok(answer);
                     }
-                    Err(Failure::NotCurrent { leader }) => {
+                    Err(Failure::NotLeader { leader }) => {
                         let hint = leader.filter(|leader| *leader != host);
                         let is_new = hint.is_some() && *self.leader.lock() != hint;
                         if is_new {
@@ -141,9 +141,9 @@
         }
     }
 
-    fn last_known(&self) -> Option<Shown> {
+    fn last_known(&self) -> Option<Revision> {
         let current = self.in_force.current()?;
-        Some(Shown {
+        Some(Revision {
             version: current.offer.version,
             digest: current.offer.digest,
             accepted_unix_ms: current.offer.accepted_unix_ms,
@@ -158,7 +158,7 @@
         }
     }
 
-    async fn show_current(&self, selector: Selector) -> Result<Shown, Failure> {
+    async fn show_current(&self, selector: Selector) -> Result<Revision, Failure> {
         match self.ask(Question::Show(selector)).await {
             Ok(Answer::Show(shown)) => Ok(shown),
             Ok(_) => Err(Failure::Unavailable),
@@ -168,7 +168,7 @@
     }
 
     /// Without a majority this host still knows the version that it goes by.
-    fn fall_back(&self, selector: Selector) -> Option<Shown> {
+    fn fall_back(&self, selector: Selector) -> Option<Revision> {
         let shown = self.last_known()?;
         match selector {
             Selector::Current => Some(shown),
@@ -215,11 +215,11 @@
 }
 
 impl Control for Link {
-    fn apply(&self, request: Request) -> Reply<'_, ApplyAnswer> {
+    fn apply(&self, request: ApplyRequest) -> Reply<'_, ApplyAnswer> {
         expect!(self.ask(Question::Apply(request)), Answer::Apply)
     }
 
-    fn show(&self, selector: Selector) -> Reply<'_, Shown> {
+    fn show(&self, selector: Selector) -> Reply<'_, Revision> {
         Box::pin(self.show_current(selector))
     }
 
@@ -240,7 +240,7 @@
         expect!(self.ask(Question::Settle(settlements)), Answer::Settle)
     }
 
-    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Held>> {
+    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Holder>> {
         let question = Question::Key(workspace.clone(), key.clone());
         expect!(self.ask(question), Answer::Key)
     }
--- a/crates/kumquatdrum_host/src/control/machine.rs
+++ b/crates/kumquatdrum_host/src/control/machine.rs
@@ -13,9 +13,9 @@
 use kumquatdrum_orders::Leadership;
 use kumquatdrum_peer::{Channel, Client};
 use kumquatdrum_process::Metrics;
-use kumquatdrum_setup::state::Prepared;
+use kumquatdrum_setup::state::Preparation;
 use kumquatdrum_setup::{
-    Action, Answer as Applied, Claim, Command, Failure, Settlement, Stamper, Standing, State,
+    Action, Answer as Applied, Claim, Command, Failure, Settlement, Stamper, Standing, StateMachine,
 };
 use kumquatdrum_types::{HostId, Moment, Version};
 use slog::{error, info};
@@ -83,14 +83,14 @@
 }
 
 enum Read {
-    Apply(Box<kumquatdrum_setup::Request>),
+    Apply(Box<kumquatdrum_setup::ApplyRequest>),
     Question(Box<Question>),
 }
 
 /// One replica.
 pub struct Machine {
     parts: Parts,
-    state: State,
+    state: StateMachine,
     stamper: Stamper,
     wake: Moment,
     told: Version,
@@ -158,7 +158,7 @@
     pub fn new(parts: Parts) -> Self {
         Self {
             parts,
-            state: State::default(),
+            state: StateMachine::default(),
             stamper: Stamper::default(),
             wake: Moment::ZERO,
             told: Version(0),
@@ -230,7 +230,7 @@
     fn question(&mut self, question: Question, sender: oneshot::Sender<Outcome>) {
         if !self.parts.node.is_leader() {
             let leader = self.parts.node.leader().map(|leader| leader.host.clone());
-            let _ = sender.send(Err(Failure::NotCurrent { leader }));
+            let _ = sender.send(Err(Failure::NotLeader { leader }));
             return;
         }
         match question {
@@ -340,10 +340,10 @@
 
     fn restore(&mut self, index: LogIndex, data: &[u8]) {
         if data.is_empty() {
-            self.state = State::default();
+            self.state = StateMachine::default();
             self.state.skip(index.0);
         } else {
-            match State::restore(data) {
+            match StateMachine::restore(data) {
                 Ok(state) => self.state = state,
                 Err(reason) => {
                     self.halted = true;
@@ -393,10 +393,10 @@
         };
         match read {
             Read::Apply(request) => match self.state.prepare(&request) {
-                Prepared::Answered(answer) => {
+                Preparation::Answered(answer) => {
                     let _ = sender.send(Ok(Answer::Apply(answer)));
                 }
-                Prepared::Propose(action) => self.propose(action, Waiting::Apply(sender)),
+                Preparation::Propose(action) => self.propose(action, Waiting::Apply(sender)),
             },
             Read::Question(question) => {
                 let _ = sender.send(answered(&self.state, &question, Standing::Confirmed));
@@ -412,7 +412,7 @@
 }
 
 fn not_current(leader: Option<ReplicaId>) -> Failure {
-    Failure::NotCurrent {
+    Failure::NotLeader {
         leader: leader.map(|leader| leader.host),
     }
 }
--- a/crates/kumquatdrum_host/src/control/question.rs
+++ b/crates/kumquatdrum_host/src/control/question.rs
@@ -1,9 +1,10 @@
 //! What hosts ask the leading replica.
 
-use kumquatdrum_setup::claim::Held;
+use kumquatdrum_setup::claim::Holder;
 use kumquatdrum_setup::control::Page;
 use kumquatdrum_setup::{
-    ApplyAnswer, Claim, ClaimAnswer, Failure, Request, Selector, SettleAnswer, Settlement, Shown,
+    ApplyAnswer, ApplyRequest, Claim, ClaimAnswer, Failure, Revision, Selector, SettleAnswer,
+    Settlement,
 };
 use kumquatdrum_types::{IdempotencyKey, WorkspaceName};
 use serde::{Deserialize, Serialize};
@@ -12,7 +13,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Question {
     /// Apply a declaration.
-    Apply(Request),
+    Apply(ApplyRequest),
     /// Read a declaration back.
     Show(Selector),
     /// A page of the audit trail.
@@ -36,7 +37,7 @@
     /// To an apply.
     Apply(ApplyAnswer),
     /// To a read.
-    Show(Shown),
+    Show(Revision),
     /// To a question for the trail.
     Audit(Page),
     /// To claims.
@@ -44,7 +45,7 @@
     /// To settlements.
     Settle(Vec<SettleAnswer>),
     /// To a question for a key.
-    Key(Option<Held>),
+    Key(Option<Holder>),
 }
 
 /// An answer, or why there is none.
--- a/crates/kumquatdrum_host/src/control/reply.rs
+++ b/crates/kumquatdrum_host/src/control/reply.rs
@@ -1,7 +1,7 @@
 //! Answers to those who wait for the log.
 
 use kumquatdrum_setup::control::Page;
-use kumquatdrum_setup::{Answer as Applied, Failure, Standing, State};
+use kumquatdrum_setup::{Answer as Applied, Failure, Standing, StateMachine};
 use tokio::sync::oneshot;
 
 use super::question::Outcome;
@@ -80,7 +80,7 @@
 }
 
 /// Answers a read from a state.
-pub(super) fn answered(state: &State, question: &Question, standing: Standing) -> Outcome {
+pub(super) fn answered(state: &StateMachine, question: &Question, standing: Standing) -> Outcome {
     match question {
         Question::Show(selector) => state
             .show(*selector, standing)
@@ -100,7 +100,7 @@
         Question::Key(workspace, key) => {
             let entry = state.claims().get(workspace, key);
             Ok(Answer::Key(
-                entry.map(kumquatdrum_setup::claim::Entry::held),
+                entry.map(kumquatdrum_setup::claim::Entry::holder),
             ))
         }
         Question::Apply(_) | Question::Claim(_) | Question::Settle(_) => Err(Failure::Unavailable),
--- a/crates/kumquatdrum_host/src/embedded.rs
+++ b/crates/kumquatdrum_host/src/embedded.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use kumquatdrum_setup::{ApplyAnswer, Failure, Request};
+use kumquatdrum_setup::{ApplyAnswer, ApplyRequest, Failure};
 use kumquatdrum_types::{DataCentre, HostId, Version, digest};
 
 use crate::host::{Host, StartError};
@@ -107,7 +107,7 @@
 /// Applies a declaration over a version and waits until all hosts go by it.
 pub async fn apply(hosts: &[Host], base: Version, text: &str) -> Result<ApplyAnswer, Failure> {
     let first = hosts.first().ok_or(Failure::Unavailable)?;
-    let request = Request::new("embedded", base, text);
+    let request = ApplyRequest::new("embedded", base, text);
     let answer = first.control().apply(request).await?;
     if let ApplyAnswer::Accepted { version } = answer {
         for host in hosts {
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -262,7 +262,7 @@
     blocks.into_iter().map(routing::BlockHash).collect()
 }
 
-fn state_name(held: &kumquatdrum_setup::claim::Held) -> String {
+fn state_name(held: &kumquatdrum_setup::claim::Holder) -> String {
     match serde_json::to_value(held.settled) {
         Ok(serde_json::Value::String(name)) => name,
         _ => "unknown".to_owned(),
--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -6,8 +6,8 @@
 use futures::future::join_all;
 use kumquatdrum_caller::admission::Problem;
 use kumquatdrum_daemon::flight::Ending;
-use kumquatdrum_setup::claim::Held;
-use kumquatdrum_setup::{Claim, ClaimAnswer, Failure, Settled, Settlement};
+use kumquatdrum_setup::claim::Holder;
+use kumquatdrum_setup::{AttemptStatus, Claim, ClaimAnswer, Failure, Settlement};
 use kumquatdrum_types::exchange::{State, Target};
 use kumquatdrum_types::{
     AttemptId, Class, IdempotencyKey, Moment, Refusal, RequestId, ServiceName, WorkspaceName,
@@ -58,7 +58,7 @@
         let claims = vec![self.claim.clone()];
         match timeout(left, shell.control.claim(claims)).await {
             Ok(Ok(answers)) => self.answered(shell, answers.into_iter().next()).await,
-            Ok(Err(Failure::Unavailable | Failure::NotCurrent { .. })) => {
+            Ok(Err(Failure::Unavailable | Failure::NotLeader { .. })) => {
                 Claimed::Refused(Refusal::ClaimUnavailable, None)
             }
             Ok(Err(_)) | Err(_) => {
@@ -83,9 +83,9 @@
     }
 
     /// The key's earlier request is looked for at the engines.
-    async fn held(&self, shell: &Arc<Shell>, held: Held) -> Claimed {
+    async fn held(&self, shell: &Arc<Shell>, held: Holder) -> Claimed {
         let followed = match held.settled {
-            Settled::NotRun => return Claimed::Refused(Refusal::ClaimUnavailable, None),
+            AttemptStatus::NotRun => return Claimed::Refused(Refusal::ClaimUnavailable, None),
             _ if !self.resumable => None,
             _ => self.seek(shell, &held.attempt).await,
         };
@@ -96,18 +96,18 @@
     }
 
     /// Where a claim's host is dead and no engine knows the attempt, nobody will ever learn more.
-    fn taken_over(&self, shell: &Arc<Shell>, held: &Held) -> Settled {
+    fn taken_over(&self, shell: &Arc<Shell>, held: &Holder) -> AttemptStatus {
         let is_orphan = !shell.members.live_hosts().contains(&held.host);
-        if held.settled != Settled::Running || !is_orphan {
+        if held.settled != AttemptStatus::Running || !is_orphan {
             return held.settled;
         }
         let mut orphan = self.clone();
         orphan.claim.attempt = held.attempt.clone();
         let shared = Arc::clone(shell);
         shell.requests.spawn(async move {
-            orphan.keep_settling(&shared, Settled::Unknown).await;
+            orphan.keep_settling(&shared, AttemptStatus::Unknown).await;
         });
-        Settled::Unknown
+        AttemptStatus::Unknown
     }
 
     async fn seek(&self, shell: &Shell, request: &AttemptId) -> Option<(Target, AttemptId)> {
@@ -132,13 +132,13 @@
     /// Tells the log how the request ended, before the caller is told where that is quick.
     pub async fn settle(self, shell: &Arc<Shell>, ending: &Ending) {
         let settled = match ending {
-            Ending::Finished => Settled::Finished,
+            Ending::Finished => AttemptStatus::Finished,
             Ending::NotRun {
                 refusal: Refusal::ClaimUnavailable,
                 ..
             } => return,
-            Ending::NotRun { .. } => Settled::NotRun,
-            Ending::Failed(_) | Ending::Unknown(_) | Ending::CallerGone => Settled::Unknown,
+            Ending::NotRun { .. } => AttemptStatus::NotRun,
+            Ending::Failed(_) | Ending::Unknown(_) | Ending::CallerGone => AttemptStatus::Unknown,
         };
         let job = shell.requests.spawn({
             let shell = Arc::clone(shell);
@@ -147,7 +147,7 @@
         let _ = timeout(SETTLE_BEFORE_ANSWER, job).await;
     }
 
-    async fn keep_settling(self, shell: &Shell, settled: Settled) {
+    async fn keep_settling(self, shell: &Shell, settled: AttemptStatus) {
         let settlement = Settlement {
             workspace: self.claim.workspace.clone(),
             key: self.claim.key.clone(),
@@ -173,7 +173,7 @@
             let mut patience = Patience::new();
             while patience.lasts(&shared).await {
                 if shared.control.claim(vec![self.claim.clone()]).await.is_ok() {
-                    return self.keep_settling(&shared, Settled::NotRun).await;
+                    return self.keep_settling(&shared, AttemptStatus::NotRun).await;
                 }
             }
         });
@@ -210,15 +210,15 @@
 }
 
 /// What a caller is told of a key whose request can't be followed.
-fn standing(settled: Settled) -> Problem {
+fn standing(settled: AttemptStatus) -> Problem {
     match settled {
-        Settled::Finished => told(
+        AttemptStatus::Finished => told(
             "key_finished",
             409,
             Class::Failed,
             "the key's request ran to its end; its answer is no longer held",
         ),
-        Settled::Running => {
+        AttemptStatus::Running => {
             let mut problem = told(
                 "key_running",
                 409,
@@ -228,7 +228,7 @@
             problem.retry_after_ms = Some(1_000);
             problem
         }
-        Settled::NotRun | Settled::Unknown => told(
+        AttemptStatus::NotRun | AttemptStatus::Unknown => told(
             "key_unknown",
             409,
             Class::Unknown,
@@ -251,7 +251,7 @@
     }
     match shell.control.key(workspace, key).await {
         Ok(None) => problem,
-        Ok(Some(held)) if held.settled == Settled::NotRun => problem,
+        Ok(Some(held)) if held.settled == AttemptStatus::NotRun => problem,
         Ok(Some(held)) => standing(held.settled),
         Err(_) => Problem::refused(Refusal::ClaimUnavailable, None, problem.request),
     }
--- a/crates/kumquatdrum_host/src/peers.rs
+++ b/crates/kumquatdrum_host/src/peers.rs
@@ -61,7 +61,7 @@
         Box::pin(async move {
             let outcome = match &self.replica {
                 Some(replica) => replica.ask(question).await,
-                None => Err(Failure::NotCurrent { leader: None }),
+                None => Err(Failure::NotLeader { leader: None }),
             };
             let body = postcard::to_allocvec(&outcome);
             body.map(Bytes::from)
--- a/crates/kumquatdrum_operator/src/client.rs
+++ b/crates/kumquatdrum_operator/src/client.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kumquatdrum_setup::control::{Page, Status};
-use kumquatdrum_setup::{ApplyId, Digest, Selector, Shown, Standing};
+use kumquatdrum_setup::{ApplyId, Digest, Revision, Selector, Standing};
 use kumquatdrum_types::Version;
 use reqwest::header::HeaderMap;
 use reqwest::{RequestBuilder, Response, StatusCode};
@@ -115,13 +115,13 @@
 
     /// Reads back a declaration. The first host whose answer a majority confirmed is taken, else
     /// the highest version that any host knows.
-    pub async fn show(&self, selector: Selector) -> Result<Shown, Error> {
+    pub async fn show(&self, selector: Selector) -> Result<Revision, Error> {
         let query = match selector {
             Selector::Current => String::new(),
             Selector::Version(version) => format!("?version={version}"),
             Selector::At(unix_ms) => format!("?at={unix_ms}"),
         };
-        let mut best: Option<Shown> = None;
+        let mut best: Option<Revision> = None;
         let mut failures = Vec::new();
         let mut refusal = None;
         for host in &self.connection.hosts {
@@ -147,7 +147,7 @@
         }
     }
 
-    async fn read_back(&self, request: RequestBuilder) -> Result<Shown, Error> {
+    async fn read_back(&self, request: RequestBuilder) -> Result<Revision, Error> {
         match self.attempt(request).await {
             Attempt::Answer(answer) => answer.shown(),
             Attempt::NotDone(why) | Attempt::Lost(why) => Err(Error::Unreachable(vec![why])),
@@ -247,7 +247,7 @@
         }
     }
 
-    fn shown(&self) -> Result<Shown, Error> {
+    fn shown(&self) -> Result<Revision, Error> {
         if self.status == StatusCode::OK {
             self.read_back().ok_or_else(|| self.strange())
         } else {
@@ -255,9 +255,9 @@
         }
     }
 
-    fn read_back(&self) -> Option<Shown> {
+    fn read_back(&self) -> Option<Revision> {
         let header = |name: &str| self.headers.get(name)?.to_str().ok();
-        Some(Shown {
+        Some(Revision {
             version: Version(header(VERSION_HEADER)?.parse().ok()?),
             digest: Digest::parse(header(DIGEST_HEADER)?)?,
             accepted_unix_ms: header(ACCEPTED_HEADER)?.parse().ok()?,
--- a/crates/kumquatdrum_operator/src/command/audit.rs
+++ b/crates/kumquatdrum_operator/src/command/audit.rs
@@ -2,7 +2,7 @@
 
 use std::io::{self, Write};
 
-use kumquatdrum_setup::audit::{Broken, Entry, verify};
+use kumquatdrum_setup::audit::{Entry, Violation, verify};
 use kumquatdrum_setup::{Digest, Outcome};
 use serde::Serialize;
 
@@ -78,7 +78,7 @@
             .map_or(self.last + 1, |entry| entry.record.sequence);
         let start = self.head.unwrap_or(previous);
         let verified = match verify(start, entries) {
-            _ if self.head.is_some() && first != self.last + 1 => Err(Broken::Sequence {
+            _ if self.head.is_some() && first != self.last + 1 => Err(Violation::Sequence {
                 expected: self.last + 1,
                 found: first,
             }),
--- a/crates/kumquatdrum_operator/src/command/show.rs
+++ b/crates/kumquatdrum_operator/src/command/show.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-use kumquatdrum_setup::{Digest, Selector, Shown};
+use kumquatdrum_setup::{Digest, Revision, Selector};
 use kumquatdrum_types::Version;
 
 use super::{Exit, Stop, client, describe, finish, print_json};
@@ -76,7 +76,7 @@
     }
 }
 
-fn note(notes: &mut dyn Write, shown: &Shown) -> std::io::Result<()> {
+fn note(notes: &mut dyn Write, shown: &Revision) -> std::io::Result<()> {
     let accepted = rfc3339::format(shown.accepted_unix_ms);
     let standing = describe(shown.standing);
     let version = shown.version;
--- a/crates/kumquatdrum_operator/src/report.rs
+++ b/crates/kumquatdrum_operator/src/report.rs
@@ -153,7 +153,7 @@
                 retry_after_ms,
                 leader: None,
             },
-            Failure::NotCurrent { leader } => Self::Unavailable {
+            Failure::NotLeader { leader } => Self::Unavailable {
                 retry_after_ms,
                 leader,
             },
--- a/crates/kumquatdrum_operator/src/routes.rs
+++ b/crates/kumquatdrum_operator/src/routes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kumquatdrum_declaration::parse::MAX_BYTES;
-use kumquatdrum_setup::{ApplyId, Control, Failure, Request, Selector, Shown, control};
+use kumquatdrum_setup::{ApplyId, ApplyRequest, Control, Failure, Revision, Selector, control};
 use kumquatdrum_types::Version;
 use rocket::data::{Data, ToByteUnit};
 use rocket::http::{ContentType, Header};
@@ -74,7 +74,7 @@
     let base = number("base", base)?.ok_or_else(|| Rejection::bad_request("base is missing"))?;
     let wait = number("wait", wait)?.map(Duration::from_millis);
     let text = text(body).await?;
-    let mut request = Request::new(operator, Version(base), text);
+    let mut request = ApplyRequest::new(operator, Version(base), text);
     if let Some(apply_id) = apply_id {
         request.apply_id = chosen_id(apply_id)?;
     }
@@ -156,7 +156,7 @@
 }
 
 /// The file byte for byte; what is known of it stands in the headers.
-struct ReadBack(Shown);
+struct ReadBack(Revision);
 
 impl<'r> Responder<'r, 'static> for ReadBack {
     fn respond_to(self, _: &'r rocket::Request<'_>) -> rocket::response::Result<'static> {
--- a/crates/kumquatdrum_operator/tests/routes.rs
+++ b/crates/kumquatdrum_operator/tests/routes.rs
@@ -134,7 +134,7 @@
     let leader = Some("h3".into());
     let faults = [
         Fault::Fail(Failure::Unavailable),
-        Fault::Fail(Failure::NotCurrent { leader }),
+        Fault::Fail(Failure::NotLeader { leader }),
         Fault::Lose,
     ];
     bench.control.faults.lock().unwrap().extend(faults);
--- a/crates/kumquatdrum_operator/tests/support/mod.rs
+++ b/crates/kumquatdrum_operator/tests/support/mod.rs
@@ -8,11 +8,11 @@
 use std::sync::{Arc, Mutex};
 
 use kumquatdrum_operator::{Context, Operator, Operators, routes};
-use kumquatdrum_setup::claim::{Entry, Held};
+use kumquatdrum_setup::claim::{Entry, Holder};
 use kumquatdrum_setup::control::{HostStatus, Page, Replica};
 use kumquatdrum_setup::{
-    Answer, ApplyAnswer, Claim, ClaimAnswer, Command, Control, Failure, Prepared, Reply, Request,
-    Selector, SettleAnswer, Settlement, Shown, Stamp, Standing, State, Status,
+    Answer, ApplyAnswer, ApplyRequest, Claim, ClaimAnswer, Command, Control, Failure, Preparation,
+    Reply, Revision, Selector, SettleAnswer, Settlement, Stamp, Standing, StateMachine, Status,
 };
 use kumquatdrum_types::{IdempotencyKey, Version, WorkspaceName, digest};
 use rocket::fairing::AdHoc;
@@ -33,9 +33,9 @@
     Lose,
 }
 
-/// One log over [`State`], without replicas.
+/// One log over [`StateMachine`], without replicas.
 pub struct Fake {
-    pub state: Mutex<State>,
+    pub state: Mutex<StateMachine>,
     pub faults: Mutex<VecDeque<Fault>>,
     pub standing: Mutex<Standing>,
     /// Versions that successive status reports show of host h2; the last one stays.
@@ -60,11 +60,11 @@
 }
 
 impl Fake {
-    pub fn apply_now(&self, request: &Request) -> ApplyAnswer {
+    pub fn apply_now(&self, request: &ApplyRequest) -> ApplyAnswer {
         let mut state = self.state.lock().unwrap();
         let action = match state.prepare(request) {
-            Prepared::Answered(answer) => return answer,
-            Prepared::Propose(action) => action,
+            Preparation::Answered(answer) => return answer,
+            Preparation::Propose(action) => action,
         };
         let index = state.applied() + 1;
         let stamp = Stamp {
@@ -93,12 +93,12 @@
 }
 
 impl Control for Fake {
-    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Held>> {
+    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Holder>> {
         let state = self.state.lock().unwrap();
-        ready(Ok(state.claims().get(workspace, key).map(Entry::held)))
+        ready(Ok(state.claims().get(workspace, key).map(Entry::holder)))
     }
 
-    fn apply(&self, request: Request) -> Reply<'_, ApplyAnswer> {
+    fn apply(&self, request: ApplyRequest) -> Reply<'_, ApplyAnswer> {
         let fault = self.faults.lock().unwrap().pop_front();
         ready(match fault {
             None => Ok(self.apply_now(&request)),
@@ -110,7 +110,7 @@
         })
     }
 
-    fn show(&self, selector: Selector) -> Reply<'_, Shown> {
+    fn show(&self, selector: Selector) -> Reply<'_, Revision> {
         let standing = *self.standing.lock().unwrap();
         let mut shown = self.state.lock().unwrap().show(selector, standing);
         if let Some(shown) = shown.as_mut().filter(|_| self.tampers) {
@@ -276,6 +276,6 @@
     )
 }
 
-pub fn request(base: u64, level: u8) -> Request {
-    Request::new("kadri", Version(base), text(level))
+pub fn request(base: u64, level: u8) -> ApplyRequest {
+    ApplyRequest::new("kadri", Version(base), text(level))
 }
--- a/crates/kumquatdrum_setup/examples/sizes.rs
+++ b/crates/kumquatdrum_setup/examples/sizes.rs
@@ -6,7 +6,9 @@
 use std::fmt::Write as _;
 use std::time::{Duration, Instant};
 
-use kumquatdrum_setup::{Action, Answer, Claim, Command, Digest, Prepared, Request, Stamp, State};
+use kumquatdrum_setup::{
+    Action, Answer, ApplyRequest, Claim, Command, Digest, Preparation, Stamp, StateMachine,
+};
 use kumquatdrum_types::{Version, digest};
 
 const DEFAULT_WORKSPACE_COUNT: usize = 1_600;
@@ -30,9 +32,9 @@
 }
 
 /// Applies a request and returns the time to prepare and to apply it.
-fn apply(state: &mut State, request: &Request) -> [Duration; 2] {
+fn apply(state: &mut StateMachine, request: &ApplyRequest) -> [Duration; 2] {
     let start = Instant::now();
-    let Prepared::Propose(action) = state.prepare(request) else {
+    let Preparation::Propose(action) = state.prepare(request) else {
         panic!("the request is a resend")
     };
     let prepared = start.elapsed();
@@ -58,12 +60,12 @@
     }
 }
 
-fn print_snapshot(label: &str, state: &State) {
+fn print_snapshot(label: &str, state: &StateMachine) {
     let start = Instant::now();
     let bytes = state.encode();
     let encode_time = start.elapsed();
     let start = Instant::now();
-    let restored = State::restore(&bytes).expect("the snapshot can be restored");
+    let restored = StateMachine::restore(&bytes).expect("the snapshot can be restored");
     let restore_time = start.elapsed();
     assert!(restored == *state);
     println!(
@@ -75,11 +77,11 @@
 fn print_changes(workspaces: usize, changes: usize) {
     let key = |number: usize| (digest::hex(&number.to_be_bytes()), 1);
     let mut items: Vec<_> = (0..workspaces).map(key).collect();
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     let mut times = [Duration::ZERO; 2];
     for version in 0..changes {
         items[version * 7 % workspaces].1 = 2 + version as u64 % 70;
-        let request = Request::new(
+        let request = ApplyRequest::new(
             "operator",
             Version(version as u64),
             declaration_text(&items),
@@ -108,7 +110,7 @@
 }
 
 fn print_claims() {
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     let claims = (0..CLAIM_COUNT).map(claim).collect();
     let command = Command {
         stamp: Stamp::default(),
--- a/crates/kumquatdrum_setup/src/audit.rs
+++ b/crates/kumquatdrum_setup/src/audit.rs
@@ -61,7 +61,7 @@
 
 /// The first broken link of a trail's chain.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum Violation {
     /// An entry is missing or out of order.
     #[error("entry {expected} is missing: found entry {found} instead")]
     Sequence {
@@ -135,7 +135,7 @@
 /// use kumquatdrum_setup::{Digest, audit};
 /// assert_eq!(audit::verify(Digest::default(), &[]), Ok(Digest::default()));
 /// ```
-pub fn verify(previous: Digest, entries: &[Entry]) -> Result<Digest, Broken> {
+pub fn verify(previous: Digest, entries: &[Entry]) -> Result<Digest, Violation> {
     let first = match entries.first() {
         Some(entry) if previous != Digest::default() => entry.record.sequence,
         _ => 1,
@@ -144,10 +144,10 @@
     for (expected, entry) in (first..).zip(entries) {
         let found = entry.record.sequence;
         if found != expected {
-            return Err(Broken::Sequence { expected, found });
+            return Err(Violation::Sequence { expected, found });
         }
         if chain_digest(head, &entry.record) != entry.digest {
-            return Err(Broken::Digest { sequence: found });
+            return Err(Violation::Digest { sequence: found });
         }
         head = entry.digest;
     }
--- a/crates/kumquatdrum_setup/src/claim.rs
+++ b/crates/kumquatdrum_setup/src/claim.rs
@@ -38,7 +38,7 @@
 /// The status of a claimed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Settled {
+pub enum AttemptStatus {
     /// The claim is granted and not settled.
     Running,
     /// The attempt has completed.
@@ -51,13 +51,13 @@
 
 /// The holder of a claimed key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct Holder {
     /// The host whose claim was granted.
     pub host: HostId,
     /// The attempt that was granted.
     pub attempt: AttemptId,
     /// The status of the attempt.
-    pub settled: Settled,
+    pub settled: AttemptStatus,
 }
 
 /// The answer to a claim.
@@ -67,7 +67,7 @@
     /// The attempt may be dispatched, once.
     Granted,
     /// Another attempt holds the key, or this one is settled.
-    Held(Held),
+    Held(Holder),
     /// The key was used for another request.
     Mismatch,
     /// The table or the workspace's share of it is full; the request must not run.
@@ -86,7 +86,7 @@
     /// The reporting host: the claim's host, or one that has taken over from it.
     pub by: HostId,
     /// The outcome; `Running` is none and has no effect.
-    pub settled: Settled,
+    pub settled: AttemptStatus,
 }
 
 /// The answer to a settlement.
@@ -97,7 +97,7 @@
     Settled,
     /// The attempt keeps another outcome, with which it was settled before.
     #[serde(rename = "stands")]
-    AlreadySettled(Held),
+    AlreadySettled(Holder),
     /// Another host can't report "not run" yet, as the claim's host may still dispatch.
     TooEarly {
         /// The time left until it can.
@@ -113,7 +113,7 @@
     /// The claim.
     pub claim: Claim,
     /// The status of the attempt.
-    pub settled: Settled,
+    pub settled: AttemptStatus,
     /// When the claim was granted, by the state's clock.
     pub granted_ms: u64,
     /// When the claim expires, by the state's clock; a running attempt then becomes unknown.
@@ -136,8 +136,8 @@
     }
 
     /// Returns the holder of the key, as shown to callers.
-    pub fn held(&self) -> Held {
-        Held {
+    pub fn holder(&self) -> Holder {
+        Holder {
             host: self.claim.host.clone(),
             attempt: self.claim.attempt.clone(),
             settled: self.settled,
@@ -168,9 +168,9 @@
 
     /// Returns the unsettled claims of a host, for the host that takes over.
     pub fn running_claims_of<'a>(&'a self, host: &'a HostId) -> impl Iterator<Item = &'a Entry> {
-        self.entries
-            .values()
-            .filter(move |entry| entry.settled == Settled::Running && entry.claim.host == *host)
+        self.entries.values().filter(move |entry| {
+            entry.settled == AttemptStatus::Running && entry.claim.host == *host
+        })
     }
 
     /// Claims a key at `now_ms` of the state's clock.
@@ -182,9 +182,9 @@
             {
                 answer_resend(entry)
             }
-            Some(entry) if entry.settled == Settled::NotRun => self.grant(now_ms, key, claim),
+            Some(entry) if entry.settled == AttemptStatus::NotRun => self.grant(now_ms, key, claim),
             Some(entry) if entry.claim.fingerprint != claim.fingerprint => ClaimAnswer::Mismatch,
-            Some(entry) => ClaimAnswer::Held(entry.held()),
+            Some(entry) => ClaimAnswer::Held(entry.holder()),
             None if self.is_full(&claim.workspace) => ClaimAnswer::Full,
             None => self.grant(now_ms, key, claim),
         }
@@ -201,7 +201,7 @@
             .saturating_add(claim.retain_ms);
         let entry = Entry {
             claim: claim.clone(),
-            settled: Settled::Running,
+            settled: AttemptStatus::Running,
             granted_ms: now_ms,
             expires_ms,
         };
@@ -226,10 +226,10 @@
         match (entry.settled, settlement.settled) {
             _ if entry.claim.attempt != settlement.attempt => SettleAnswer::NoClaim,
             (before, after) if before == after => SettleAnswer::Settled,
-            (Settled::Finished | Settled::NotRun, _) | (_, Settled::Running) => {
-                SettleAnswer::AlreadySettled(entry.held())
+            (AttemptStatus::Finished | AttemptStatus::NotRun, _) | (_, AttemptStatus::Running) => {
+                SettleAnswer::AlreadySettled(entry.holder())
             }
-            (_, Settled::NotRun) if is_takeover && wait_ms > 0 => {
+            (_, AttemptStatus::NotRun) if is_takeover && wait_ms > 0 => {
                 SettleAnswer::TooEarly { wait_ms }
             }
             (_, after) => {
@@ -252,8 +252,8 @@
 
     fn expire_claim(&mut self, now_ms: u64, key: Key) {
         match self.entries.get_mut(&key) {
-            Some(entry) if entry.settled == Settled::Running => {
-                entry.settled = Settled::Unknown;
+            Some(entry) if entry.settled == AttemptStatus::Running => {
+                entry.settled = AttemptStatus::Unknown;
                 entry.expires_ms = now_ms.saturating_add(entry.claim.retain_ms.max(1));
                 self.expiries.insert((entry.expires_ms, key));
             }
@@ -294,7 +294,7 @@
 /// Answers a repeated claim of the same attempt, whose host may have lost the first answer.
 fn answer_resend(entry: &Entry) -> ClaimAnswer {
     match entry.settled {
-        Settled::Running => ClaimAnswer::Granted,
-        _ => ClaimAnswer::Held(entry.held()),
+        AttemptStatus::Running => ClaimAnswer::Granted,
+        _ => ClaimAnswer::Held(entry.holder()),
     }
 }
--- a/crates/kumquatdrum_setup/src/command.rs
+++ b/crates/kumquatdrum_setup/src/command.rs
@@ -32,11 +32,11 @@
     /// use kumquatdrum_setup::ApplyId;
     /// use kumquatdrum_types::Version;
     ///
-    /// let first = ApplyId::derived("kadri", Version(4), "{}");
-    /// assert_eq!(first, ApplyId::derived("kadri", Version(4), "{}"));
-    /// assert_ne!(first, ApplyId::derived("kadri", Version(5), "{}"));
+    /// let first = ApplyId::derive("kadri", Version(4), "{}");
+    /// assert_eq!(first, ApplyId::derive("kadri", Version(4), "{}"));
+    /// assert_ne!(first, ApplyId::derive("kadri", Version(5), "{}"));
     /// ```
-    pub fn derived(operator: &str, base: Version, text: &str) -> Self {
+    pub fn derive(operator: &str, base: Version, text: &str) -> Self {
         Self::new(request_digest(operator, base, text).to_string())
     }
 
@@ -54,23 +54,23 @@
 
 /// An operator's request to put a declaration in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Request {
+pub struct ApplyRequest {
     /// The operator's name in the host's settings.
     pub operator: String,
     /// The version that the operator has seen; any other current version is a conflict.
     pub base: Version,
-    /// The id; see [`ApplyId::derived`].
+    /// The id; see [`ApplyId::derive`].
     pub apply_id: ApplyId,
     /// The declaration's text, byte for byte.
     pub text: Arc<str>,
 }
 
-impl Request {
+impl ApplyRequest {
     /// Creates a request with a derived id.
     pub fn new(operator: impl Into<String>, base: Version, text: impl Into<Arc<str>>) -> Self {
         let operator = operator.into();
         let text = text.into();
-        let apply_id = ApplyId::derived(&operator, base, &text);
+        let apply_id = ApplyId::derive(&operator, base, &text);
         Self {
             operator,
             base,
@@ -119,7 +119,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Apply {
     /// The operator's request.
-    pub request: Request,
+    pub request: ApplyRequest,
     /// The places that differ from the base, for the audit trail.
     pub changes: Vec<String>,
 }
--- a/crates/kumquatdrum_setup/src/control.rs
+++ b/crates/kumquatdrum_setup/src/control.rs
@@ -11,8 +11,8 @@
 
 use crate::Digest;
 use crate::audit::Entry;
-use crate::claim::{Claim, ClaimAnswer, Held, SettleAnswer, Settlement};
-use crate::command::{ApplyAnswer, Request};
+use crate::claim::{Claim, ClaimAnswer, Holder, SettleAnswer, Settlement};
+use crate::command::{ApplyAnswer, ApplyRequest};
 
 /// A boxed future of an answer or a [`Failure`].
 pub type Reply<'a, T> = Pin<Box<dyn Future<Output = Result<T, Failure>> + Send + 'a>>;
@@ -20,9 +20,9 @@
 /// The control plane as used by the interfaces for operators and callers.
 pub trait Control: Send + Sync {
     /// Applies a declaration.
-    fn apply(&self, request: Request) -> Reply<'_, ApplyAnswer>;
+    fn apply(&self, request: ApplyRequest) -> Reply<'_, ApplyAnswer>;
     /// Reads a declaration.
-    fn show(&self, selector: Selector) -> Reply<'_, Shown>;
+    fn show(&self, selector: Selector) -> Reply<'_, Revision>;
     /// Reads a page of the audit trail: at most `limit` entries from `from` on.
     fn audit(&self, from: u64, limit: usize) -> Reply<'_, Page>;
     /// Returns the status of the whole system as this host knows it, also without a majority.
@@ -32,7 +32,7 @@
     /// Records the outcomes of claimed attempts; the answers are in the order of the settlements.
     fn settle(&self, settlements: Vec<Settlement>) -> Reply<'_, Vec<SettleAnswer>>;
     /// Returns the holder of a key; `None` if it isn't claimed.
-    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Held>>;
+    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Holder>>;
 }
 
 /// The reason why the control plane gave no answer.
@@ -41,7 +41,8 @@
 pub enum Failure {
     /// The replica doesn't lead; the request had no effect.
     #[error("this replica does not lead")]
-    NotCurrent {
+    #[serde(rename = "not_current")]
+    NotLeader {
         /// The leader, if known.
         leader: Option<HostId>,
     },
@@ -85,7 +86,7 @@
 
 /// A version of the declaration, as answered to [`Control::show`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct Revision {
     /// The version.
     pub version: Version,
     /// The digest of the text.
--- a/crates/kumquatdrum_setup/src/in_force.rs
+++ b/crates/kumquatdrum_setup/src/in_force.rs
@@ -7,7 +7,7 @@
 use kumquatdrum_types::{Finding, Moment, Version};
 use serde::{Deserialize, Serialize};
 
-use crate::control::{Shown, Standing};
+use crate::control::{Revision, Standing};
 use crate::{Digest, history};
 
 /// A version with its text, as offered by one host to another.
@@ -153,8 +153,8 @@
     }
 
     /// Returns the version in force as this host alone knows it.
-    pub fn shown(&self) -> Shown {
-        Shown {
+    pub fn shown(&self) -> Revision {
+        Revision {
             version: self.offer.version,
             digest: self.offer.digest,
             accepted_unix_ms: self.offer.accepted_unix_ms,
--- a/crates/kumquatdrum_setup/src/lib.rs
+++ b/crates/kumquatdrum_setup/src/lib.rs
@@ -1,6 +1,6 @@
 //! The replicated setup: the declaration in force, its audit trail and the idempotency claims.
 //!
-//! [`State`] is the replicated state machine: it applies each [`Command`] of the log with the same
+//! [`StateMachine`] is the replicated state machine: it applies each [`Command`] of the log with the same
 //! [`Answer`] on each replica. It reads no clock; each command carries its time as a [`Stamp`].
 //! [`Control`] is the interface of the control plane, and [`Setup`] is the version in force
 //! on a host without a replica.
@@ -17,11 +17,13 @@
 pub mod state;
 
 pub use audit::{Entry, Outcome, Trail};
-pub use claim::{Claim, ClaimAnswer, SettleAnswer, Settled, Settlement};
-pub use command::{Action, Answer, Apply, ApplyAnswer, ApplyId, Command, RefusedApply, Request};
-pub use control::{Control, Failure, Reply, Selector, Shown, Standing, Status};
+pub use claim::{AttemptStatus, Claim, ClaimAnswer, SettleAnswer, Settlement};
+pub use command::{
+    Action, Answer, Apply, ApplyAnswer, ApplyId, ApplyRequest, Command, RefusedApply,
+};
+pub use control::{Control, Failure, Reply, Revision, Selector, Standing, Status};
 pub use digest::Digest;
 pub use history::History;
 pub use in_force::Setup;
 pub use stamp::{Stamp, Stamper};
-pub use state::{Prepared, State};
+pub use state::{Preparation, StateMachine};
--- a/crates/kumquatdrum_setup/src/state.rs
+++ b/crates/kumquatdrum_setup/src/state.rs
@@ -6,8 +6,10 @@
 
 use crate::audit::{MAX_RECORDED_PLACES, Outcome, Record, Trail};
 use crate::claim::{Claim, Settlement, Table};
-use crate::command::{Action, Answer, Apply, ApplyAnswer, ApplyId, Command, RefusedApply, Request};
-use crate::control::{Selector, Shown, Standing};
+use crate::command::{
+    Action, Answer, Apply, ApplyAnswer, ApplyId, ApplyRequest, Command, RefusedApply,
+};
+use crate::control::{Revision, Selector, Standing};
 use crate::history::History;
 use crate::snapshot::{self, Contents, RestoreError};
 use crate::{Digest, Stamp, in_force};
@@ -19,7 +21,7 @@
 
 /// The state after the applied log entries.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct State {
+pub struct StateMachine {
     applied: u64,
     clock_ms: u64,
     history: History,
@@ -32,26 +34,26 @@
 
 /// The leader's next step for a received apply.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Prepared {
+pub enum Preparation {
     /// Send this answer at once, as the apply is a resend.
     Answered(ApplyAnswer),
     /// Propose this action and send the state machine's answer.
     Propose(Action),
 }
 
-impl State {
+impl StateMachine {
     /// Applies the log entry at `index`. An entry that was applied before has no effect.
     ///
     /// ```
-    /// use kumquatdrum_setup::{Action, Answer, ApplyAnswer, Command, Prepared, Request, Stamp, State};
+    /// use kumquatdrum_setup::{Action, Answer, ApplyAnswer, Command, Preparation, ApplyRequest, Stamp, StateMachine};
     /// use kumquatdrum_types::Version;
     ///
-    /// let mut state = State::default();
-    /// let request = Request::new("kadri", Version(0), "{}");
-    /// let Prepared::Propose(action) = state.prepare(&request) else { panic!("the request is new") };
+    /// let mut state = StateMachine::default();
+    /// let request = ApplyRequest::new("kadri", Version(0), "{}");
+    /// let Preparation::Propose(action) = state.prepare(&request) else { panic!("the request is new") };
     /// let answer = state.apply(1, &Command { stamp: Stamp::default(), action });
     /// assert_eq!(answer, Answer::Apply(ApplyAnswer::Accepted { version: Version(1) }));
-    /// assert!(matches!(state.prepare(&request), Prepared::Answered(_)));
+    /// assert!(matches!(state.prepare(&request), Preparation::Answered(_)));
     /// ```
     pub fn apply(&mut self, index: u64, command: &Command) -> Answer {
         if index <= self.applied {
@@ -76,22 +78,22 @@
     }
 
     /// Checks a request before it is proposed. A resend of an accepted apply needs no log entry.
-    pub fn prepare(&self, request: &Request) -> Prepared {
+    pub fn prepare(&self, request: &ApplyRequest) -> Preparation {
         let answer = self.answer_resend(&request.apply_id, request.digest());
         if let Some(answer @ ApplyAnswer::Accepted { .. }) = answer {
-            return Prepared::Answered(answer);
+            return Preparation::Answered(answer);
         }
         match kumquatdrum_declaration::checked(&request.text) {
-            Ok(declaration) => Prepared::Propose(Action::Apply(Apply {
+            Ok(declaration) => Preparation::Propose(Action::Apply(Apply {
                 changes: self.changes(request, &declaration),
                 request: request.clone(),
             })),
-            Err(findings) => Prepared::Propose(Action::RefusedApply(refused(request, findings))),
+            Err(findings) => Preparation::Propose(Action::RefusedApply(refused(request, findings))),
         }
     }
 
     /// Returns the places at which a new declaration differs from the one in force.
-    fn changes(&self, request: &Request, new: &Declaration) -> Vec<String> {
+    fn changes(&self, request: &ApplyRequest, new: &Declaration) -> Vec<String> {
         if request.base != self.current() {
             return Vec::new();
         }
@@ -150,7 +152,7 @@
         answer
     }
 
-    fn decide(&self, request: &Request) -> ApplyAnswer {
+    fn decide(&self, request: &ApplyRequest) -> ApplyAnswer {
         let current = self.current();
         if request.base == current && !self.premature.contains_key(&request.apply_id) {
             let version = Version(current.0 + 1);
@@ -160,7 +162,7 @@
         }
     }
 
-    fn record_premature(&mut self, request: &Request) {
+    fn record_premature(&mut self, request: &ApplyRequest) {
         if request.base <= self.current() {
             return;
         }
@@ -259,7 +261,7 @@
     }
 
     /// Returns a version with its text; `None` if the version does not exist.
-    pub fn show(&self, selector: Selector, standing: Standing) -> Option<Shown> {
+    pub fn show(&self, selector: Selector, standing: Standing) -> Option<Revision> {
         let version = match selector {
             Selector::Current => self.current(),
             Selector::Version(version) => version,
@@ -268,10 +270,10 @@
         self.shown(version, standing)
     }
 
-    fn shown(&self, version: Version, standing: Standing) -> Option<Shown> {
+    fn shown(&self, version: Version, standing: Standing) -> Option<Revision> {
         let text = self.history.text(version)?;
         let record = self.history.record(version);
-        Some(Shown {
+        Some(Revision {
             version,
             digest: record.map_or_else(|| Digest::of(text.as_bytes()), |record| record.content),
             accepted_unix_ms: record.map_or(0, |record| record.unix_ms),
@@ -296,13 +298,13 @@
         })
     }
 
-    /// Decodes a state encoded by [`State::encode`] and verifies its digest.
+    /// Decodes a state encoded by [`StateMachine::encode`] and verifies its digest.
     ///
     /// ```
-    /// use kumquatdrum_setup::State;
-    /// let state = State::default();
-    /// assert_eq!(State::restore(&state.encode()).unwrap(), state);
-    /// assert!(State::restore(&[]).is_err());
+    /// use kumquatdrum_setup::StateMachine;
+    /// let state = StateMachine::default();
+    /// assert_eq!(StateMachine::restore(&state.encode()).unwrap(), state);
+    /// assert!(StateMachine::restore(&[]).is_err());
     /// ```
     pub fn restore(bytes: &[u8]) -> Result<Self, RestoreError> {
         let contents = snapshot::decode(bytes)?;
@@ -325,7 +327,7 @@
     content: Digest,
 }
 
-fn refused(request: &Request, mut findings: Vec<Finding>) -> RefusedApply {
+fn refused(request: &ApplyRequest, mut findings: Vec<Finding>) -> RefusedApply {
     findings.truncate(MAX_LOGGED_FINDINGS);
     RefusedApply {
         operator: request.operator.clone(),
--- a/crates/kumquatdrum_setup/tests/apply.rs
+++ b/crates/kumquatdrum_setup/tests/apply.rs
@@ -2,13 +2,15 @@
 
 mod support;
 
-use kumquatdrum_setup::{Action, ApplyAnswer, ApplyId, Command, Outcome, Prepared, Request, State};
+use kumquatdrum_setup::{
+    Action, ApplyAnswer, ApplyId, ApplyRequest, Command, Outcome, Preparation, StateMachine,
+};
 use kumquatdrum_types::Version;
 use support::{accepted, apply, conflict, request, restored, stamp, text};
 
 #[test]
 fn an_apply_is_accepted_only_on_the_current_version() {
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     assert_eq!(apply(&mut state, &request("a", 0, 1)), accepted(1));
     assert_eq!(apply(&mut state, &request("b", 0, 2)), conflict(1));
     assert_eq!(apply(&mut state, &request("b", 1, 2)), accepted(2));
@@ -17,7 +19,7 @@
 
 #[test]
 fn a_resend_gets_the_first_answer_and_has_no_effect() {
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     let first = request("a", 0, 1);
     assert_eq!(apply(&mut state, &first), accepted(1));
     for version in 1..20 {
@@ -31,9 +33,9 @@
 /// Two leaders may receive the same apply and propose it before either applies it.
 #[test]
 fn an_apply_that_is_in_the_log_twice_is_accepted_once() {
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     let first = request("a", 0, 1);
-    let Prepared::Propose(action) = state.prepare(&first) else {
+    let Preparation::Propose(action) = state.prepare(&first) else {
         panic!("the request is a resend")
     };
     assert_eq!(apply(&mut state, &first), accepted(1));
@@ -48,7 +50,7 @@
 /// An apply that was answered with a conflict must not be accepted by a delayed copy.
 #[test]
 fn an_apply_with_a_future_base_is_not_accepted_later() {
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     let premature = request("a", 1, 7);
     assert_eq!(apply(&mut state, &premature), conflict(0));
     assert_eq!(apply(&mut state, &request("b", 0, 1)), accepted(1));
@@ -61,8 +63,8 @@
 
 #[test]
 fn an_id_identifies_one_apply() {
-    let mut state = State::default();
-    let with_id = |base, level| Request {
+    let mut state = StateMachine::default();
+    let with_id = |base, level| ApplyRequest {
         apply_id: ApplyId::new("change-7"),
         ..request("a", base, level)
     };
@@ -77,10 +79,10 @@
 
 #[test]
 fn a_refused_declaration_is_recorded_without_its_text() {
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     let text = r#"{"workspaces": [{"name": "a", "keys": [{"sha256": "plain-secret"}]}]}"#;
-    let refused = Request::new("a", Version(0), text);
-    let Prepared::Propose(action) = state.prepare(&refused) else {
+    let refused = ApplyRequest::new("a", Version(0), text);
+    let Preparation::Propose(action) = state.prepare(&refused) else {
         panic!("the request is a resend")
     };
     let command = Command {
@@ -103,7 +105,7 @@
 
 #[test]
 fn a_log_entry_is_applied_once() {
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     let action = Action::Claims(vec![support::claim("k", "h", "1")]);
     let command = Command {
         stamp: stamp(5),
--- a/crates/kumquatdrum_setup/tests/audit.rs
+++ b/crates/kumquatdrum_setup/tests/audit.rs
@@ -2,16 +2,16 @@
 
 mod support;
 
-use kumquatdrum_setup::audit::{Broken, Entry, verify};
-use kumquatdrum_setup::{Digest, Outcome, Request, State};
+use kumquatdrum_setup::audit::{Entry, Violation, verify};
+use kumquatdrum_setup::{ApplyRequest, Digest, Outcome, StateMachine};
 use kumquatdrum_types::Version;
 use support::{apply, request, text};
 
-fn trail() -> State {
-    let mut state = State::default();
+fn trail() -> StateMachine {
+    let mut state = StateMachine::default();
     apply(&mut state, &request("a", 0, 1));
     apply(&mut state, &request("b", 0, 2));
-    apply(&mut state, &Request::new("c", Version(1), "[]"));
+    apply(&mut state, &ApplyRequest::new("c", Version(1), "[]"));
     apply(&mut state, &request("a", 1, 3));
     apply(&mut state, &request("a", 2, 4));
     state
@@ -60,7 +60,7 @@
         change(&mut entries);
         verify(Digest::default(), &entries).expect_err("the trail was changed")
     };
-    let digest = |sequence| Broken::Digest { sequence };
+    let digest = |sequence| Violation::Digest { sequence };
     assert_eq!(broken(&|e| e[1].record.operator = "x".into()), digest(2));
     assert_eq!(broken(&|e| e[2].record.at_unix_ms += 1), digest(3));
     assert_eq!(
@@ -69,7 +69,7 @@
     );
     assert_eq!(broken(&|e| e[3].record.places.clear()), digest(4));
     assert_eq!(broken(&|e| e[4].digest = Digest::of(b"x")), digest(5));
-    let gap = |expected, found| Broken::Sequence { expected, found };
+    let gap = |expected, found| Violation::Sequence { expected, found };
     assert_eq!(broken(&|e| drop(e.remove(0))), gap(1, 2));
     assert_eq!(broken(&|e| drop(e.remove(2))), gap(3, 4));
     assert_eq!(broken(&|e| e.swap(1, 2)), gap(2, 3));
--- a/crates/kumquatdrum_setup/tests/determinism.rs
+++ b/crates/kumquatdrum_setup/tests/determinism.rs
@@ -5,18 +5,20 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
 use kumquatdrum_setup::audit::verify;
-use kumquatdrum_setup::{Action, Claim, Command, Prepared, Settled, Settlement, Stamp, State};
+use kumquatdrum_setup::{
+    Action, AttemptStatus, Claim, Command, Preparation, Settlement, Stamp, StateMachine,
+};
 use support::{claim, request, restored, settlement};
 
 const SEED_COUNT: u64 = 200;
 const ENTROPY_BYTES: u64 = 2_048;
 const COMMAND_COUNT: usize = 40;
 
-const SETTLED: [Settled; 4] = [
-    Settled::Running,
-    Settled::Finished,
-    Settled::NotRun,
-    Settled::Unknown,
+const STATUSES: [AttemptStatus; 4] = [
+    AttemptStatus::Running,
+    AttemptStatus::Finished,
+    AttemptStatus::NotRun,
+    AttemptStatus::Unknown,
 ];
 
 fn random_claim(u: &mut Unstructured<'_>) -> Result<Claim> {
@@ -29,10 +31,10 @@
 fn random_settlement(u: &mut Unstructured<'_>) -> Result<Settlement> {
     let claim = random_claim(u)?;
     let by = u.choose(&["h1", "h2"])?;
-    Ok(settlement(&claim, by, *u.choose(&SETTLED)?))
+    Ok(settlement(&claim, by, *u.choose(&STATUSES)?))
 }
 
-fn random_action(u: &mut Unstructured<'_>, state: &State) -> Result<Action> {
+fn random_action(u: &mut Unstructured<'_>, state: &StateMachine) -> Result<Action> {
     let claims = u.int_in_range(0..=3)?;
     Ok(match u.choose_index(3)? {
         0 => Action::Claims(
@@ -51,16 +53,16 @@
             // The small ranges make some applies equal, which resends them.
             let request = request(operator, base.saturating_sub(1), u.int_in_range(0..=3)?);
             match state.prepare(&request) {
-                Prepared::Propose(action) => action,
-                Prepared::Answered(_) => Action::Claims(Vec::new()),
+                Preparation::Propose(action) => action,
+                Preparation::Answered(_) => Action::Claims(Vec::new()),
             }
         }
     })
 }
 
 fn check_replicas_agree(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut state = State::default();
-    let mut restored_state = State::default();
+    let mut state = StateMachine::default();
+    let mut restored_state = StateMachine::default();
     for index in 1..=COMMAND_COUNT as u64 {
         let command = Command {
             stamp: Stamp {
--- a/crates/kumquatdrum_setup/tests/history.rs
+++ b/crates/kumquatdrum_setup/tests/history.rs
@@ -4,7 +4,7 @@
 
 use kumquatdrum_setup::history::{EMPTY_TEXT, MAX_DELTAS_PER_KEYFRAME};
 use kumquatdrum_setup::snapshot::RestoreError;
-use kumquatdrum_setup::{Digest, Selector, Standing, State};
+use kumquatdrum_setup::{Digest, Selector, Standing, StateMachine};
 use kumquatdrum_types::Version;
 use support::{START_MS, apply_at, restored};
 
@@ -19,10 +19,10 @@
 }
 
 /// Returns a state to which each text was applied as a version.
-fn state_with_versions(texts: &[String]) -> State {
-    let mut state = State::default();
+fn state_with_versions(texts: &[String]) -> StateMachine {
+    let mut state = StateMachine::default();
     for (base, text) in (0..).zip(texts) {
-        let request = kumquatdrum_setup::Request::new("a", Version(base), text.as_str());
+        let request = kumquatdrum_setup::ApplyRequest::new("a", Version(base), text.as_str());
         let answer = apply_at(&mut state, START_MS + 1_000 * (base + 1), &request);
         assert_eq!(answer, support::accepted(base + 1));
     }
@@ -83,7 +83,7 @@
 /// The clock of a new leader may be behind that of its predecessor.
 #[test]
 fn times_of_versions_never_decrease() {
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     apply_at(&mut state, START_MS, &support::request("a", 0, 1));
     apply_at(&mut state, START_MS - 50, &support::request("a", 1, 2));
     let accepted = state.history().record(Version(2)).expect("version 2");
@@ -112,14 +112,14 @@
     for position in 1..bytes.len() {
         let mut changed = bytes.clone();
         changed[position] ^= 1;
-        let error = State::restore(&changed).expect_err("a byte was changed");
+        let error = StateMachine::restore(&changed).expect_err("a byte was changed");
         assert!(matches!(error, RestoreError::Digest), "{position}: {error}");
     }
     for length in 0..bytes.len() {
-        assert!(State::restore(&bytes[..length]).is_err(), "{length}");
+        assert!(StateMachine::restore(&bytes[..length]).is_err(), "{length}");
     }
     let mut other = bytes.clone();
     other[0] = 200;
-    let error = State::restore(&other).expect_err("the format is unknown");
+    let error = StateMachine::restore(&other).expect_err("the format is unknown");
     assert!(matches!(error, RestoreError::Format(200)), "{error}");
 }
--- a/crates/kumquatdrum_setup/tests/in_force.rs
+++ b/crates/kumquatdrum_setup/tests/in_force.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kumquatdrum_setup::in_force::{Offer, Outcome};
-use kumquatdrum_setup::{Digest, Setup, Stamper, Standing, State};
+use kumquatdrum_setup::{Digest, Setup, Stamper, Standing, StateMachine};
 use kumquatdrum_types::{Moment, Version};
 use support::{START_MS, apply, request, text};
 
@@ -40,7 +40,7 @@
 
 #[test]
 fn the_offer_of_a_replica_is_accepted() {
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     let mut in_force = Setup::default();
     assert_eq!(in_force.accept(&state.offer()), Outcome::AlreadyActive);
     apply(&mut state, &request("a", 0, 1));
--- a/crates/kumquatdrum_setup/tests/races.rs
+++ b/crates/kumquatdrum_setup/tests/races.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
-use kumquatdrum_setup::{Answer, ApplyAnswer, Command, Prepared, Request, State};
+use kumquatdrum_setup::{Answer, ApplyAnswer, ApplyRequest, Command, Preparation, StateMachine};
 use kumquatdrum_types::Version;
 use support::{request, stamp};
 
@@ -15,15 +15,15 @@
 /// Replicas that have applied different parts of one log.
 struct Cluster {
     log: Vec<Command>,
-    replicas: [State; 3],
+    replicas: [StateMachine; 3],
 }
 
 impl Cluster {
     /// Handles a request on a replica as the leader; returns the answer if no entry is proposed.
-    fn send(&mut self, replica: usize, request: &Request) -> Option<ApplyAnswer> {
+    fn send(&mut self, replica: usize, request: &ApplyRequest) -> Option<ApplyAnswer> {
         match self.replicas[replica].prepare(request) {
-            Prepared::Answered(answer) => Some(answer),
-            Prepared::Propose(action) => {
+            Preparation::Answered(answer) => Some(answer),
+            Preparation::Propose(action) => {
                 let stamp = stamp(1);
                 self.log.push(Command { stamp, action });
                 None
@@ -77,7 +77,7 @@
 }
 
 /// Checks that exactly one of the two operators always got the version and the other a conflict.
-fn check_answers(answers: &[Vec<ApplyAnswer>; 2], state: &State) {
+fn check_answers(answers: &[Vec<ApplyAnswer>; 2], state: &StateMachine) {
     let won =
         |answers: &Vec<ApplyAnswer>| answers.iter().all(|answer| *answer == support::accepted(1));
     let lost = |answers: &Vec<ApplyAnswer>| {
--- a/crates/kumquatdrum_setup/tests/support/mod.rs
+++ b/crates/kumquatdrum_setup/tests/support/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code, reason = "each test file uses some of these")]
 
 use kumquatdrum_setup::{
-    Action, Answer, ApplyAnswer, Claim, ClaimAnswer, Command, Digest, Prepared, Request,
-    SettleAnswer, Settled, Settlement, Stamp, State,
+    Action, Answer, ApplyAnswer, ApplyRequest, AttemptStatus, Claim, ClaimAnswer, Command, Digest,
+    Preparation, SettleAnswer, Settlement, Stamp, StateMachine,
 };
 use kumquatdrum_types::Version;
 
@@ -15,8 +15,8 @@
     format!(r#"{{"priorities": [{{"name": "card", "level": {level}, "aging_ms": 5}}]}}"#)
 }
 
-pub fn request(operator: &str, base: u64, level: u8) -> Request {
-    Request::new(operator, Version(base), text(level))
+pub fn request(operator: &str, base: u64, level: u8) -> ApplyRequest {
+    ApplyRequest::new(operator, Version(base), text(level))
 }
 
 pub fn stamp(elapsed_ms: u64) -> Stamp {
@@ -26,27 +26,27 @@
     }
 }
 
-pub fn run(state: &mut State, stamp: Stamp, action: Action) -> Answer {
+pub fn run(state: &mut StateMachine, stamp: Stamp, action: Action) -> Answer {
     let index = state.applied() + 1;
     state.apply(index, &Command { stamp, action })
 }
 
 /// Applies a request at `unix_ms` as a leader with this state would, and returns the answer.
-pub fn apply_at(state: &mut State, unix_ms: u64, request: &Request) -> ApplyAnswer {
+pub fn apply_at(state: &mut StateMachine, unix_ms: u64, request: &ApplyRequest) -> ApplyAnswer {
     let stamp = Stamp {
         unix_ms,
         elapsed_ms: 0,
     };
     match state.prepare(request) {
-        Prepared::Answered(answer) => answer,
-        Prepared::Propose(action) => match run(state, stamp, action) {
+        Preparation::Answered(answer) => answer,
+        Preparation::Propose(action) => match run(state, stamp, action) {
             Answer::Apply(answer) => answer,
             other => panic!("not an apply's answer: {other:?}"),
         },
     }
 }
 
-pub fn apply(state: &mut State, request: &Request) -> ApplyAnswer {
+pub fn apply(state: &mut StateMachine, request: &ApplyRequest) -> ApplyAnswer {
     apply_at(state, START_MS, request)
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-pub fn settlement(claim: &Claim, by: &str, settled: Settled) -> Settlement {
+pub fn settlement(claim: &Claim, by: &str, settled: AttemptStatus) -> Settlement {
     Settlement {
         workspace: claim.workspace.clone(),
         key: claim.key.clone(),
@@ -84,18 +84,22 @@
     }
 }
 
-pub fn claim_all(state: &mut State, elapsed_ms: u64, claims: &[Claim]) -> Vec<ClaimAnswer> {
+pub fn claim_all(state: &mut StateMachine, elapsed_ms: u64, claims: &[Claim]) -> Vec<ClaimAnswer> {
     match run(state, stamp(elapsed_ms), Action::Claims(claims.to_vec())) {
         Answer::Claims(answers) => answers,
         other => panic!("not claims' answers: {other:?}"),
     }
 }
 
-pub fn claim_one(state: &mut State, elapsed_ms: u64, claim: &Claim) -> ClaimAnswer {
+pub fn claim_one(state: &mut StateMachine, elapsed_ms: u64, claim: &Claim) -> ClaimAnswer {
     claim_all(state, elapsed_ms, std::slice::from_ref(claim)).remove(0)
 }
 
-pub fn settle_one(state: &mut State, elapsed_ms: u64, settlement: Settlement) -> SettleAnswer {
+pub fn settle_one(
+    state: &mut StateMachine,
+    elapsed_ms: u64,
+    settlement: Settlement,
+) -> SettleAnswer {
     match run(state, stamp(elapsed_ms), Action::Settle(vec![settlement])) {
         Answer::Settle(mut answers) => answers.remove(0),
         other => panic!("not settlements' answers: {other:?}"),
@@ -103,6 +107,6 @@
 }
 
 /// Returns the state of a replica that was restored from a snapshot.
-pub fn restored(state: &State) -> State {
-    State::restore(&state.encode()).expect("the snapshot can be restored")
+pub fn restored(state: &StateMachine) -> StateMachine {
+    StateMachine::restore(&state.encode()).expect("the snapshot can be restored")
 }
--- a/crates/kumquatdrum_setup/tests/wire.rs
+++ b/crates/kumquatdrum_setup/tests/wire.rs
@@ -6,7 +6,8 @@
 
 use kumquatdrum_setup::control::Page;
 use kumquatdrum_setup::{
-    ApplyAnswer, ClaimAnswer, Failure, Selector, SettleAnswer, Settled, Standing, State,
+    ApplyAnswer, AttemptStatus, ClaimAnswer, Failure, Selector, SettleAnswer, Standing,
+    StateMachine,
 };
 use kumquatdrum_types::{Finding, Version};
 use serde::Serialize;
@@ -20,7 +21,7 @@
 
 #[test]
 fn requests_and_answers_round_trip() {
-    let mut state = State::default();
+    let mut state = StateMachine::default();
     apply(&mut state, &request("a", 0, 1));
     let as_of_unix_ms = Some(9);
     let standing = Standing::LastKnown { as_of_unix_ms };
@@ -37,10 +38,10 @@
     assert_round_trip(&support::accepted(1));
     let findings = vec![Finding::new("/models", "is wrong")];
     assert_round_trip(&ApplyAnswer::Refused { findings });
-    assert_round_trip(&Failure::NotCurrent { leader: None });
+    assert_round_trip(&Failure::NotLeader { leader: None });
     let claim = claim("k", "h", "1");
     assert_round_trip(&claim);
-    assert_round_trip(&settlement(&claim, "h", Settled::Finished));
+    assert_round_trip(&settlement(&claim, "h", AttemptStatus::Finished));
     assert_round_trip(&[ClaimAnswer::Granted, ClaimAnswer::Full]);
     assert_round_trip(&SettleAnswer::TooEarly { wait_ms: 3 });
     assert_round_trip(&Selector::Version(Version(3)));
