--- a/crates/kumquatdrum_setup/src/lib.rs
+++ b/crates/kumquatdrum_setup/src/lib.rs
@@ -1,7 +1,8 @@
 //! The replicated setup: the declaration in force, its audit trail and the idempotency claims.
 //!
-//! [`StateMachine`] is the replicated state machine: it applies each [`Command`] of the log with the same
-//! [`Answer`] on each replica. It reads no clock; each command carries its time as a [`Stamp`].
+//! [`StateMachine`] is the replicated state machine: it applies each [`Command`] of the log with
+//! the same [`Answer`] on each replica. It reads no clock; each command carries its time as a
+//! [`Stamp`].
 //! [`Control`] is the interface of the control plane, and [`Setup`] is the version in force
 //! on a host without a replica.
 
--- a/crates/kumquatdrum_setup/src/state.rs
+++ b/crates/kumquatdrum_setup/src/state.rs
@@ -45,12 +45,16 @@
     /// Applies the log entry at `index`. An entry that was applied before has no effect.
     ///
     /// ```
-    /// use kumquatdrum_setup::{Action, Answer, ApplyAnswer, Command, Preparation, ApplyRequest, Stamp, StateMachine};
+    /// use kumquatdrum_setup::{
+    ///     Answer, ApplyAnswer, ApplyRequest, Command, Preparation, Stamp, StateMachine,
+    /// };
     /// use kumquatdrum_types::Version;
     ///
     /// let mut state = StateMachine::default();
     /// let request = ApplyRequest::new("kadri", Version(0), "{}");
-    /// let Preparation::Propose(action) = state.prepare(&request) else { panic!("the request is new") };
+    /// let Preparation::Propose(action) = state.prepare(&request) else {
+    ///     panic!("the request is new")
+    /// };
     /// let answer = state.apply(1, &Command { stamp: Stamp::default(), action });
     /// assert_eq!(answer, Answer::Apply(ApplyAnswer::Accepted { version: Version(1) }));
     /// assert!(matches!(state.prepare(&request), Preparation::Answered(_)));
