--- a/crates/kumquatdrum_setup/examples/sizes.rs
+++ b/crates/kumquatdrum_setup/examples/sizes.rs
@@ -1,5 +1,5 @@
-//! What a history of changes costs: bytes of a snapshot, and the time to take it, to restore it
-//! and to read versions back. Each change sets one workspace's weight.
+//! Prints the size of snapshots and the time to encode and restore them and to read versions back,
+//! after a history of changes that each set one workspace's weight.
 //!
 //! `cargo run --release -p kumquatdrum_setup --example sizes -- WORKSPACES CHANGES`
 
@@ -9,13 +9,13 @@
 use kumquatdrum_setup::{Action, Answer, Claim, Command, Digest, Prepared, Request, Stamp, State};
 use kumquatdrum_types::{Version, digest};
 
-const WORKSPACES: usize = 1_600;
-const CHANGES: usize = 2_100;
-const CLAIMS: usize = 100_000;
-const MINUTES: u64 = 60;
+const DEFAULT_WORKSPACE_COUNT: usize = 1_600;
+const DEFAULT_CHANGE_COUNT: usize = 2_100;
+const CLAIM_COUNT: usize = 100_000;
+const RETAIN_MINUTES: u64 = 60;
 
-/// A declaration of workspaces with these keys and weights.
-fn text(workspaces: &[(String, u64)]) -> String {
+/// Returns a declaration of workspaces with these keys and weights.
+fn declaration_text(workspaces: &[(String, u64)]) -> String {
     let mut text = String::from("{\"workspaces\": [\n");
     for (number, (key, weight)) in workspaces.iter().enumerate() {
         let comma = if number == 0 { "" } else { ",\n" };
@@ -29,10 +29,11 @@
     text
 }
 
+/// Applies a request and returns the time to prepare and to apply it.
 fn apply(state: &mut State, request: &Request) -> [Duration; 2] {
     let start = Instant::now();
     let Prepared::Propose(action) = state.prepare(request) else {
-        panic!("each request is new")
+        panic!("the request is a resend")
     };
     let prepared = start.elapsed();
     let stamp = Stamp::default();
@@ -53,47 +54,51 @@
         host: "hall-ringtee-1".into(),
         attempt: format!("hall-ringtee-1-{number}").as_str().into(),
         deadline_ms: 20_000,
-        retain_ms: MINUTES * 60_000,
+        retain_ms: RETAIN_MINUTES * 60_000,
     }
 }
 
-fn snapshot(what: &str, state: &State) {
+fn print_snapshot(label: &str, state: &State) {
     let start = Instant::now();
     let bytes = state.encode();
-    let encoded = start.elapsed();
+    let encode_time = start.elapsed();
     let start = Instant::now();
-    let restored = State::restore(&bytes).expect("a whole snapshot");
-    let restore = start.elapsed();
+    let restored = State::restore(&bytes).expect("the snapshot can be restored");
+    let restore_time = start.elapsed();
     assert!(restored == *state);
     println!(
-        "{what}: {} bytes, encode {encoded:?}, restore {restore:?}",
+        "{label}: {} bytes, encode {encode_time:?}, restore {restore_time:?}",
         bytes.len()
     );
 }
 
-fn changes(workspaces: usize, changes: usize) {
+fn print_changes(workspaces: usize, changes: usize) {
     let key = |number: usize| (digest::hex(&number.to_be_bytes()), 1);
     let mut items: Vec<_> = (0..workspaces).map(key).collect();
     let mut state = State::default();
     let mut times = [Duration::ZERO; 2];
     for version in 0..changes {
         items[version * 7 % workspaces].1 = 2 + version as u64 % 70;
-        let request = Request::new("operator", Version(version as u64), text(&items));
+        let request = Request::new(
+            "operator",
+            Version(version as u64),
+            declaration_text(&items),
+        );
         let [prepared, applied] = apply(&mut state, &request);
         times[0] += prepared;
         times[1] += applied;
         if [1, changes / 10, changes].contains(&(version + 1)) {
             println!("text: {} bytes", request.text.len());
-            snapshot(&format!("after {} changes", version + 1), &state);
+            print_snapshot(&format!("after {} changes", version + 1), &state);
         }
     }
     let [prepared, applied] = times.map(|time| time / changes as u32);
     println!("prepare {prepared:?}, apply {applied:?} a change on average");
     let start = Instant::now();
-    let read = (1..=changes)
+    let versions = (1..=changes)
         .step_by(97)
         .map(|version| Version(version as u64));
-    let reads = read
+    let reads = versions
         .filter_map(|version| state.history().text(version))
         .count() as u32;
     println!(
@@ -102,28 +107,28 @@
     );
 }
 
-fn claims() {
+fn print_claims() {
     let mut state = State::default();
-    let claims = (0..CLAIMS).map(claim).collect();
+    let claims = (0..CLAIM_COUNT).map(claim).collect();
     let command = Command {
         stamp: Stamp::default(),
         action: Action::Claims(claims),
     };
     println!(
-        "{CLAIMS} claims in one entry: {} bytes",
+        "{CLAIM_COUNT} claims in one entry: {} bytes",
         command.encode().len()
     );
     let start = Instant::now();
     state.apply(1, &command);
-    println!("{CLAIMS} claims: {:?}", start.elapsed());
-    snapshot(&format!("{CLAIMS} claims"), &state);
+    println!("{CLAIM_COUNT} claims: {:?}", start.elapsed());
+    print_snapshot(&format!("{CLAIM_COUNT} claims"), &state);
 }
 
 fn main() {
     let mut sizes = std::env::args()
         .skip(1)
         .map(|text| text.parse().expect("a whole number"));
-    let workspaces = sizes.next().unwrap_or(WORKSPACES);
-    changes(workspaces, sizes.next().unwrap_or(CHANGES));
-    claims();
+    let workspaces = sizes.next().unwrap_or(DEFAULT_WORKSPACE_COUNT);
+    print_changes(workspaces, sizes.next().unwrap_or(DEFAULT_CHANGE_COUNT));
+    print_claims();
 }
--- a/crates/kumquatdrum_setup/src/audit.rs
+++ b/crates/kumquatdrum_setup/src/audit.rs
@@ -1,8 +1,8 @@
-//! The audit trail: each attempt to change the setup, chained by digests.
+//! The audit trail: all attempts to change the setup, chained by digests.
 //!
 //! The digest of an entry is the SHA-256 of the previous entry's digest in hexadecimal, a line
-//! feed, and the entry without its `digest` as compact JSON, so that an auditor can verify the
-//! trail with tools of their own.
+//! feed, and the entry's record as compact JSON, so that auditors can verify the trail with other
+//! tools.
 
 use kumquatdrum_types::Version;
 use serde::{Deserialize, Serialize};
@@ -10,107 +10,107 @@
 use crate::Digest;
 use crate::command::ApplyId;
 
-/// The most places that an entry lists; `places_total` tells how many there were.
-pub const MAX_PLACES: usize = 16;
+/// Maximum number of places in a record; `places_total` counts all.
+pub const MAX_RECORDED_PLACES: usize = 16;
 
-/// One attempt.
+/// The record of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its place in the trail, from 1.
+    /// The position in the trail, from 1.
     pub sequence: u64,
-    /// When, in milliseconds since the Unix epoch, by the clock of the replica that led.
+    /// The time of the attempt in milliseconds since the Unix epoch, by the leader's clock.
     pub at_unix_ms: u64,
-    /// Who.
+    /// The operator who made the attempt.
     pub operator: String,
-    /// The apply's id.
+    /// The id of the apply.
     pub apply_id: ApplyId,
-    /// The version that it built on.
+    /// The version that the apply was based on.
     pub base: Version,
     /// The digest of the declaration's text.
     pub content: Digest,
-    /// What became of it.
+    /// The outcome.
     pub outcome: Outcome,
     /// The first places that changed (accepted) or have findings (refused).
     pub places: Vec<String>,
-    /// How many such places there were.
+    /// The number of all such places.
     pub places_total: u64,
 }
 
-/// What became of an attempt.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It got this version.
+    /// The apply created this version.
     Accepted(Version),
-    /// Its base wasn't the version that was current.
+    /// The base was not this version, which was current.
     Conflict(Version),
-    /// The check refused it.
+    /// The declaration has findings.
     Refused,
-    /// Its id belongs to the apply that got this version.
+    /// The id belongs to another apply, which created this version.
     IdTaken(Version),
 }
 
-/// An attempt with its link in the chain.
+/// A record and its digest in the chain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The attempt.
+    /// The record of the attempt.
     pub record: Record,
-    /// The digest over the previous entry's digest and the attempt.
+    /// The digest of the previous entry's digest and the record.
     pub digest: Digest,
 }
 
-/// The first broken link of a trail.
+/// The first broken link of a trail's chain.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Broken {
     /// An entry is missing or out of order.
-    #[error("entry {expected} is missing: {found} stands in its place")]
+    #[error("entry {expected} is missing: found entry {found} instead")]
     Sequence {
-        /// The sequence number that should stand there.
+        /// The expected sequence number.
         expected: u64,
-        /// The one that does.
+        /// The sequence number found.
         found: u64,
     },
-    /// An entry or the link to its predecessor was changed.
+    /// An entry or its link to the previous one was changed.
     #[error("entry {sequence} does not match its digest")]
     Digest {
-        /// The entry.
+        /// The sequence number of the entry.
         sequence: u64,
     },
 }
 
-/// The trail.
+/// The audit trail.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trail {
     entries: Vec<Entry>,
 }
 
 impl Trail {
-    /// Appends an attempt; its sequence number is set here.
+    /// Appends a record and sets its sequence number.
     pub fn append(&mut self, mut record: Record) -> &Entry {
         record.sequence = self.entries.len() as u64 + 1;
-        let digest = link(self.head(), &record);
+        let digest = chain_digest(self.head(), &record);
         self.entries.push(Entry { record, digest });
         self.entries.last().expect("an entry was just pushed")
     }
 
-    /// The digest of the last entry, all zeros for an empty trail.
+    /// Returns the digest of the last entry, all zeros for an empty trail.
     pub fn head(&self) -> Digest {
         self.entries
             .last()
             .map_or_else(Digest::default, |entry| entry.digest)
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> u64 {
         self.entries.len() as u64
     }
 
-    /// Whether there is no entry.
+    /// Returns whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The entries from sequence number `from` on, `limit` at most, with the digest before them.
+    /// Returns at most `limit` entries from sequence number `from` on, and the digest before them.
     pub fn page(&self, from: u64, limit: usize) -> (Digest, &[Entry]) {
         let start = (from.max(1) - 1).min(self.len()) as usize;
         let end = start.saturating_add(limit).min(self.entries.len());
@@ -122,14 +122,14 @@
     }
 }
 
-/// The digest that chains a record to the entry before it.
-pub fn link(previous: Digest, record: &Record) -> Digest {
+/// Computes the digest that chains a record to the previous entry.
+pub fn chain_digest(previous: Digest, record: &Record) -> Digest {
     let json = serde_json::to_string(record).expect("a record has string keys only");
     Digest::of(format!("{previous}\n{json}").as_bytes())
 }
 
-/// Verifies consecutive entries after the one with digest `previous`, all zeros for the trail's
-/// start, and gives the digest of the last.
+/// Verifies consecutive entries after the entry with digest `previous`, all zeros at the start of
+/// the trail, and returns the digest of the last.
 ///
 /// ```
 /// use kumquatdrum_setup::{Digest, audit};
@@ -146,7 +146,7 @@
         if found != expected {
             return Err(Broken::Sequence { expected, found });
         }
-        if link(head, &entry.record) != entry.digest {
+        if chain_digest(head, &entry.record) != entry.digest {
             return Err(Broken::Digest { sequence: found });
         }
         head = entry.digest;
--- a/crates/kumquatdrum_setup/src/claim.rs
+++ b/crates/kumquatdrum_setup/src/claim.rs
@@ -1,7 +1,7 @@
-//! Claims of idempotency keys: who may run a request that must not run twice.
+//! Claims of idempotency keys, so that a request with a key is dispatched at most once.
 //!
-//! A key is claimed before its request is dispatched. The first claim is granted; later ones
-//! learn what became of the first. An attempt that never ran frees the key again.
+//! A host claims the key before it dispatches the request. The first claim is granted; later ones
+//! are answered with the status of the first attempt. An attempt that never ran frees the key.
 
 use std::collections::BTreeSet;
 
@@ -11,52 +11,52 @@
 
 use crate::Digest;
 
-/// The most claims that the table holds; further ones are answered [`ClaimAnswer::Full`].
+/// Maximum number of claims in the table; further ones are answered with [`ClaimAnswer::Full`].
 pub const MAX_CLAIMS: usize = 1 << 18;
-/// The most claims of one workspace, so that one alone can't take the keys of all others.
-pub const MAX_CLAIMS_OF_WORKSPACE: usize = MAX_CLAIMS / 4;
+/// Maximum number of claims of one workspace, so that none can fill the table alone.
+pub const MAX_CLAIMS_PER_WORKSPACE: usize = MAX_CLAIMS / 4;
 
-/// A host's wish to run a keyed request.
+/// A host's claim of the key of a request that it is about to dispatch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Whose key.
+    /// The workspace of the key.
     pub workspace: WorkspaceName,
     /// The caller's key.
     pub key: IdempotencyKey,
-    /// The digest of what the caller asked for; a resend has the same one.
+    /// The digest of the request; a resend has the same one.
     pub fingerprint: Digest,
-    /// The host that would dispatch.
+    /// The host that claims the key.
     pub host: HostId,
-    /// The attempt that it would dispatch.
+    /// The attempt to dispatch.
     pub attempt: AttemptId,
-    /// What is left of the request's deadline. The host dispatches no later than that.
+    /// The time left until the request's deadline, after which the host doesn't dispatch.
     pub deadline_ms: u64,
-    /// How long the outcome is kept after the deadline.
+    /// The retention of the outcome after the deadline.
     pub retain_ms: u64,
 }
 
-/// What is known of a claimed attempt.
+/// The status of a claimed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Settled {
-    /// Granted, and not settled yet.
+    /// The claim is granted and not settled.
     Running,
-    /// It ran to its end.
+    /// The attempt has completed.
     Finished,
-    /// It never ran and never will; the key is free.
+    /// The attempt never ran and never will; the key is free.
     NotRun,
-    /// Nobody could learn whether it ran.
+    /// It is not known whether the attempt ran.
     Unknown,
 }
 
-/// A claim as the table keeps it.
+/// The holder of a claimed key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// The host that holds it.
+    /// The host whose claim was granted.
     pub host: HostId,
     /// The attempt that was granted.
     pub attempt: AttemptId,
-    /// What is known of the attempt.
+    /// The status of the attempt.
     pub settled: Settled,
 }
 
@@ -66,26 +66,26 @@
 pub enum ClaimAnswer {
     /// The attempt may be dispatched, once.
     Granted,
-    /// Another attempt holds the key, or this one has been settled.
+    /// Another attempt holds the key, or this one is settled.
     Held(Held),
     /// The key was used for another request.
     Mismatch,
-    /// The table, or the workspace's part of it, is full; the request must not run.
+    /// The table or the workspace's share of it is full; the request must not run.
     Full,
 }
 
-/// What a host has learnt of a claimed attempt.
+/// The outcome of a claimed attempt, as reported by a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settlement {
-    /// Whose key.
+    /// The workspace of the key.
     pub workspace: WorkspaceName,
-    /// The key.
+    /// The claimed key.
     pub key: IdempotencyKey,
     /// The attempt that ended.
     pub attempt: AttemptId,
-    /// Who says so: the claim's host, or one that took over from it.
+    /// The reporting host: the claim's host, or one that has taken over from it.
     pub by: HostId,
-    /// How it ended; `Running` says nothing and is refused.
+    /// The outcome; `Running` is none and has no effect.
     pub settled: Settled,
 }
 
@@ -93,48 +93,49 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SettleAnswer {
-    /// The attempt counts as settled that way, now or before.
+    /// The attempt is settled with the reported outcome, now or before.
     Settled,
-    /// It had been settled otherwise, and stays so.
-    Stands(Held),
-    /// Another host may not say "not run" yet, as the claim's host could still dispatch.
+    /// The attempt keeps another outcome, with which it was settled before.
+    #[serde(rename = "stands")]
+    AlreadySettled(Held),
+    /// Another host can't report "not run" yet, as the claim's host may still dispatch.
     TooEarly {
-        /// What is left until it may.
+        /// The time left until it can.
         wait_ms: u64,
     },
-    /// No such claim, or the key has passed to another attempt.
+    /// The claim doesn't exist, or another attempt holds the key.
     NoClaim,
 }
 
-/// A claim with what the table needs to judge later ones.
+/// A granted claim in the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// What was claimed.
+    /// The claim.
     pub claim: Claim,
-    /// What is known of it.
+    /// The status of the attempt.
     pub settled: Settled,
-    /// The state's clock when it was granted.
+    /// When the claim was granted, by the state's clock.
     pub granted_ms: u64,
-    /// The state's clock when it is forgotten, or given up on if it still runs.
+    /// When the claim expires, by the state's clock; a running attempt then becomes unknown.
     pub expires_ms: u64,
 }
 
-type Name = (WorkspaceName, IdempotencyKey);
+type Key = (WorkspaceName, IdempotencyKey);
 
-/// All claims that are not yet forgotten.
+/// All claims that have not expired.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Table {
-    entries: IndexMap<Name, Entry>,
-    expiries: BTreeSet<(u64, Name)>,
+    entries: IndexMap<Key, Entry>,
+    expiries: BTreeSet<(u64, Key)>,
     counts: IndexMap<WorkspaceName, usize>,
 }
 
 impl Entry {
-    fn name(&self) -> Name {
+    fn key(&self) -> Key {
         (self.claim.workspace.clone(), self.claim.key.clone())
     }
 
-    /// The claim as callers may see it.
+    /// Returns the holder of the key, as shown to callers.
     pub fn held(&self) -> Held {
         Held {
             host: self.claim.host.clone(),
@@ -143,30 +144,30 @@
         }
     }
 
-    /// Until when the claim's own host could still dispatch.
-    fn dispatch_end_ms(&self) -> u64 {
+    /// Returns the end of the time in which the claim's own host may dispatch.
+    fn dispatch_deadline_ms(&self) -> u64 {
         self.granted_ms.saturating_add(self.claim.deadline_ms)
     }
 }
 
 impl Table {
-    /// How many claims there are.
+    /// Returns the number of claims.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no claim.
+    /// Returns whether there is no claim.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The entry of a key.
+    /// Returns the entry of a key.
     pub fn get(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Option<&Entry> {
         self.entries.get(&(workspace.clone(), key.clone()))
     }
 
-    /// The claims of a host that have not been settled, for the host that takes over.
-    pub fn running_of<'a>(&'a self, host: &'a HostId) -> impl Iterator<Item = &'a Entry> {
+    /// Returns the unsettled claims of a host, for the host that takes over.
+    pub fn running_claims_of<'a>(&'a self, host: &'a HostId) -> impl Iterator<Item = &'a Entry> {
         self.entries
             .values()
             .filter(move |entry| entry.settled == Settled::Running && entry.claim.host == *host)
@@ -174,27 +175,27 @@
 
     /// Claims a key at `now_ms` of the state's clock.
     pub(crate) fn claim(&mut self, now_ms: u64, claim: &Claim) -> ClaimAnswer {
-        let name = (claim.workspace.clone(), claim.key.clone());
-        match self.entries.get(&name) {
+        let key = (claim.workspace.clone(), claim.key.clone());
+        match self.entries.get(&key) {
             Some(entry)
                 if entry.claim.attempt == claim.attempt && entry.claim.host == claim.host =>
             {
-                repeat(entry)
+                answer_resend(entry)
             }
-            Some(entry) if entry.settled == Settled::NotRun => self.grant(now_ms, name, claim),
+            Some(entry) if entry.settled == Settled::NotRun => self.grant(now_ms, key, claim),
             Some(entry) if entry.claim.fingerprint != claim.fingerprint => ClaimAnswer::Mismatch,
             Some(entry) => ClaimAnswer::Held(entry.held()),
             None if self.is_full(&claim.workspace) => ClaimAnswer::Full,
-            None => self.grant(now_ms, name, claim),
+            None => self.grant(now_ms, key, claim),
         }
     }
 
     fn is_full(&self, workspace: &WorkspaceName) -> bool {
         let count = self.counts.get(workspace).copied().unwrap_or_default();
-        self.entries.len() >= MAX_CLAIMS || count >= MAX_CLAIMS_OF_WORKSPACE
+        self.entries.len() >= MAX_CLAIMS || count >= MAX_CLAIMS_PER_WORKSPACE
     }
 
-    fn grant(&mut self, now_ms: u64, name: Name, claim: &Claim) -> ClaimAnswer {
+    fn grant(&mut self, now_ms: u64, key: Key, claim: &Claim) -> ClaimAnswer {
         let expires_ms = now_ms
             .saturating_add(claim.deadline_ms)
             .saturating_add(claim.retain_ms);
@@ -204,29 +205,29 @@
             granted_ms: now_ms,
             expires_ms,
         };
-        match self.entries.insert(name.clone(), entry) {
+        match self.entries.insert(key.clone(), entry) {
             Some(previous) => {
-                self.expiries.remove(&(previous.expires_ms, name.clone()));
+                self.expiries.remove(&(previous.expires_ms, key.clone()));
             }
-            None => *self.counts.entry(name.0.clone()).or_default() += 1,
+            None => *self.counts.entry(key.0.clone()).or_default() += 1,
         }
-        self.expiries.insert((expires_ms, name));
+        self.expiries.insert((expires_ms, key));
         ClaimAnswer::Granted
     }
 
     /// Settles an attempt at `now_ms` of the state's clock.
     pub(crate) fn settle(&mut self, now_ms: u64, settlement: &Settlement) -> SettleAnswer {
-        let name = (settlement.workspace.clone(), settlement.key.clone());
-        let Some(entry) = self.entries.get_mut(&name) else {
+        let key = (settlement.workspace.clone(), settlement.key.clone());
+        let Some(entry) = self.entries.get_mut(&key) else {
             return SettleAnswer::NoClaim;
         };
-        let wait_ms = entry.dispatch_end_ms().saturating_sub(now_ms);
+        let wait_ms = entry.dispatch_deadline_ms().saturating_sub(now_ms);
         let is_takeover = settlement.by != entry.claim.host;
         match (entry.settled, settlement.settled) {
             _ if entry.claim.attempt != settlement.attempt => SettleAnswer::NoClaim,
             (before, after) if before == after => SettleAnswer::Settled,
             (Settled::Finished | Settled::NotRun, _) | (_, Settled::Running) => {
-                SettleAnswer::Stands(entry.held())
+                SettleAnswer::AlreadySettled(entry.held())
             }
             (_, Settled::NotRun) if is_takeover && wait_ms > 0 => {
                 SettleAnswer::TooEarly { wait_ms }
@@ -238,32 +239,32 @@
         }
     }
 
-    /// Forgets what has expired by `now_ms` of the state's clock. An attempt that still runs is
-    /// kept for another while as unknown, so that its key is never freed by time alone.
+    /// Removes the claims that have expired by `now_ms` of the state's clock. A running attempt
+    /// becomes unknown and is retained once more.
     pub(crate) fn expire(&mut self, now_ms: u64) {
-        while let Some((expires_ms, name)) = self.expiries.first().cloned()
+        while let Some((expires_ms, key)) = self.expiries.first().cloned()
             && expires_ms <= now_ms
         {
             self.expiries.pop_first();
-            self.expire_one(now_ms, name);
+            self.expire_claim(now_ms, key);
         }
     }
 
-    fn expire_one(&mut self, now_ms: u64, name: Name) {
-        match self.entries.get_mut(&name) {
+    fn expire_claim(&mut self, now_ms: u64, key: Key) {
+        match self.entries.get_mut(&key) {
             Some(entry) if entry.settled == Settled::Running => {
                 entry.settled = Settled::Unknown;
                 entry.expires_ms = now_ms.saturating_add(entry.claim.retain_ms.max(1));
-                self.expiries.insert((entry.expires_ms, name));
+                self.expiries.insert((entry.expires_ms, key));
             }
             _ => {
-                self.entries.swap_remove(&name);
-                self.uncount(&name.0);
+                self.entries.swap_remove(&key);
+                self.decrement_count(&key.0);
             }
         }
     }
 
-    fn uncount(&mut self, workspace: &WorkspaceName) {
+    fn decrement_count(&mut self, workspace: &WorkspaceName) {
         match self.counts.get_mut(workspace) {
             Some(count) if *count > 1 => *count -= 1,
             _ => {
@@ -272,26 +273,26 @@
         }
     }
 
-    /// All entries, for a snapshot.
+    /// Returns all entries.
     pub(crate) fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// Puts a table together again, in the same order.
+    /// Restores a table from its entries, in the same order.
     pub(crate) fn restore(entries: Vec<Entry>) -> Self {
         let mut table = Self::default();
         for entry in entries {
-            let name = entry.name();
-            table.expiries.insert((entry.expires_ms, name.clone()));
-            *table.counts.entry(name.0.clone()).or_default() += 1;
-            table.entries.insert(name, entry);
+            let key = entry.key();
+            table.expiries.insert((entry.expires_ms, key.clone()));
+            *table.counts.entry(key.0.clone()).or_default() += 1;
+            table.entries.insert(key, entry);
         }
         table
     }
 }
 
-/// The same attempt claims once more, as its host lost the answer.
-fn repeat(entry: &Entry) -> ClaimAnswer {
+/// Answers a repeated claim of the same attempt, whose host may have lost the first answer.
+fn answer_resend(entry: &Entry) -> ClaimAnswer {
     match entry.settled {
         Settled::Running => ClaimAnswer::Granted,
         _ => ClaimAnswer::Held(entry.held()),
--- a/crates/kumquatdrum_setup/src/command.rs
+++ b/crates/kumquatdrum_setup/src/command.rs
@@ -1,4 +1,4 @@
-//! What the replicated log carries, and what the state machine answers.
+//! The commands in the replicated log, and the answers of the state machine.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,24 +9,24 @@
 use crate::claim::{Claim, ClaimAnswer, SettleAnswer, Settlement};
 use crate::{Digest, Stamp};
 
-/// The encoding of [`Command`] in the log; the first byte of each.
+/// The format of an encoded [`Command`], its first byte.
 const FORMAT: u8 = 1;
 
-/// Names one apply, so that a resend is known as such.
+/// Identifies an apply, so that a resend is recognised.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ApplyId(Arc<str>);
 
 impl ApplyId {
-    /// The longest id that an operator may choose, in bytes.
+    /// Maximum length of an id chosen by an operator.
     pub const MAX_BYTES: usize = 128;
 
-    /// An id that the operator chose.
+    /// Creates an id chosen by the operator.
     pub fn new(text: impl AsRef<str>) -> Self {
         Self(Arc::from(text.as_ref()))
     }
 
-    /// The id of an apply whose operator chose none: a digest of operator, base and content.
+    /// Derives the id of an apply without a chosen one: a digest of operator, base and content.
     ///
     /// ```
     /// use kumquatdrum_setup::ApplyId;
@@ -40,7 +40,7 @@
         Self::new(request_digest(operator, base, text).to_string())
     }
 
-    /// The id's text.
+    /// Returns the id's text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -52,21 +52,21 @@
     }
 }
 
-/// An operator's wish to put a declaration in force.
+/// An operator's request to put a declaration in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Who applies, by the name in the host's settings.
+    /// The operator's name in the host's settings.
     pub operator: String,
-    /// The version that the operator has seen; the apply holds only if it is the current one.
+    /// The version that the operator has seen; any other current version is a conflict.
     pub base: Version,
     /// The id; see [`ApplyId::derived`].
     pub apply_id: ApplyId,
-    /// The file, byte for byte.
+    /// The declaration's text, byte for byte.
     pub text: Arc<str>,
 }
 
 impl Request {
-    /// A request with the derived id.
+    /// Creates a request with a derived id.
     pub fn new(operator: impl Into<String>, base: Version, text: impl Into<Arc<str>>) -> Self {
         let operator = operator.into();
         let text = text.into();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The digest of operator, base and content, whatever the id.
+    /// Computes the digest of operator, base and content; the id is not included.
     pub fn digest(&self) -> Digest {
         request_digest(&self.operator, self.base, &self.text)
     }
@@ -93,105 +93,107 @@
 /// One entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// When it was proposed.
+    /// The time of the proposal.
     pub stamp: Stamp,
-    /// What it does.
+    /// The action to apply.
     pub action: Action,
 }
 
-/// What a command does.
+/// The action of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
     /// Puts a checked declaration in force, if its base is the current version.
     Apply(Apply),
-    /// Records an apply that the check refused.
+    /// Records an apply whose declaration has findings.
     RefusedApply(RefusedApply),
-    /// Claims idempotency keys; each is answered by itself.
+    /// Claims idempotency keys, each with an answer of its own.
     Claims(Vec<Claim>),
-    /// Records what became of claimed attempts.
+    /// Records the outcomes of claimed attempts.
     Settle(Vec<Settlement>),
 }
 
-/// An apply without findings. The proposer has checked it: the check's verdict is part of the
-/// command, so that replicas of two releases, whose checks may differ, still agree.
+/// An apply without findings.
+///
+/// The proposer checks the declaration and replicates the result, so that replicas agree even if
+/// their releases check differently.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Apply {
-    /// What the operator asked for.
+    /// The operator's request.
     pub request: Request,
     /// The places that differ from the base, for the audit trail.
     pub changes: Vec<String>,
 }
 
-/// An apply that had findings. The text stays out of the log.
+/// An apply with findings; the log contains only the digest of its text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedApply {
-    /// Who applied.
+    /// The operator who applied.
     pub operator: String,
-    /// The base that was named.
+    /// The base of the request.
     pub base: Version,
-    /// The apply's id.
+    /// The id of the apply.
     pub apply_id: ApplyId,
     /// The digest of the text.
     pub content: Digest,
-    /// What the check found.
+    /// The findings of the check.
     pub findings: Vec<Finding>,
 }
 
-/// What the state machine answers to a command.
+/// The state machine's answer to a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// To an apply, refused or not.
+    /// The answer to an apply, refused or not.
     Apply(ApplyAnswer),
-    /// To claims, in their order.
+    /// The answers to claims, in the same order.
     Claims(Vec<ClaimAnswer>),
-    /// To settlements, in their order.
+    /// The answers to settlements, in the same order.
     Settle(Vec<SettleAnswer>),
-    /// The log index had been applied before; nothing was done.
+    /// The log entry was applied before and has no further effect.
     AlreadyApplied,
 }
 
-/// How an apply ended.
+/// The outcome of an apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ApplyAnswer {
-    /// It got this version, now or when it was first sent.
+    /// The apply has created a version, now or when it was first sent.
     Accepted {
-        /// The version.
+        /// The created version.
         version: Version,
     },
-    /// Its base isn't the current version.
+    /// The base isn't the current version.
     Conflict {
         /// The current version.
         current: Version,
     },
     /// The declaration has findings.
     Refused {
-        /// All of them.
+        /// The findings.
         findings: Vec<Finding>,
     },
-    /// Its id belongs to another apply, which got this version.
+    /// The id belongs to another apply.
     IdTaken {
-        /// What the id's apply got.
+        /// The version created by the other apply.
         version: Version,
     },
 }
 
-/// Why bytes are not a command of this release.
+/// The reason why a command can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// Written by a release with another encoding.
+    /// The command was encoded by a release with another format.
     #[error("command format {0} is not known")]
     Format(u8),
-    /// Nothing there.
+    /// There are no bytes.
     #[error("the command is empty")]
     Empty,
-    /// Not a command.
+    /// The bytes after the format can't be decoded.
     #[error("the command can't be decoded: {0}")]
     Postcard(#[from] postcard::Error),
 }
 
 impl Command {
-    /// The bytes for the log.
+    /// Encodes the command for the log.
     ///
     /// ```
     /// use kumquatdrum_setup::{Action, Command, Stamp};
@@ -200,10 +202,11 @@
     /// assert_eq!(Command::decode(&command.encode()).unwrap(), command);
     /// ```
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_extend(self, vec![FORMAT]).expect("a command has no unsized parts")
+        postcard::to_extend(self, vec![FORMAT])
+            .expect("a command has no sequence of unknown length")
     }
 
-    /// Reads the bytes of [`Command::encode`].
+    /// Decodes a command encoded by [`Command::encode`].
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         match bytes.split_first() {
             None => Err(DecodeError::Empty),
--- a/crates/kumquatdrum_setup/src/control.rs
+++ b/crates/kumquatdrum_setup/src/control.rs
@@ -1,4 +1,4 @@
-//! What the rest of a daemon asks of the control plane, wherever the log lives.
+//! The interface of the control plane, independent of where the log is kept.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -17,175 +17,175 @@
 /// A boxed future of an answer or a [`Failure`].
 pub type Reply<'a, T> = Pin<Box<dyn Future<Output = Result<T, Failure>> + Send + 'a>>;
 
-/// The control plane as operators' and callers' adapters see it.
+/// The control plane as used by the interfaces for operators and callers.
 pub trait Control: Send + Sync {
     /// Applies a declaration.
     fn apply(&self, request: Request) -> Reply<'_, ApplyAnswer>;
-    /// Reads back a declaration.
+    /// Reads a declaration.
     fn show(&self, selector: Selector) -> Reply<'_, Shown>;
-    /// A page of the audit trail: entries from `from` on, `limit` at most.
+    /// Reads a page of the audit trail: at most `limit` entries from `from` on.
     fn audit(&self, from: u64, limit: usize) -> Reply<'_, Page>;
-    /// What this host knows of the whole system; answered without a majority too.
+    /// Returns the status of the whole system as this host knows it, also without a majority.
     fn status(&self) -> Reply<'_, Status>;
-    /// Claims idempotency keys; answers stand in the claims' order.
+    /// Claims idempotency keys; the answers are in the order of the claims.
     fn claim(&self, claims: Vec<Claim>) -> Reply<'_, Vec<ClaimAnswer>>;
-    /// Says what became of claimed attempts; answers stand in the settlements' order.
+    /// Records the outcomes of claimed attempts; the answers are in the order of the settlements.
     fn settle(&self, settlements: Vec<Settlement>) -> Reply<'_, Vec<SettleAnswer>>;
-    /// What is known of a key; `None` where it isn't claimed.
+    /// Returns the holder of a key; `None` if it isn't claimed.
     fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Held>>;
 }
 
-/// Why the control plane gave no answer.
+/// The reason why the control plane gave no answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum Failure {
-    /// The replica asked doesn't lead; nothing was done.
+    /// The replica doesn't lead; the request had no effect.
     #[error("this replica does not lead")]
     NotCurrent {
-        /// The leader, where it is known.
+        /// The leader, if known.
         leader: Option<HostId>,
     },
-    /// No majority could be reached before anything was sent to the log; nothing was done.
+    /// No majority can be reached and nothing was proposed; the request had no effect.
     #[error("no majority of the control replicas answers")]
     Unavailable,
-    /// Something was sent to the log, and whether it holds could not be learnt. A resend with
-    /// the same id tells.
+    /// A command was proposed, but it is not known whether it was committed. A resend with the same
+    /// id returns the outcome.
     #[error("the outcome is unknown")]
     Unknown,
-    /// The version asked for doesn't exist.
+    /// The requested version doesn't exist.
     #[error("there is no such version")]
     NoSuchVersion,
 }
 
-/// Which declaration to show.
+/// Selects the declaration to show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Selector {
-    /// The one in force, confirmed by a majority where that can be had, else the last known.
+    /// The version in force, confirmed by a majority if possible, else the last known.
     Current,
-    /// A version.
+    /// A version by number.
     Version(Version),
-    /// The one that was in force at a time, in milliseconds since the Unix epoch.
+    /// The version in force at a time, in milliseconds since the Unix epoch.
     At(u64),
 }
 
-/// How sure a read-back is.
+/// Whether the data of an answer is confirmed to be current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// A majority confirmed it while the read ran.
+    /// A majority confirmed the data during the read.
     Confirmed,
-    /// The last that this host knows.
+    /// The data is the last that this host knows.
     LastKnown {
-        /// When this host last heard of a majority, in milliseconds since the Unix epoch; `None`
-        /// if it hasn't since it started.
+        /// The host's last contact with a majority, in milliseconds since the Unix epoch; `None`
+        /// if there was none since its start.
         as_of_unix_ms: Option<u64>,
     },
 }
 
-/// A declaration read back.
+/// A version of the declaration, as answered to [`Control::show`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shown {
-    /// Its version.
+    /// The version.
     pub version: Version,
-    /// The digest of its text.
+    /// The digest of the text.
     pub digest: Digest,
-    /// When it was accepted, in milliseconds since the Unix epoch.
+    /// When the version was accepted, in milliseconds since the Unix epoch.
     pub accepted_unix_ms: u64,
-    /// How sure it is.
+    /// Whether the answer is confirmed to be current.
     pub standing: Standing,
-    /// The file, byte for byte.
+    /// The declaration's text, byte for byte.
     pub text: Arc<str>,
 }
 
 /// A page of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The digest of the entry before the first one here, all zeros before the trail's first.
+    /// The digest of the entry before this page, all zeros at the start of the trail.
     pub previous: Digest,
-    /// The entries.
+    /// The entries of this page.
     pub entries: Vec<Entry>,
-    /// Where the next page starts, if there is more.
+    /// The first sequence number of the next page, if there is one.
     pub next: Option<u64>,
-    /// How sure the trail's end is.
+    /// Whether the end of the trail is confirmed to be current.
     pub standing: Standing,
 }
 
-/// What one host knows of the whole system.
+/// The status of the whole system as one host knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The host that answers.
+    /// The answering host.
     pub host: HostId,
-    /// Its data centre.
+    /// The data centre of the answering host.
     pub data_centre: DataCentre,
-    /// The version in force on it.
+    /// The version in force on the answering host.
     pub version: Version,
     /// The digest of that version.
     pub digest: Digest,
-    /// How sure that is the current one.
+    /// Whether that version is confirmed to be current.
     pub standing: Standing,
-    /// The leading control replica, where it is known.
+    /// The leading control replica, if known.
     pub leader: Option<HostId>,
-    /// All hosts that it knows, itself included.
+    /// All known hosts, including the answering one.
     pub hosts: Vec<HostStatus>,
-    /// All endpoints that it knows.
+    /// All known endpoints.
     pub endpoints: Vec<EndpointStatus>,
-    /// The data centres of which no host can be reached.
+    /// The data centres without any reachable host.
     pub cut_off: Vec<DataCentre>,
 }
 
-/// What is known of a host.
+/// The status of a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostStatus {
     /// The host.
     pub host: HostId,
-    /// Its data centre.
+    /// The data centre of the host.
     pub data_centre: DataCentre,
-    /// Whether it keeps a replica of the log, and whether that one votes.
+    /// The host's role in the replicated log.
     pub replica: Replica,
-    /// Whether it can be reached.
+    /// Whether the host can be reached.
     pub reachable: bool,
-    /// The version in force on it when it was last heard of.
+    /// The last known version in force on the host.
     pub version: Option<Version>,
 }
 
-/// A host's part in the replicated log.
+/// A host's role in the replicated log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Replica {
-    /// None: the host has no data folder.
+    /// The host has no data folder and no replica.
     None,
-    /// It catches up and doesn't vote yet.
+    /// The replica receives the log without voting.
     Learner,
-    /// It votes.
+    /// The replica votes.
     Voter,
 }
 
-/// What is known of an endpoint.
+/// The status of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointStatus {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The service that it serves.
+    /// The service of the endpoint.
     pub service: ServiceName,
-    /// Its data centre.
+    /// The data centre of the endpoint.
     pub data_centre: DataCentre,
-    /// Whether it takes work.
+    /// Whether the endpoint accepts work.
     pub condition: Condition,
 }
 
-/// Whether an endpoint takes work.
+/// Whether an endpoint accepts work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Condition {
-    /// It takes work.
+    /// The endpoint accepts work.
     Alive,
-    /// It has missed renewals.
+    /// The endpoint has missed lease renewals.
     Suspect,
-    /// It finishes what it runs.
+    /// The endpoint drains: it finishes its work and accepts no more.
     Leaving,
-    /// It has left or is dead.
+    /// The endpoint has left or failed.
     Gone,
-    /// It is declared and has not announced itself.
+    /// The endpoint is declared but has not registered.
     Expected,
 }
--- a/crates/kumquatdrum_setup/src/digest.rs
+++ b/crates/kumquatdrum_setup/src/digest.rs
@@ -1,4 +1,4 @@
-//! SHA-256 digests, 32 bytes in the log and 64 hexadecimal digits where people read them.
+//! SHA-256 digests: 32 bytes in binary encodings, 64 hexadecimal digits in readable ones.
 
 use std::fmt;
 
@@ -18,21 +18,21 @@
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// How long a digest is.
+    /// The size of a digest.
     pub const BYTES: usize = 32;
 
-    /// The bytes.
+    /// Returns the bytes of the digest.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// The digest of some bytes.
+    /// Computes the digest of some bytes.
     pub fn of(bytes: &[u8]) -> Self {
         Self(Sha256::digest(bytes).into())
     }
 
-    /// The digest of several parts, each with its length, so that no two lists of parts collide
-    /// by where they are cut.
+    /// Computes the digest of several parts, each prefixed by its length, so that different lists
+    /// of parts with the same concatenation have different digests.
     ///
     /// ```
     /// use kumquatdrum_setup::Digest;
@@ -47,7 +47,7 @@
         Self(hasher.finalize().into())
     }
 
-    /// Reads 64 hexadecimal digits.
+    /// Parses 64 hexadecimal digits.
     pub fn parse(text: &str) -> Option<Self> {
         let text = text.as_bytes();
         if text.len() != 2 * Self::BYTES {
--- a/crates/kumquatdrum_setup/src/history.rs
+++ b/crates/kumquatdrum_setup/src/history.rs
@@ -1,8 +1,7 @@
-//! All versions that were ever in force, byte for byte, as deltas between keyframes.
+//! The history of all versions, stored byte for byte as keyframes and deltas.
 //!
-//! A delta keeps what lies between the longest common prefix and suffix of two texts, so a
-//! change at one place costs about its own size, and a change at both ends costs the whole text.
-//! A keyframe is a whole text; it bounds the work of a read-back.
+//! A delta stores the part of a text between the longest prefix and suffix that it shares with the
+//! previous text. A keyframe stores a whole text, which bounds the cost of reading a version back.
 
 use std::sync::Arc;
 
@@ -15,26 +14,26 @@
 use crate::command::ApplyId;
 
 /// The text of version 0, before the first apply.
-pub const EMPTY: &str = "{}";
-/// The most deltas between two keyframes.
-pub const KEYFRAME_EVERY: usize = 1024;
+pub const EMPTY_TEXT: &str = "{}";
+/// Maximum number of deltas between two keyframes.
+pub const MAX_DELTAS_PER_KEYFRAME: usize = 1024;
 
-/// One version.
+/// The record of one accepted version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Accepted {
-    /// When it was accepted, in milliseconds since the Unix epoch; never before its predecessor.
+pub struct Record {
+    /// When the version was accepted, in milliseconds since the Unix epoch; never decreases.
     pub unix_ms: u64,
-    /// The apply that it came from.
+    /// The apply that created the version.
     pub apply_id: ApplyId,
     /// The digest of that apply's operator, base and content.
     pub request: Digest,
     /// The digest of the text.
     pub content: Digest,
-    text: Stored,
+    text: Encoding,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-enum Stored {
+enum Encoding {
     Keyframe(Bytes),
     Delta(Delta),
 }
@@ -47,18 +46,18 @@
     middle: Bytes,
 }
 
-/// The versions from 1 on.
+/// All versions from 1 on, and the current text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct History {
-    versions: Vec<Accepted>,
+    versions: Vec<Record>,
     by_id: IndexMap<ApplyId, Version>,
     current: Arc<str>,
-    since_keyframe: Run,
+    since_keyframe: Chain,
 }
 
-/// The deltas since the last keyframe.
+/// The number and total size of the deltas since the last keyframe.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Run {
+struct Chain {
     deltas: usize,
     bytes: usize,
 }
@@ -68,70 +67,71 @@
         Self {
             versions: Vec::new(),
             by_id: IndexMap::new(),
-            current: Arc::from(EMPTY),
-            since_keyframe: Run::default(),
+            current: Arc::from(EMPTY_TEXT),
+            since_keyframe: Chain::default(),
         }
     }
 }
 
-/// Why stored versions can't be read back.
+/// The text of a stored version does not match its digest.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("version {version} does not match its digest")]
-pub struct Corrupt {
-    /// The version.
+pub struct Corruption {
+    /// The affected version.
     pub version: Version,
 }
 
 impl History {
-    /// The version in force, 0 before the first.
+    /// Returns the version in force, 0 before the first apply.
     pub fn current(&self) -> Version {
         Version(self.versions.len() as u64)
     }
 
-    /// The text in force.
+    /// Returns the text in force.
     pub fn current_text(&self) -> &Arc<str> {
         &self.current
     }
 
-    /// What is known of a version besides its text; `None` for version 0 and future ones.
-    pub fn accepted(&self, version: Version) -> Option<&Accepted> {
-        let place = version.0.checked_sub(1)?;
-        self.versions.get(usize::try_from(place).ok()?)
+    /// Returns the record of a version; `None` for version 0 and versions not accepted yet.
+    pub fn record(&self, version: Version) -> Option<&Record> {
+        let position = version.0.checked_sub(1)?;
+        self.versions.get(usize::try_from(position).ok()?)
     }
 
-    /// The version that an apply got.
-    pub fn of_apply(&self, apply_id: &ApplyId) -> Option<Version> {
+    /// Returns the version that an apply created.
+    pub fn version_of_apply(&self, apply_id: &ApplyId) -> Option<Version> {
         self.by_id.get(apply_id).copied()
     }
 
-    /// The version that was in force at a time, in milliseconds since the Unix epoch.
-    pub fn at(&self, unix_ms: u64) -> Version {
+    /// Returns the version in force at a time, in milliseconds since the Unix epoch.
+    pub fn version_at(&self, unix_ms: u64) -> Version {
         let count = self
             .versions
-            .partition_point(|accepted| accepted.unix_ms <= unix_ms);
+            .partition_point(|record| record.unix_ms <= unix_ms);
         Version(count as u64)
     }
 
-    /// When the last version was accepted.
+    /// Returns when the last version was accepted, in milliseconds since the Unix epoch.
     pub fn last_unix_ms(&self) -> u64 {
         self.versions.last().map_or(0, |last| last.unix_ms)
     }
 
-    /// The text of a version; `None` if there is no such version yet. Its digest stands in
-    /// [`Accepted::content`] as it was taken from the operator's text, for the reader to compare.
+    /// Returns the text of a version; `None` if the version does not exist.
+    ///
+    /// The text is not verified; [`Record::content`] holds the digest of the original.
     pub fn text(&self, version: Version) -> Option<Arc<str>> {
         if version == self.current() {
             return Some(Arc::clone(&self.current));
         }
         if version == Version(0) {
-            return Some(Arc::from(EMPTY));
+            return Some(Arc::from(EMPTY_TEXT));
         }
         let end = usize::try_from(version.0).ok()?;
-        let text = rebuild(self.versions.get(..end)?)?;
+        let text = reconstruct(self.versions.get(..end)?)?;
         String::from_utf8(text).ok().map(Arc::from)
     }
 
-    /// Adds the next version.
+    /// Appends the next version.
     pub(crate) fn push(
         &mut self,
         unix_ms: u64,
@@ -140,64 +140,64 @@
         text: &Arc<str>,
     ) {
         let delta = Delta::between(self.current.as_bytes(), text.as_bytes());
-        let run = Run {
+        let chain = Chain {
             deltas: self.since_keyframe.deltas + 1,
             bytes: self.since_keyframe.bytes + delta.middle.len(),
         };
-        let is_due = run.deltas > KEYFRAME_EVERY || run.bytes >= text.len();
-        let (stored, run) = if self.versions.is_empty() || is_due {
+        let is_due = chain.deltas > MAX_DELTAS_PER_KEYFRAME || chain.bytes >= text.len();
+        let (encoding, chain) = if self.versions.is_empty() || is_due {
             let whole = Bytes::copy_from_slice(text.as_bytes());
-            (Stored::Keyframe(whole), Run::default())
+            (Encoding::Keyframe(whole), Chain::default())
         } else {
-            (Stored::Delta(delta), run)
+            (Encoding::Delta(delta), chain)
         };
-        self.since_keyframe = run;
-        self.versions.push(Accepted {
+        self.since_keyframe = chain;
+        self.versions.push(Record {
             unix_ms,
             apply_id: apply_id.clone(),
             request,
             content: Digest::of(text.as_bytes()),
-            text: stored,
+            text: encoding,
         });
         self.by_id.insert(apply_id, self.current());
         self.current = Arc::clone(text);
     }
 
-    /// All versions, for a snapshot.
-    pub(crate) fn versions(&self) -> &[Accepted] {
+    /// Returns the records of all versions.
+    pub(crate) fn versions(&self) -> &[Record] {
         &self.versions
     }
 
-    /// Puts a history together again. Only the current text is rebuilt and verified here; a
-    /// snapshot has a digest over all of its bytes.
-    pub(crate) fn restore(versions: Vec<Accepted>) -> Result<Self, Corrupt> {
+    /// Restores a history from the records of a snapshot. Only the current text is verified, as a
+    /// snapshot has a digest of its own.
+    pub(crate) fn restore(versions: Vec<Record>) -> Result<Self, Corruption> {
         let version = Version(versions.len() as u64);
-        let corrupt = || Corrupt { version };
+        let corrupt = || Corruption { version };
         let mut history = Self::default();
         if let Some(last) = versions.last() {
-            let text = rebuild(&versions).ok_or_else(corrupt)?;
+            let text = reconstruct(&versions).ok_or_else(corrupt)?;
             if Digest::of(&text) != last.content {
                 return Err(corrupt());
             }
             let text = String::from_utf8(text).map_err(|_| corrupt())?;
             history.current = Arc::from(text);
         }
-        for (number, accepted) in (1..).zip(&versions) {
-            history.since_keyframe.count(&accepted.text);
+        for (number, record) in (1..).zip(&versions) {
+            history.since_keyframe.count(&record.text);
             history
                 .by_id
-                .insert(accepted.apply_id.clone(), Version(number));
+                .insert(record.apply_id.clone(), Version(number));
         }
         history.versions = versions;
         Ok(history)
     }
 }
 
-impl Run {
-    fn count(&mut self, stored: &Stored) {
-        match stored {
-            Stored::Keyframe(_) => *self = Self::default(),
-            Stored::Delta(delta) => {
+impl Chain {
+    fn count(&mut self, encoding: &Encoding) {
+        match encoding {
+            Encoding::Keyframe(_) => *self = Self::default(),
+            Encoding::Delta(delta) => {
                 self.deltas += 1;
                 self.bytes += delta.middle.len();
             }
@@ -205,7 +205,7 @@
     }
 }
 
-impl Stored {
+impl Encoding {
     fn apply_to(&self, previous: &[u8]) -> Option<Vec<u8>> {
         match self {
             Self::Keyframe(text) => Some(text.to_vec()),
@@ -216,8 +216,8 @@
 
 impl Delta {
     fn between(old: &[u8], new: &[u8]) -> Self {
-        let prefix = common(old.iter(), new.iter());
-        let suffix = common(old[prefix..].iter().rev(), new[prefix..].iter().rev());
+        let prefix = common_length(old.iter(), new.iter());
+        let suffix = common_length(old[prefix..].iter().rev(), new[prefix..].iter().rev());
         Self {
             prefix: prefix as u64,
             suffix: suffix as u64,
@@ -233,15 +233,18 @@
     }
 }
 
-/// How many items two sequences have in common at their start.
-fn common<'a>(left: impl Iterator<Item = &'a u8>, right: impl Iterator<Item = &'a u8>) -> usize {
+/// Returns the length of the common prefix of two sequences.
+fn common_length<'a>(
+    left: impl Iterator<Item = &'a u8>,
+    right: impl Iterator<Item = &'a u8>,
+) -> usize {
     left.zip(right).take_while(|(a, b)| a == b).count()
 }
 
-/// The text of the last of some versions, from the keyframe at or before it.
-fn rebuild(versions: &[Accepted]) -> Option<Vec<u8>> {
-    let is_keyframe = |accepted: &Accepted| matches!(accepted.text, Stored::Keyframe(_));
+/// Reconstructs the text of the last of some versions from the keyframe at or before it.
+fn reconstruct(versions: &[Record]) -> Option<Vec<u8>> {
+    let is_keyframe = |record: &Record| matches!(record.text, Encoding::Keyframe(_));
     let start = versions.iter().rposition(is_keyframe)?;
-    let mut run = versions[start..].iter();
-    run.try_fold(Vec::new(), |text, accepted| accepted.text.apply_to(&text))
+    let mut records = versions[start..].iter();
+    records.try_fold(Vec::new(), |text, record| record.text.apply_to(&text))
 }
--- a/crates/kumquatdrum_setup/src/in_force.rs
+++ b/crates/kumquatdrum_setup/src/in_force.rs
@@ -1,4 +1,4 @@
-//! What a daemon without a disk keeps of the setup: the highest version that it was told.
+//! The version in force on a host without a replica: the highest one that it was offered.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,146 +10,149 @@
 use crate::control::{Shown, Standing};
 use crate::{Digest, history};
 
-/// A version on its way from host to host.
+/// A version with its text, as offered by one host to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// Which version.
+    /// The offered version.
     pub version: Version,
-    /// The digest of its text.
+    /// The digest of the text.
     pub digest: Digest,
-    /// When it was accepted, in milliseconds since the Unix epoch.
+    /// When the version was accepted, in milliseconds since the Unix epoch.
     pub accepted_unix_ms: u64,
-    /// The file, byte for byte.
+    /// The declaration's text, byte for byte.
     pub text: Arc<str>,
 }
 
-/// What became of an offer.
+/// The outcome of an offer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
-    /// It is in force here now.
-    Taken,
-    /// It is the one in force.
-    Known,
-    /// A higher one is in force, and stays.
-    Older,
-    /// The text isn't the one that was accepted; the offer was damaged on its way.
-    Damaged,
-    /// The same version with another text is in force. That must never be; it stays.
+pub enum Outcome {
+    /// The offered version is in force now.
+    Accepted,
+    /// The offered version was in force already.
+    AlreadyActive,
+    /// A higher version stays in force.
+    Outdated,
+    /// The text does not match its digest.
+    Corrupted,
+    /// The same version stays in force with another text, which replication must never cause.
     Diverged,
-    /// This release can't read the text; the version before it stays in force.
+    /// This release can't parse the text; the earlier version stays in force.
     Unreadable(Vec<Finding>),
 }
 
 /// The version in force on one host.
 ///
 /// ```
-/// use kumquatdrum_setup::InForce;
+/// use kumquatdrum_setup::Setup;
 /// use kumquatdrum_types::Version;
-/// assert_eq!(InForce::default().version(), Version(0));
+/// assert_eq!(Setup::default().version(), Version(0));
 /// ```
 #[derive(Debug, Clone)]
-pub struct InForce {
+pub struct Setup {
     offer: Offer,
     index: Arc<Index>,
-    unreadable: Option<Version>,
-    majority: Option<Majority>,
+    unreadable_version: Option<Version>,
+    last_contact: Option<Contact>,
 }
 
-/// When a majority of the control replicas was last heard of.
+/// The last contact with a majority of the control replicas.
 #[derive(Debug, Clone, Copy)]
-struct Majority {
+struct Contact {
     at: Moment,
     unix_ms: u64,
 }
 
-impl Default for InForce {
+impl Default for Setup {
     fn default() -> Self {
         Self {
             offer: Offer {
                 version: Version(0),
-                digest: Digest::of(history::EMPTY.as_bytes()),
+                digest: Digest::of(history::EMPTY_TEXT.as_bytes()),
                 accepted_unix_ms: 0,
-                text: Arc::from(history::EMPTY),
+                text: Arc::from(history::EMPTY_TEXT),
             },
             index: Arc::new(Index::new(Arc::new(Declaration::default()))),
-            unreadable: None,
-            majority: None,
+            unreadable_version: None,
+            last_contact: None,
         }
     }
 }
 
-impl InForce {
-    /// Takes an offer if it is a higher version, whole and readable.
-    pub fn offer(&mut self, offer: &Offer) -> Taken {
+impl Setup {
+    /// Puts an offered version in force if it is higher, intact and readable.
+    pub fn accept(&mut self, offer: &Offer) -> Outcome {
         match offer.version {
-            version if version < self.offer.version => return Taken::Older,
+            version if version < self.offer.version => return Outcome::Outdated,
             version if version > self.offer.version => {}
-            _ if offer.digest == self.offer.digest => return Taken::Known,
-            _ => return Taken::Diverged,
+            _ if offer.digest == self.offer.digest => return Outcome::AlreadyActive,
+            _ => return Outcome::Diverged,
         }
         if Digest::of(offer.text.as_bytes()) != offer.digest {
-            return Taken::Damaged;
+            return Outcome::Corrupted;
         }
         match kumquatdrum_declaration::parse(&offer.text) {
-            Ok(declaration) => self.take(offer, declaration),
+            Ok(declaration) => self.install(offer, declaration),
             Err(findings) => {
-                self.unreadable = self.unreadable.max(Some(offer.version));
-                Taken::Unreadable(findings)
+                self.unreadable_version = self.unreadable_version.max(Some(offer.version));
+                Outcome::Unreadable(findings)
             }
         }
     }
 
-    fn take(&mut self, offer: &Offer, declaration: Declaration) -> Taken {
+    fn install(&mut self, offer: &Offer, declaration: Declaration) -> Outcome {
         self.offer = offer.clone();
         self.index = Arc::new(Index::new(Arc::new(declaration)));
-        self.unreadable = self.unreadable.filter(|version| *version > offer.version);
-        Taken::Taken
+        self.unreadable_version = self
+            .unreadable_version
+            .filter(|version| *version > offer.version);
+        Outcome::Accepted
     }
 
-    /// Notes that a majority spoke at `now`, which is `unix_ms` on the wall clock.
-    pub fn heard_majority(&mut self, now: Moment, unix_ms: u64) {
-        let at = self.majority.map_or(now, |majority| majority.at.max(now));
-        self.majority = Some(Majority { at, unix_ms });
+    /// Records contact with a majority at `now`, which is `unix_ms` on the wall clock.
+    pub fn record_majority_contact(&mut self, now: Moment, unix_ms: u64) {
+        let at = self.last_contact.map_or(now, |contact| contact.at.max(now));
+        self.last_contact = Some(Contact { at, unix_ms });
     }
 
-    /// How long no majority has been heard of; `None` if none ever was.
-    pub fn silence(&self, now: Moment) -> Option<Duration> {
-        self.majority.map(|majority| now - majority.at)
+    /// Returns the time since the last contact with a majority; `None` if there was none.
+    pub fn time_since_majority(&self, now: Moment) -> Option<Duration> {
+        self.last_contact.map(|contact| now - contact.at)
     }
 
-    /// How sure this host is: the last known version, as of when a majority last spoke.
+    /// Returns the freshness of the version: last known, as of the last contact with a majority.
     pub fn standing(&self) -> Standing {
         Standing::LastKnown {
-            as_of_unix_ms: self.majority.map(|majority| majority.unix_ms),
+            as_of_unix_ms: self.last_contact.map(|contact| contact.unix_ms),
         }
     }
 
-    /// The version in force here.
+    /// Returns the version in force on this host.
     pub fn version(&self) -> Version {
         self.offer.version
     }
 
-    /// What to offer to others.
-    pub fn offered(&self) -> &Offer {
+    /// Returns the version in force as an offer to other hosts.
+    pub fn current_offer(&self) -> &Offer {
         &self.offer
     }
 
-    /// The declaration in force here.
+    /// Returns the declaration in force on this host.
     pub fn declaration(&self) -> &Arc<Declaration> {
         self.index.declaration()
     }
 
-    /// The look-ups into the declaration in force here.
+    /// Returns the index of the declaration in force on this host.
     pub fn index(&self) -> &Arc<Index> {
         &self.index
     }
 
-    /// The highest version that this release couldn't read, if it is above the one in force.
-    pub fn unreadable(&self) -> Option<Version> {
-        self.unreadable
+    /// Returns the highest version that this release couldn't parse, if it is above the one in
+    /// force.
+    pub fn unreadable_version(&self) -> Option<Version> {
+        self.unreadable_version
     }
 
-    /// The read-back of this host alone.
+    /// Returns the version in force as this host alone knows it.
     pub fn shown(&self) -> Shown {
         Shown {
             version: self.offer.version,
--- a/crates/kumquatdrum_setup/src/lib.rs
+++ b/crates/kumquatdrum_setup/src/lib.rs
@@ -1,9 +1,9 @@
-//! Core: the replicated setup in force, its audit trail and the idempotency claims.
+//! The replicated setup: the declaration in force, its audit trail and the idempotency claims.
 //!
-//! [`State`] is the state machine that the replicated log drives: one [`Command`] in, one
-//! [`Answer`] out, the same on each replica. It reads no clock; time comes in each command's
-//! [`Stamp`]. [`Control`] is what the rest of a daemon speaks to, wherever the log lives, and
-//! [`InForce`] is what a daemon without a disk keeps.
+//! [`State`] is the replicated state machine: it applies each [`Command`] of the log with the same
+//! [`Answer`] on each replica. It reads no clock; each command carries its time as a [`Stamp`].
+//! [`Control`] is the interface of the control plane, and [`Setup`] is the version in force
+//! on a host without a replica.
 
 pub mod audit;
 pub mod claim;
@@ -22,6 +22,6 @@
 pub use control::{Control, Failure, Reply, Selector, Shown, Standing, Status};
 pub use digest::Digest;
 pub use history::History;
-pub use in_force::InForce;
+pub use in_force::Setup;
 pub use stamp::{Stamp, Stamper};
 pub use state::{Prepared, State};
--- a/crates/kumquatdrum_setup/src/snapshot.rs
+++ b/crates/kumquatdrum_setup/src/snapshot.rs
@@ -1,65 +1,66 @@
-//! The state's bytes in a snapshot: a format byte, a digest over the rest, and the rest.
+//! The encoding of a snapshot: a format byte, the digest of the contents, and the contents.
 
 use kumquatdrum_types::Version;
 use serde::{Deserialize, Serialize};
 
 use crate::claim::Entry;
 use crate::command::ApplyId;
-use crate::history::{Accepted, Corrupt};
-use crate::{Digest, Trail};
+use crate::{Digest, Trail, history};
 
 /// The encoding of a snapshot; its first byte.
 pub const FORMAT: u8 = 1;
-/// The format and the digest.
-const HEAD_BYTES: usize = 1 + Digest::BYTES;
+/// Size of the format byte and the digest.
+const HEADER_BYTES: usize = 1 + Digest::BYTES;
 
-/// What a snapshot holds; all else is derived from it.
+/// The contents of a snapshot, from which the whole state is restored.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Contents {
     pub applied: u64,
     pub clock_ms: u64,
-    pub versions: Vec<Accepted>,
+    pub versions: Vec<history::Record>,
     pub trail: Trail,
     pub claims: Vec<Entry>,
-    pub early: Vec<(ApplyId, Version)>,
+    #[serde(rename = "early")]
+    pub premature: Vec<(ApplyId, Version)>,
 }
 
-/// Why bytes are not a whole snapshot of this release.
+/// The reason why a snapshot cannot be restored.
 #[derive(Debug, thiserror::Error)]
 pub enum RestoreError {
-    /// Nothing there.
+    /// There are no bytes.
     #[error("the snapshot is empty")]
     Empty,
-    /// Written by a release with another encoding.
+    /// The snapshot was written by a release with another encoding.
     #[error("snapshot format {0} is not known")]
     Format(u8),
-    /// Not a snapshot.
+    /// The contents can't be decoded.
     #[error("the snapshot can't be decoded: {0}")]
     Postcard(#[from] postcard::Error),
-    /// Some byte was changed or is missing.
+    /// A byte is changed or missing.
     #[error("the snapshot does not match its digest")]
     Digest,
-    /// The text in force doesn't match its digest.
+    /// The text of the version in force does not match its digest.
     #[error(transparent)]
-    Corrupt(#[from] Corrupt),
+    Corruption(#[from] history::Corruption),
 }
 
-/// The bytes of some contents.
+/// Encodes the contents of a snapshot.
 pub(crate) fn encode(contents: &Contents) -> Vec<u8> {
-    let head = vec![0; HEAD_BYTES];
-    let mut bytes = postcard::to_extend(contents, head).expect("the state has no unsized parts");
-    let digest = Digest::of(&bytes[HEAD_BYTES..]);
+    let header = vec![0; HEADER_BYTES];
+    let mut bytes =
+        postcard::to_extend(contents, header).expect("the state has no sequence of unknown length");
+    let digest = Digest::of(&bytes[HEADER_BYTES..]);
     bytes[0] = FORMAT;
-    bytes[1..HEAD_BYTES].copy_from_slice(digest.as_bytes());
+    bytes[1..HEADER_BYTES].copy_from_slice(digest.as_bytes());
     bytes
 }
 
-/// Reads the bytes of [`encode`].
+/// Decodes the contents encoded by [`encode`] and verifies their digest.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Contents, RestoreError> {
-    match bytes.split_at_checked(HEAD_BYTES) {
+    match bytes.split_at_checked(HEADER_BYTES) {
         _ if bytes.is_empty() => Err(RestoreError::Empty),
         _ if bytes[0] != FORMAT => Err(RestoreError::Format(bytes[0])),
-        Some((head, rest)) if Digest::of(rest).as_bytes() == &head[1..] => {
+        Some((header, rest)) if Digest::of(rest).as_bytes() == &header[1..] => {
             Ok(postcard::from_bytes(rest)?)
         }
         _ => Err(RestoreError::Digest),
--- a/crates/kumquatdrum_setup/src/stamp.rs
+++ b/crates/kumquatdrum_setup/src/stamp.rs
@@ -1,22 +1,22 @@
-//! The time that a command carries, as its proposer saw it.
+//! The time that a command carries, by the clocks of its proposer.
 
 use kumquatdrum_types::Moment;
 use serde::{Deserialize, Serialize};
 
 /// The time of a command.
 ///
-/// The audit trail shows wall-clock time. Claims expire by elapsed monotonic time instead, so
-/// that a control replica whose wall clock is wrong can't free a claimed key early.
+/// The audit trail records wall-clock time. Claims expire by elapsed monotonic time, so that a
+/// control replica with a wrong wall clock can't free a claimed key early.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
     /// The proposer's wall clock, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
     /// Milliseconds on the proposer's monotonic clock since its previous command, 0 for the
-    /// first. What passes between two proposers isn't counted, which only keeps claims longer.
+    /// first. Time between two proposers isn't counted, which only prolongs claims.
     pub elapsed_ms: u64,
 }
 
-/// Makes the stamps of one proposer. Keep one for each term of leadership.
+/// Creates the stamps of one proposer; each term of leadership needs its own.
 ///
 /// ```
 /// use kumquatdrum_setup::Stamper;
@@ -32,11 +32,11 @@
 }
 
 impl Stamper {
-    /// The stamp of a command proposed now, at `unix_ms` on the wall clock.
+    /// Returns the stamp of a command proposed now, at `unix_ms` on the wall clock.
     pub fn stamp(&mut self, now: Moment, unix_ms: u64) -> Stamp {
         let previous = self.previous.unwrap_or(now);
         let elapsed_ms = (now - previous).as_millis() as u64;
-        // Only whole milliseconds are taken, and the rest counts towards the next stamp.
+        // The fraction of a millisecond counts towards the next stamp.
         self.previous = Some(previous + std::time::Duration::from_millis(elapsed_ms));
         Stamp {
             unix_ms,
--- a/crates/kumquatdrum_setup/src/state.rs
+++ b/crates/kumquatdrum_setup/src/state.rs
@@ -1,10 +1,10 @@
-//! The state machine that the replicated log drives.
+//! The replicated state machine of the setup.
 
 use indexmap::IndexMap;
 use kumquatdrum_declaration::Declaration;
 use kumquatdrum_types::{Finding, Version};
 
-use crate::audit::{MAX_PLACES, Outcome, Record, Trail};
+use crate::audit::{MAX_RECORDED_PLACES, Outcome, Record, Trail};
 use crate::claim::{Claim, Settlement, Table};
 use crate::command::{Action, Answer, Apply, ApplyAnswer, ApplyId, Command, RefusedApply, Request};
 use crate::control::{Selector, Shown, Standing};
@@ -12,12 +12,12 @@
 use crate::snapshot::{self, Contents, RestoreError};
 use crate::{Digest, Stamp, in_force};
 
-/// The most findings of a refused apply that ride the log.
-pub const MAX_FINDINGS: usize = 1_000;
-/// The most ids that are kept of applies whose base lay above the current version.
-const MAX_EARLY: usize = 1_024;
+/// Maximum number of findings of a refused apply in the log.
+pub const MAX_LOGGED_FINDINGS: usize = 1_000;
+/// Maximum number of recorded premature applies.
+const MAX_PREMATURE_APPLIES: usize = 1_024;
 
-/// Everything that the log has led to.
+/// The state after the applied log entries.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
     applied: u64,
@@ -25,22 +25,22 @@
     history: History,
     trail: Trail,
     claims: Table,
-    /// Applies refused since their base lay above the current version. They must not be accepted
-    /// once that version is reached, as their operators were told that they weren't.
-    early: IndexMap<ApplyId, Version>,
+    /// The bases of refused applies whose base was above the current version. Their resends must
+    /// not be accepted once that version is current, as they were answered with a conflict.
+    premature: IndexMap<ApplyId, Version>,
 }
 
-/// What the leader does with an apply that it received.
+/// The leader's next step for a received apply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Prepared {
-    /// It answers at once: this is a resend.
+    /// Send this answer at once, as the apply is a resend.
     Answered(ApplyAnswer),
-    /// It proposes this and answers with what the state machine says.
+    /// Propose this action and send the state machine's answer.
     Propose(Action),
 }
 
 impl State {
-    /// Applies the log entry at `index`. An entry that was applied before changes nothing.
+    /// Applies the log entry at `index`. An entry that was applied before has no effect.
     ///
     /// ```
     /// use kumquatdrum_setup::{Action, Answer, ApplyAnswer, Command, Prepared, Request, Stamp, State};
@@ -48,7 +48,7 @@
     ///
     /// let mut state = State::default();
     /// let request = Request::new("kadri", Version(0), "{}");
-    /// let Prepared::Propose(action) = state.prepare(&request) else { panic!("it is new") };
+    /// let Prepared::Propose(action) = state.prepare(&request) else { panic!("the request is new") };
     /// let answer = state.apply(1, &Command { stamp: Stamp::default(), action });
     /// assert_eq!(answer, Answer::Apply(ApplyAnswer::Accepted { version: Version(1) }));
     /// assert!(matches!(state.prepare(&request), Prepared::Answered(_)));
@@ -61,22 +61,24 @@
         self.clock_ms = self.clock_ms.saturating_add(command.stamp.elapsed_ms);
         self.claims.expire(self.clock_ms);
         match &command.action {
-            Action::Apply(apply) => Answer::Apply(self.declare(command.stamp, apply)),
-            Action::RefusedApply(refused) => Answer::Apply(self.refuse(command.stamp, refused)),
+            Action::Apply(apply) => Answer::Apply(self.apply_request(command.stamp, apply)),
+            Action::RefusedApply(refused) => {
+                Answer::Apply(self.record_refusal(command.stamp, refused))
+            }
             Action::Claims(claims) => Answer::Claims(self.claim(claims).collect()),
             Action::Settle(settlements) => Answer::Settle(self.settle(settlements).collect()),
         }
     }
 
-    /// Notes that the log was applied up to `index`, whose entry carried no command.
+    /// Marks the log as applied up to `index`, whose entry contains no command.
     pub fn skip(&mut self, index: u64) {
         self.applied = self.applied.max(index);
     }
 
-    /// Checks a request before it is proposed. Cheap for a resend, which needs no new entry.
+    /// Checks a request before it is proposed. A resend of an accepted apply needs no log entry.
     pub fn prepare(&self, request: &Request) -> Prepared {
-        let resent = self.resent(&request.apply_id, request.digest());
-        if let Some(answer @ ApplyAnswer::Accepted { .. }) = resent {
+        let answer = self.answer_resend(&request.apply_id, request.digest());
+        if let Some(answer @ ApplyAnswer::Accepted { .. }) = answer {
             return Prepared::Answered(answer);
         }
         match kumquatdrum_declaration::checked(&request.text) {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// The places at which a new declaration differs from the one in force.
+    /// Returns the places at which a new declaration differs from the one in force.
     fn changes(&self, request: &Request, new: &Declaration) -> Vec<String> {
         if request.base != self.current() {
             return Vec::new();
@@ -99,19 +101,17 @@
         changes.iter().map(ToString::to_string).collect()
     }
 
-    fn resent(&self, apply_id: &ApplyId, request: Digest) -> Option<ApplyAnswer> {
-        let version = self.history.of_apply(apply_id)?;
-        match self.history.accepted(version) {
-            Some(accepted) if accepted.request == request => {
-                Some(ApplyAnswer::Accepted { version })
-            }
+    fn answer_resend(&self, apply_id: &ApplyId, request: Digest) -> Option<ApplyAnswer> {
+        let version = self.history.version_of_apply(apply_id)?;
+        match self.history.record(version) {
+            Some(record) if record.request == request => Some(ApplyAnswer::Accepted { version }),
             _ => Some(ApplyAnswer::IdTaken { version }),
         }
     }
 
-    fn declare(&mut self, stamp: Stamp, apply: &Apply) -> ApplyAnswer {
+    fn apply_request(&mut self, stamp: Stamp, apply: &Apply) -> ApplyAnswer {
         let request = &apply.request;
-        let answer = match self.resent(&request.apply_id, request.digest()) {
+        let answer = match self.answer_resend(&request.apply_id, request.digest()) {
             Some(resent @ ApplyAnswer::Accepted { .. }) => return resent,
             Some(taken) => taken,
             None => self.decide(request),
@@ -129,8 +129,8 @@
                 let digest = request.digest();
                 let id = request.apply_id.clone();
                 self.history.push(unix_ms, id, digest, &request.text);
-                // One whose base is the new version could be accepted from now on.
-                self.early.retain(|_, base| *base >= version);
+                // Keeps those whose base is current now or later, as a resend could match it.
+                self.premature.retain(|_, base| *base >= version);
                 self.record(
                     unix_ms,
                     &attempt,
@@ -139,7 +139,7 @@
                 );
             }
             ApplyAnswer::Conflict { current } => {
-                self.remember_early(request);
+                self.record_premature(request);
                 self.record(unix_ms, &attempt, Outcome::Conflict(current), &[]);
             }
             ApplyAnswer::IdTaken { version } => {
@@ -152,7 +152,7 @@
 
     fn decide(&self, request: &Request) -> ApplyAnswer {
         let current = self.current();
-        if request.base == current && !self.early.contains_key(&request.apply_id) {
+        if request.base == current && !self.premature.contains_key(&request.apply_id) {
             let version = Version(current.0 + 1);
             ApplyAnswer::Accepted { version }
         } else {
@@ -160,17 +160,18 @@
         }
     }
 
-    fn remember_early(&mut self, request: &Request) {
+    fn record_premature(&mut self, request: &Request) {
         if request.base <= self.current() {
             return;
         }
-        if self.early.len() >= MAX_EARLY {
-            self.early.shift_remove_index(0);
+        if self.premature.len() >= MAX_PREMATURE_APPLIES {
+            self.premature.shift_remove_index(0);
         }
-        self.early.insert(request.apply_id.clone(), request.base);
+        self.premature
+            .insert(request.apply_id.clone(), request.base);
     }
 
-    fn refuse(&mut self, stamp: Stamp, refused: &RefusedApply) -> ApplyAnswer {
+    fn record_refusal(&mut self, stamp: Stamp, refused: &RefusedApply) -> ApplyAnswer {
         let attempt = Attempt {
             operator: &refused.operator,
             base: refused.base,
@@ -182,7 +183,7 @@
             .iter()
             .map(|finding| finding.place.clone())
             .collect();
-        let taken_by = self.history.of_apply(&refused.apply_id);
+        let taken_by = self.history.version_of_apply(&refused.apply_id);
         let (outcome, answer) = if let Some(version) = taken_by {
             (Outcome::IdTaken(version), ApplyAnswer::IdTaken { version })
         } else {
@@ -203,7 +204,7 @@
             base: attempt.base,
             content: attempt.content,
             outcome,
-            places: places.iter().take(MAX_PLACES).cloned().collect(),
+            places: places.iter().take(MAX_RECORDED_PLACES).cloned().collect(),
             places_total: places.len() as u64,
         });
     }
@@ -220,35 +221,35 @@
             .map(|settlement| self.claims.settle(self.clock_ms, settlement))
     }
 
-    /// The index of the last log entry that was applied.
+    /// Returns the index of the last applied log entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// The version in force.
+    /// Returns the version in force.
     pub fn current(&self) -> Version {
         self.history.current()
     }
 
-    /// All versions.
+    /// Returns the history of all versions.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// The audit trail.
+    /// Returns the audit trail.
     pub fn trail(&self) -> &Trail {
         &self.trail
     }
 
-    /// The claims.
+    /// Returns the claims of idempotency keys.
     pub fn claims(&self) -> &Table {
         &self.claims
     }
 
-    /// A version with its text, for other hosts.
+    /// Returns the version in force as an offer to other hosts.
     pub fn offer(&self) -> in_force::Offer {
         let shown = self.shown(self.current(), Standing::Confirmed);
-        let shown = shown.expect("the current version is always there");
+        let shown = shown.expect("the current version exists");
         in_force::Offer {
             version: shown.version,
             digest: shown.digest,
@@ -257,29 +258,29 @@
         }
     }
 
-    /// Reads back a version; `None` if there is no such version yet.
+    /// Returns a version with its text; `None` if the version does not exist.
     pub fn show(&self, selector: Selector, standing: Standing) -> Option<Shown> {
         let version = match selector {
             Selector::Current => self.current(),
             Selector::Version(version) => version,
-            Selector::At(unix_ms) => self.history.at(unix_ms),
+            Selector::At(unix_ms) => self.history.version_at(unix_ms),
         };
         self.shown(version, standing)
     }
 
     fn shown(&self, version: Version, standing: Standing) -> Option<Shown> {
         let text = self.history.text(version)?;
-        let accepted = self.history.accepted(version);
+        let record = self.history.record(version);
         Some(Shown {
             version,
-            digest: accepted.map_or_else(|| Digest::of(text.as_bytes()), |it| it.content),
-            accepted_unix_ms: accepted.map_or(0, |accepted| accepted.unix_ms),
+            digest: record.map_or_else(|| Digest::of(text.as_bytes()), |record| record.content),
+            accepted_unix_ms: record.map_or(0, |record| record.unix_ms),
             standing,
             text,
         })
     }
 
-    /// The whole state as bytes.
+    /// Encodes the whole state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         snapshot::encode(&Contents {
             applied: self.applied,
@@ -287,15 +288,15 @@
             versions: self.history.versions().to_vec(),
             trail: self.trail.clone(),
             claims: self.claims.entries().cloned().collect(),
-            early: self
-                .early
+            premature: self
+                .premature
                 .iter()
                 .map(|(id, base)| (id.clone(), *base))
                 .collect(),
         })
     }
 
-    /// Reads the bytes of [`State::encode`], and verifies their digest.
+    /// Decodes a state encoded by [`State::encode`] and verifies its digest.
     ///
     /// ```
     /// use kumquatdrum_setup::State;
@@ -311,12 +312,12 @@
             history: History::restore(contents.versions)?,
             trail: contents.trail,
             claims: Table::restore(contents.claims),
-            early: contents.early.into_iter().collect(),
+            premature: contents.premature.into_iter().collect(),
         })
     }
 }
 
-/// Who tried what.
+/// The part of an apply that the audit trail records.
 struct Attempt<'a> {
     operator: &'a str,
     base: Version,
@@ -325,7 +326,7 @@
 }
 
 fn refused(request: &Request, mut findings: Vec<Finding>) -> RefusedApply {
-    findings.truncate(MAX_FINDINGS);
+    findings.truncate(MAX_LOGGED_FINDINGS);
     RefusedApply {
         operator: request.operator.clone(),
         base: request.base,
--- a/crates/kumquatdrum_setup/tests/apply.rs
+++ b/crates/kumquatdrum_setup/tests/apply.rs
@@ -1,4 +1,4 @@
-//! Applies: conditional on their base, and the same answer to each resend.
+//! Applies are conditional on their base, and each resend gets the same answer.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use support::{accepted, apply, conflict, request, restored, stamp, text};
 
 #[test]
-fn an_apply_holds_only_over_the_current_version() {
+fn an_apply_is_accepted_only_on_the_current_version() {
     let mut state = State::default();
     assert_eq!(apply(&mut state, &request("a", 0, 1)), accepted(1));
     assert_eq!(apply(&mut state, &request("b", 0, 2)), conflict(1));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_resend_gets_its_first_answer_and_changes_nothing() {
+fn a_resend_gets_the_first_answer_and_has_no_effect() {
     let mut state = State::default();
     let first = request("a", 0, 1);
     assert_eq!(apply(&mut state, &first), accepted(1));
@@ -28,13 +28,13 @@
     assert_eq!(successor, state);
 }
 
-/// Two leaders got the same apply, and both proposed it before either applied it.
+/// Two leaders may receive the same apply and propose it before either applies it.
 #[test]
-fn a_resend_that_rides_the_log_twice_is_accepted_once() {
+fn an_apply_that_is_in_the_log_twice_is_accepted_once() {
     let mut state = State::default();
     let first = request("a", 0, 1);
     let Prepared::Propose(action) = state.prepare(&first) else {
-        panic!("it is new")
+        panic!("the request is a resend")
     };
     assert_eq!(apply(&mut state, &first), accepted(1));
     assert_eq!(apply(&mut state, &request("b", 1, 2)), accepted(2));
@@ -45,22 +45,22 @@
     assert_eq!(*state.trail(), trail);
 }
 
-/// Its operator was told that it was not accepted, so a late copy must not be.
+/// An apply that was answered with a conflict must not be accepted by a delayed copy.
 #[test]
-fn an_apply_refused_for_a_future_base_is_not_accepted_later() {
+fn an_apply_with_a_future_base_is_not_accepted_later() {
     let mut state = State::default();
-    let early = request("a", 1, 7);
-    assert_eq!(apply(&mut state, &early), conflict(0));
+    let premature = request("a", 1, 7);
+    assert_eq!(apply(&mut state, &premature), conflict(0));
     assert_eq!(apply(&mut state, &request("b", 0, 1)), accepted(1));
     let mut state = restored(&state);
-    assert_eq!(apply(&mut state, &early), conflict(1));
-    let mut again = early;
+    assert_eq!(apply(&mut state, &premature), conflict(1));
+    let mut again = premature;
     again.apply_id = ApplyId::new("once more");
     assert_eq!(apply(&mut state, &again), accepted(2));
 }
 
 #[test]
-fn an_id_stands_for_one_apply() {
+fn an_id_identifies_one_apply() {
     let mut state = State::default();
     let with_id = |base, level| Request {
         apply_id: ApplyId::new("change-7"),
@@ -81,7 +81,7 @@
     let text = r#"{"workspaces": [{"name": "a", "keys": [{"sha256": "plain-secret"}]}]}"#;
     let refused = Request::new("a", Version(0), text);
     let Prepared::Propose(action) = state.prepare(&refused) else {
-        panic!("it is new")
+        panic!("the request is a resend")
     };
     let command = Command {
         stamp: stamp(0),
@@ -91,7 +91,7 @@
     assert!(!contains(&command.encode()));
     assert!(matches!(action, Action::RefusedApply(_)));
     let ApplyAnswer::Refused { findings } = apply(&mut state, &refused) else {
-        panic!("it has findings")
+        panic!("the declaration has no findings")
     };
     assert_eq!(findings[0].place, "/workspaces/0/keys/0/sha256");
     assert!(!contains(&state.encode()));
@@ -121,15 +121,18 @@
 }
 
 #[test]
-fn commands_of_other_formats_are_told() {
+fn commands_of_other_formats_are_rejected() {
     let command = Command {
         stamp: stamp(5),
         action: Action::Claims(Vec::new()),
     };
     let mut bytes = command.encode();
-    assert_eq!(Command::decode(&bytes).expect("whole"), command);
+    assert_eq!(
+        Command::decode(&bytes).expect("the command can be decoded"),
+        command
+    );
     bytes[0] = 9;
-    let error = Command::decode(&bytes).expect_err("a format of the future");
+    let error = Command::decode(&bytes).expect_err("the format is unknown");
     assert_eq!(error.to_string(), "command format 9 is not known");
     assert!(Command::decode(&[]).is_err());
     assert!(Command::decode(&command.encode()[..2]).is_err());
--- a/crates/kumquatdrum_setup/tests/audit.rs
+++ b/crates/kumquatdrum_setup/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: each attempt is there, and no change to it goes unseen.
+//! The audit trail records each attempt, and its verification detects any change.
 
 mod support;
 
@@ -43,7 +43,7 @@
     while from <= state.trail().len() {
         let (previous, entries) = state.trail().page(from, 2);
         assert_eq!(previous, head);
-        head = verify(previous, entries).expect("a whole page");
+        head = verify(previous, entries).expect("the page is intact");
         from += entries.len() as u64;
     }
     assert_eq!(head, state.trail().head());
@@ -58,7 +58,7 @@
     let broken = |change: &dyn Fn(&mut Vec<Entry>)| {
         let mut entries = entries.to_vec();
         change(&mut entries);
-        verify(Digest::default(), &entries).expect_err("a changed trail")
+        verify(Digest::default(), &entries).expect_err("the trail was changed")
     };
     let digest = |sequence| Broken::Digest { sequence };
     assert_eq!(broken(&|e| e[1].record.operator = "x".into()), digest(2));
@@ -73,7 +73,7 @@
     assert_eq!(broken(&|e| drop(e.remove(0))), gap(1, 2));
     assert_eq!(broken(&|e| drop(e.remove(2))), gap(3, 4));
     assert_eq!(broken(&|e| e.swap(1, 2)), gap(2, 3));
-    // An entry that is left out and renumbered over still breaks the chain.
+    // A removed entry breaks the chain even if the later ones are renumbered.
     let renumbered = |e: &mut Vec<Entry>| {
         e.remove(2);
         e[2].record.sequence = 3;
@@ -81,14 +81,14 @@
     assert_eq!(broken(&renumbered), digest(3));
 }
 
-/// The digest's input is fixed by the documentation, so that auditors can use their own tools.
+/// The documentation defines the digest's input, so that auditors can use other tools.
 #[test]
-fn the_chain_can_be_computed_from_the_export() {
+fn the_chain_can_be_recomputed_from_the_export() {
     let state = trail();
     let (_, entries) = state.trail().page(1, usize::MAX);
     let mut previous = "0".repeat(64);
     for entry in entries {
-        let exported = serde_json::to_value(entry).expect("an entry");
+        let exported = serde_json::to_value(entry).expect("the entry can be exported");
         let line = format!("{previous}\n{}", exported["record"]);
         previous = kumquatdrum_types::digest::hex(line.as_bytes());
         assert_eq!(exported["digest"], previous.as_str());
--- a/crates/kumquatdrum_setup/tests/claims.rs
+++ b/crates/kumquatdrum_setup/tests/claims.rs
@@ -1,8 +1,8 @@
-//! Claims of idempotency keys: one attempt at most for each key, whatever fails.
+//! Claims of idempotency keys: at most one attempt runs for each key.
 
 mod support;
 
-use kumquatdrum_setup::claim::{Held, MAX_CLAIMS, MAX_CLAIMS_OF_WORKSPACE};
+use kumquatdrum_setup::claim::{Held, MAX_CLAIMS, MAX_CLAIMS_PER_WORKSPACE};
 use kumquatdrum_setup::{Action, Claim, ClaimAnswer, Digest, SettleAnswer, Settled, State};
 use support::{claim, claim_all, claim_one, restored, settle_one, settlement};
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn keys_of_two_workspaces_are_apart() {
+fn keys_of_two_workspaces_are_independent() {
     let mut state = State::default();
     let first = claim("order", "h1", "1");
     let mut second = claim("order", "h1", "2");
@@ -75,7 +75,7 @@
     );
     let mut state = restored(&state);
     assert_eq!(claim_one(&mut state, 0, &second), ClaimAnswer::Granted);
-    // A late copy of the first attempt's claim or settlement doesn't touch the second attempt.
+    // A delayed copy of the first attempt's claim or settlement doesn't affect the second attempt.
     assert_eq!(settle_one(&mut state, 0, not_run), SettleAnswer::NoClaim);
     assert_eq!(
         claim_one(&mut state, 0, &first),
@@ -83,7 +83,7 @@
     );
 }
 
-/// A late copy of a claim must not take the key for an attempt that nobody will make.
+/// A delayed copy of a claim must not claim the key for an attempt that will never run.
 #[test]
 fn a_settled_attempt_is_not_granted_again() {
     let mut state = State::default();
@@ -97,13 +97,13 @@
 }
 
 #[test]
-fn the_first_final_settlement_stands() {
+fn the_first_final_settlement_is_kept() {
     let mut state = State::default();
     let first = claim("order", "h1", "1");
     claim_one(&mut state, 0, &first);
     let mut settle = |settled| settle_one(&mut state, 0, settlement(&first, "h1", settled));
-    let stands = |settled| {
-        SettleAnswer::Stands(Held {
+    let already_settled = |settled| {
+        SettleAnswer::AlreadySettled(Held {
             host: "h1".into(),
             attempt: "1".into(),
             settled,
@@ -111,16 +111,16 @@
     };
     assert_eq!(settle(Settled::Running), SettleAnswer::Settled);
     assert_eq!(settle(Settled::Unknown), SettleAnswer::Settled);
-    assert_eq!(settle(Settled::Running), stands(Settled::Unknown));
+    assert_eq!(settle(Settled::Running), already_settled(Settled::Unknown));
     assert_eq!(settle(Settled::Finished), SettleAnswer::Settled);
     assert_eq!(settle(Settled::Finished), SettleAnswer::Settled);
-    assert_eq!(settle(Settled::NotRun), stands(Settled::Finished));
-    assert_eq!(settle(Settled::Unknown), stands(Settled::Finished));
+    assert_eq!(settle(Settled::NotRun), already_settled(Settled::Finished));
+    assert_eq!(settle(Settled::Unknown), already_settled(Settled::Finished));
 }
 
-/// The claim's host may only be cut off, and dispatch until the request's deadline.
+/// The claim's host may be partitioned and still dispatch until the request's deadline.
 #[test]
-fn another_host_says_not_run_only_after_the_deadline() {
+fn another_host_settles_as_not_run_only_after_the_deadline() {
     let mut state = State::default();
     let first = claim("order", "h1", "1");
     claim_one(&mut state, 0, &first);
@@ -138,21 +138,21 @@
 }
 
 #[test]
-fn another_host_says_unknown_at_once() {
+fn another_host_settles_as_unknown_at_once() {
     let mut state = State::default();
     let first = claim("order", "h1", "1");
     claim_all(&mut state, 0, &[first.clone(), claim("other", "h2", "2")]);
-    let dead = "h1".into();
-    let running: Vec<_> = state.claims().running_of(&dead).collect();
+    let failed_host = "h1".into();
+    let running: Vec<_> = state.claims().running_claims_of(&failed_host).collect();
     assert_eq!(running.len(), 1);
     assert_eq!(running[0].claim, first);
     let unknown = settlement(&first, "h2", Settled::Unknown);
     assert_eq!(settle_one(&mut state, 0, unknown), SettleAnswer::Settled);
-    assert_eq!(state.claims().running_of(&dead).count(), 0);
+    assert_eq!(state.claims().running_claims_of(&failed_host).count(), 0);
 }
 
 #[test]
-fn a_running_claim_outlives_its_time_as_unknown() {
+fn a_running_claim_becomes_unknown_when_it_expires() {
     let mut state = State::default();
     let first = claim("order", "h1", "1");
     let second = claim("order", "h2", "2");
@@ -166,34 +166,34 @@
     assert_eq!(state.claims().len(), 1);
 }
 
-/// Only elapsed time counts, so a replica with a wrong wall clock frees no key.
+/// Claims expire by elapsed time, so a replica with a wrong wall clock frees no key.
 #[test]
-fn a_leap_of_the_wall_clock_expires_nothing() {
+fn a_jump_of_the_wall_clock_expires_no_claim() {
     let mut state = State::default();
     let first = claim("order", "h1", "1");
     claim_one(&mut state, 0, &first);
-    let leap = kumquatdrum_setup::Stamp {
+    let jump = kumquatdrum_setup::Stamp {
         unix_ms: u64::MAX,
         elapsed_ms: 1,
     };
-    support::run(&mut state, leap, Action::Claims(Vec::new()));
+    support::run(&mut state, jump, Action::Claims(Vec::new()));
     let answer = claim_one(&mut state, 0, &claim("order", "h2", "2"));
     assert_eq!(answer, held(&first, Settled::Running));
 }
 
-/// `MAX_CLAIMS_OF_WORKSPACE` claims of a workspace, all granted.
-fn fill(state: &mut State, workspace: &str) {
+/// Claims `MAX_CLAIMS_PER_WORKSPACE` keys of a workspace.
+fn fill_workspace(state: &mut State, workspace: &str) {
     let numbered = |number: usize| Claim {
         workspace: workspace.into(),
         ..claim(&number.to_string(), "h1", "1")
     };
-    let claims: Vec<_> = (0..MAX_CLAIMS_OF_WORKSPACE).map(numbered).collect();
+    let claims: Vec<_> = (0..MAX_CLAIMS_PER_WORKSPACE).map(numbered).collect();
     let answers = claim_all(state, 0, &claims);
     assert!(answers.iter().all(|answer| *answer == ClaimAnswer::Granted));
 }
 
 #[test]
-fn a_full_table_grants_nothing_until_claims_expire() {
+fn a_full_workspace_is_granted_no_claims_until_some_expire() {
     let mut state = State::default();
     let late = claim("late", "h1", "1");
     let other = Claim {
@@ -201,12 +201,12 @@
         ..late.clone()
     };
     let known = claim("0", "h1", "1");
-    fill(&mut state, "salon");
+    fill_workspace(&mut state, "salon");
     assert_eq!(claim_one(&mut state, 0, &late), ClaimAnswer::Full);
     assert_eq!(claim_one(&mut state, 0, &known), ClaimAnswer::Granted);
     assert_eq!(claim_one(&mut state, 0, &other), ClaimAnswer::Granted);
     for workspace in ["second", "third"] {
-        fill(&mut state, workspace);
+        fill_workspace(&mut state, workspace);
     }
     settle_one(&mut state, 0, settlement(&known, "h1", Settled::Finished));
     assert_eq!(claim_one(&mut state, 9_999, &late), ClaimAnswer::Full);
@@ -214,10 +214,10 @@
 }
 
 #[test]
-fn the_table_is_bounded_over_all_workspaces() {
+fn the_table_is_limited_over_all_workspaces() {
     let mut state = State::default();
     for workspace in ["first", "second", "third", "fourth"] {
-        fill(&mut state, workspace);
+        fill_workspace(&mut state, workspace);
     }
     assert_eq!(state.claims().len(), MAX_CLAIMS);
     let late = claim("late", "h1", "1");
--- a/crates/kumquatdrum_setup/tests/history.rs
+++ b/crates/kumquatdrum_setup/tests/history.rs
@@ -1,15 +1,15 @@
-//! Versions read back byte for byte, by number and by time, and what they take.
+//! Reading versions by number and by time, their size, and the detection of damaged snapshots.
 
 mod support;
 
-use kumquatdrum_setup::history::{EMPTY, KEYFRAME_EVERY};
+use kumquatdrum_setup::history::{EMPTY_TEXT, MAX_DELTAS_PER_KEYFRAME};
 use kumquatdrum_setup::snapshot::RestoreError;
 use kumquatdrum_setup::{Digest, Selector, Standing, State};
 use kumquatdrum_types::Version;
 use support::{START_MS, apply_at, restored};
 
-/// A declaration of `priorities` items of which item `changed` has the aging time `aging_ms`.
-fn large(priorities: usize, changed: usize, aging_ms: usize) -> String {
+/// Returns a declaration of `priorities` items, of which item `changed` has the given aging time.
+fn large_text(priorities: usize, changed: usize, aging_ms: usize) -> String {
     let item = |number: usize| {
         let aging_ms = if number == changed { aging_ms } else { 5 };
         format!("{{\"name\": \"päev-{number}\", \"level\": 1, \"aging_ms\": {aging_ms}}}")
@@ -18,7 +18,8 @@
     format!("{{\"priorities\": [\n{}\n]}}\n", items.join(",\n")).replace("päev", "day")
 }
 
-fn grown(texts: &[String]) -> State {
+/// Returns a state to which each text was applied as a version.
+fn state_with_versions(texts: &[String]) -> State {
     let mut state = State::default();
     for (base, text) in (0..).zip(texts) {
         let request = kumquatdrum_setup::Request::new("a", Version(base), text.as_str());
@@ -30,17 +31,21 @@
 
 #[test]
 fn each_version_is_read_back_byte_for_byte() {
-    let count = KEYFRAME_EVERY + 300;
+    let count = MAX_DELTAS_PER_KEYFRAME + 300;
     let texts: Vec<_> = (0..count)
-        .map(|n| large(5 + n % 3, n * 7 % 5, n + 10))
+        .map(|n| large_text(5 + n % 3, n * 7 % 5, n + 10))
         .collect();
-    let state = grown(&texts);
+    let state = state_with_versions(&texts);
     for state in [restored(&state), state] {
-        assert_eq!(state.history().text(Version(0)).as_deref(), Some(EMPTY));
-        // Each eleventh, and all around the second keyframe.
-        let around = KEYFRAME_EVERY - 2..KEYFRAME_EVERY + 5;
-        let read = |number: &usize| number.is_multiple_of(11) || around.contains(number);
-        for number in (1..=count).filter(read) {
+        assert_eq!(
+            state.history().text(Version(0)).as_deref(),
+            Some(EMPTY_TEXT)
+        );
+        // Every eleventh version, and all around the second keyframe.
+        let around_keyframe = MAX_DELTAS_PER_KEYFRAME - 2..MAX_DELTAS_PER_KEYFRAME + 5;
+        let is_read =
+            |number: &usize| number.is_multiple_of(11) || around_keyframe.contains(number);
+        for number in (1..=count).filter(is_read) {
             let text = &texts[number - 1];
             let read = state.history().text(Version(number as u64));
             assert_eq!(read.as_deref(), Some(text.as_str()), "version {number}");
@@ -51,12 +56,12 @@
 }
 
 #[test]
-fn a_time_gives_what_was_in_force_then() {
-    let texts: Vec<_> = (0..3).map(|n| large(2, 0, n + 10)).collect();
-    let state = grown(&texts);
+fn a_time_selects_the_version_in_force_at_it() {
+    let texts: Vec<_> = (0..3).map(|n| large_text(2, 0, n + 10)).collect();
+    let state = state_with_versions(&texts);
     let at = |unix_ms| {
         let shown = state.show(Selector::At(unix_ms), Standing::Confirmed);
-        shown.expect("some version").version.0
+        shown.expect("the version exists").version.0
     };
     assert_eq!(at(0), 0);
     assert_eq!(at(START_MS + 999), 0);
@@ -75,44 +80,46 @@
     );
 }
 
-/// A new leader's clock may be behind its predecessor's.
+/// The clock of a new leader may be behind that of its predecessor.
 #[test]
-fn times_of_versions_never_go_back() {
+fn times_of_versions_never_decrease() {
     let mut state = State::default();
     apply_at(&mut state, START_MS, &support::request("a", 0, 1));
     apply_at(&mut state, START_MS - 50, &support::request("a", 1, 2));
-    let accepted = state.history().accepted(Version(2)).expect("version 2");
+    let accepted = state.history().record(Version(2)).expect("version 2");
     assert_eq!(accepted.unix_ms, START_MS);
-    assert_eq!(state.history().at(START_MS), Version(2));
+    assert_eq!(state.history().version_at(START_MS), Version(2));
 }
 
 #[test]
-fn a_version_costs_about_its_change() {
-    let base = large(400, 0, 10);
-    let texts: Vec<_> = (0..60).map(|n| large(400, n, 10 + n)).collect();
-    let one = grown(std::slice::from_ref(&base)).encode().len();
-    let all = grown(&texts).encode().len();
-    // Each change touches two neighbouring items of about 50 bytes, in a text of 20 kB. Its
-    // version and audit entry carry digests and names besides.
+fn the_size_of_a_version_depends_on_its_change() {
+    let base = large_text(400, 0, 10);
+    let texts: Vec<_> = (0..60).map(|n| large_text(400, n, 10 + n)).collect();
+    let one = state_with_versions(std::slice::from_ref(&base))
+        .encode()
+        .len();
+    let all = state_with_versions(&texts).encode().len();
+    // Each change affects two adjacent items of about 50 bytes in a text of 20 kB; its version and
+    // audit entry also contain digests and names.
     let each = (all - one) / 59;
     assert!(base.len() > 15_000, "{}", base.len());
-    assert!(each < 500, "{each} bytes a version");
+    assert!(each < 500, "{each} bytes per version");
 }
 
 #[test]
-fn a_changed_or_torn_snapshot_is_told() {
-    let bytes = grown(&[large(3, 0, 77), large(3, 0, 78)]).encode();
-    for place in 1..bytes.len() {
+fn a_changed_or_truncated_snapshot_is_rejected() {
+    let bytes = state_with_versions(&[large_text(3, 0, 77), large_text(3, 0, 78)]).encode();
+    for position in 1..bytes.len() {
         let mut changed = bytes.clone();
-        changed[place] ^= 1;
-        let error = State::restore(&changed).expect_err("a changed byte");
-        assert!(matches!(error, RestoreError::Digest), "{place}: {error}");
+        changed[position] ^= 1;
+        let error = State::restore(&changed).expect_err("a byte was changed");
+        assert!(matches!(error, RestoreError::Digest), "{position}: {error}");
     }
     for length in 0..bytes.len() {
         assert!(State::restore(&bytes[..length]).is_err(), "{length}");
     }
     let mut other = bytes.clone();
     other[0] = 200;
-    let error = State::restore(&other).expect_err("a format of the future");
+    let error = State::restore(&other).expect_err("the format is unknown");
     assert!(matches!(error, RestoreError::Format(200)), "{error}");
 }
--- a/crates/kumquatdrum_setup/tests/races.rs
+++ b/crates/kumquatdrum_setup/tests/races.rs
@@ -1,4 +1,4 @@
-//! Operators who race with equal bases, over replicas that lag, with lost answers and resends.
+//! Operators who race with equal bases, on lagging replicas with lost answers and resends.
 
 mod support;
 
@@ -8,18 +8,18 @@
 use kumquatdrum_types::Version;
 use support::{request, stamp};
 
-const INTERLEAVINGS: u64 = 1_000;
+const INTERLEAVING_COUNT: u64 = 1_000;
 const ENTROPY_BYTES: u64 = 256;
-const STEPS: usize = 24;
+const STEP_COUNT: usize = 24;
 
-/// Replicas that have applied more or less of one log.
+/// Replicas that have applied different parts of one log.
 struct Cluster {
     log: Vec<Command>,
     replicas: [State; 3],
 }
 
 impl Cluster {
-    /// A replica as leader takes a request: the answer, unless its entry is yet to be applied.
+    /// Handles a request on a replica as the leader; returns the answer if no entry is proposed.
     fn send(&mut self, replica: usize, request: &Request) -> Option<ApplyAnswer> {
         match self.replicas[replica].prepare(request) {
             Prepared::Answered(answer) => Some(answer),
@@ -46,7 +46,7 @@
     let rivals = [request("kadri", 0, 1), request("ngozi", 0, 2)];
     let later = request("third", 1, 3);
     let mut answers: [Vec<ApplyAnswer>; 2] = Default::default();
-    for _ in 0..STEPS {
+    for _ in 0..STEP_COUNT {
         let replica = u.choose_index(3)?;
         match u.choose_index(4)? {
             0 | 1 => {
@@ -72,11 +72,12 @@
     let [first, second, third] = &cluster.replicas;
     assert!(first == second && second == third);
     assert_eq!(first.encode(), third.encode());
-    judge(&answers, first);
+    check_answers(&answers, first);
     Ok(())
 }
 
-fn judge(answers: &[Vec<ApplyAnswer>; 2], state: &State) {
+/// Checks that exactly one of the two operators always got the version and the other a conflict.
+fn check_answers(answers: &[Vec<ApplyAnswer>; 2], state: &State) {
     let won =
         |answers: &Vec<ApplyAnswer>| answers.iter().all(|answer| *answer == support::accepted(1));
     let lost = |answers: &Vec<ApplyAnswer>| {
@@ -92,8 +93,8 @@
 }
 
 #[test]
-fn exactly_one_of_two_operators_wins() {
-    for index in 0..INTERLEAVINGS {
+fn exactly_one_of_two_racing_applies_is_accepted() {
+    for index in 0..INTERLEAVING_COUNT {
         arbtest(race).seed(ENTROPY_BYTES | index << 32);
     }
 }
--- a/crates/kumquatdrum_setup/tests/support/mod.rs
+++ b/crates/kumquatdrum_setup/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to make commands.
+//! Helpers that create commands and run them on a state.
 
 #![allow(dead_code, reason = "each test file uses some of these")]
 
@@ -10,7 +10,7 @@
 
 pub const START_MS: u64 = 1_800_000_000_000;
 
-/// A declaration whose text differs by `level`.
+/// Returns the text of a declaration that differs by `level`.
 pub fn text(level: u8) -> String {
     format!(r#"{{"priorities": [{{"name": "card", "level": {level}, "aging_ms": 5}}]}}"#)
 }
@@ -31,7 +31,7 @@
     state.apply(index, &Command { stamp, action })
 }
 
-/// What a leader with this state answers an operator at `unix_ms`.
+/// Applies a request at `unix_ms` as a leader with this state would, and returns the answer.
 pub fn apply_at(state: &mut State, unix_ms: u64, request: &Request) -> ApplyAnswer {
     let stamp = Stamp {
         unix_ms,
@@ -102,7 +102,7 @@
     }
 }
 
-/// The state as another replica has it that was sent a snapshot.
+/// Returns the state of a replica that was restored from a snapshot.
 pub fn restored(state: &State) -> State {
-    State::restore(&state.encode()).expect("a whole snapshot")
+    State::restore(&state.encode()).expect("the snapshot can be restored")
 }
--- a/crates/kumquatdrum_setup/tests/wire.rs
+++ b/crates/kumquatdrum_setup/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What passes between hosts survives the encoding that they use.
+//! Types sent between hosts round-trip through their encoding.
 
 mod support;
 
@@ -13,35 +13,35 @@
 use serde::de::DeserializeOwned;
 use support::{apply, claim, request, settlement};
 
-fn passes<T: Debug + PartialEq + Serialize + DeserializeOwned>(value: &T) {
-    let bytes = postcard::to_stdvec(value).expect("an encoding");
+fn assert_round_trip<T: Debug + PartialEq + Serialize + DeserializeOwned>(value: &T) {
+    let bytes = postcard::to_stdvec(value).expect("the value can be encoded");
     assert_eq!(postcard::from_bytes::<T>(&bytes).as_ref(), Ok(value));
 }
 
 #[test]
-fn requests_and_answers_pass() {
+fn requests_and_answers_round_trip() {
     let mut state = State::default();
     apply(&mut state, &request("a", 0, 1));
     let as_of_unix_ms = Some(9);
     let standing = Standing::LastKnown { as_of_unix_ms };
     let (previous, entries) = state.trail().page(1, 9);
-    passes(&Page {
+    assert_round_trip(&Page {
         previous,
         entries: entries.to_vec(),
         next: Some(2),
         standing,
     });
-    passes(&state.show(Selector::At(7), standing));
-    passes(&state.offer());
-    passes(&request("a", 0, 1));
-    passes(&support::accepted(1));
+    assert_round_trip(&state.show(Selector::At(7), standing));
+    assert_round_trip(&state.offer());
+    assert_round_trip(&request("a", 0, 1));
+    assert_round_trip(&support::accepted(1));
     let findings = vec![Finding::new("/models", "is wrong")];
-    passes(&ApplyAnswer::Refused { findings });
-    passes(&Failure::NotCurrent { leader: None });
+    assert_round_trip(&ApplyAnswer::Refused { findings });
+    assert_round_trip(&Failure::NotCurrent { leader: None });
     let claim = claim("k", "h", "1");
-    passes(&claim);
-    passes(&settlement(&claim, "h", Settled::Finished));
-    passes(&[ClaimAnswer::Granted, ClaimAnswer::Full]);
-    passes(&SettleAnswer::TooEarly { wait_ms: 3 });
-    passes(&Selector::Version(Version(3)));
+    assert_round_trip(&claim);
+    assert_round_trip(&settlement(&claim, "h", Settled::Finished));
+    assert_round_trip(&[ClaimAnswer::Granted, ClaimAnswer::Full]);
+    assert_round_trip(&SettleAnswer::TooEarly { wait_ms: 3 });
+    assert_round_trip(&Selector::Version(Version(3)));
 }
