--- a/crates/kumquatdrum_setup/src/lib.rs
+++ b/crates/kumquatdrum_setup/src/lib.rs
@@ -1,9 +1,10 @@
-//! Core: the replicated setup in force, its audit trail and the idempotency claims.
+//! The replicated setup: the declaration in force, its audit trail and the idempotency claims.
 //!
-//! [`State`] is the state machine that the replicated log drives: one [`Command`] in, one
-//! [`Answer`] out, the same on each replica. It reads no clock; time comes in each command's
-//! [`Stamp`]. [`Control`] is what the rest of a daemon speaks to, wherever the log lives, and
-//! [`InForce`] is what a daemon without a disk keeps.
+//! [`StateMachine`] is the replicated state machine: it applies each [`Command`] of the log with
+//! the same [`Answer`] on each replica. It reads no clock; each command carries its time as a
+//! [`Stamp`].
+//! [`Control`] is the interface of the control plane, and [`Setup`] is the version in force
+//! on a host without a replica.
 
 pub mod audit;
 pub mod claim;
@@ -17,11 +18,13 @@
 pub mod state;
 
 pub use audit::{Entry, Outcome, Trail};
-pub use claim::{Claim, ClaimAnswer, SettleAnswer, Settled, Settlement};
-pub use command::{Action, Answer, Apply, ApplyAnswer, ApplyId, Command, RefusedApply, Request};
-pub use control::{Control, Failure, Reply, Selector, Shown, Standing, Status};
+pub use claim::{AttemptStatus, Claim, ClaimAnswer, SettleAnswer, Settlement};
+pub use command::{
+    Action, Answer, Apply, ApplyAnswer, ApplyId, ApplyRequest, Command, RefusedApply,
+};
+pub use control::{Control, Failure, Reply, Revision, Selector, Standing, Status};
 pub use digest::Digest;
 pub use history::History;
-pub use in_force::InForce;
+pub use in_force::Setup;
 pub use stamp::{Stamp, Stamper};
-pub use state::{Prepared, State};
+pub use state::{Preparation, StateMachine};
