--- a/crates/kumquatdrum_gateway/src/fleet.rs
+++ b/crates/kumquatdrum_gateway/src/fleet.rs
@@ -7,7 +7,8 @@
 use indexmap::IndexMap;
 use kumquatdrum_fanout::Urgency;
 use kumquatdrum_placement::{
-    Balancer, Basis, Budget, Decision, EndpointKey, Group, Job, JobId, Plan, Planner, Turn,
+    Balancer, DataCentreKey, Decision, Diagnostics, EndpointKey, Job, JobId, Plan, Planner,
+    RetryBudget, Waiter,
 };
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_registry::Announcement;
@@ -80,7 +81,7 @@
 struct State {
     engine: Option<Engine>,
     policy: Policy,
-    budget: Budget,
+    budget: RetryBudget,
     directory: IndexMap<EndpointKey, Announcement>,
 }
 
@@ -99,7 +100,7 @@
     /// Others would lose more by it than its caller gains.
     TooCostly,
     /// No engine had room in time.
-    NoRoom(Turn),
+    NoRoom(Waiter),
 }
 
 impl Fleet {
@@ -137,7 +138,7 @@
         let policy = match engine {
             Some(engine) => {
                 let here = group(&self.parts.data_centre);
-                let planner = Planner::new(engine.clone()).standing_in(here);
+                let planner = Planner::new(engine.clone()).with_data_centre(here);
                 Policy::Engines(Box::new(planner))
             }
             None => Policy::Plain(Balancer::default()),
@@ -145,7 +146,7 @@
         let state = State {
             engine: engine.cloned(),
             policy,
-            budget: Budget::new(retries.ratio, retries.slack, window),
+            budget: RetryBudget::new(retries.ratio, retries.slack, window),
             directory: IndexMap::new(),
         };
         Service {
@@ -197,7 +198,7 @@
     pub fn requested(&self, name: &ServiceName) {
         if let Some(service) = self.find(name) {
             let now = self.parts.clock.now();
-            service.state.lock().budget.requested(now);
+            service.state.lock().budget.record_request(now);
         }
     }
 
@@ -206,7 +207,7 @@
         let now = self.parts.clock.now();
         let hosts = self.parts.hosts.caller_hosts();
         self.find(name)
-            .is_some_and(|service| service.state.lock().budget.take(now, hosts))
+            .is_some_and(|service| service.state.lock().budget.try_take(now, hosts))
     }
 
     /// Takes what other hosts tell of their dispatches.
@@ -241,13 +242,13 @@
         };
         match event {
             Event::Sent(_, plan) => planner.sent(now, plan),
-            Event::Began(_, job) => planner.began(now, job),
-            Event::Ended(_, job) => planner.ended(now, job),
-            Event::Queued(_, turn) => planner.queued(now, turn),
-            Event::Cancelled(_, job) => planner.cancelled(job),
+            Event::Began(_, job) => planner.record_first_token(now, job),
+            Event::Ended(_, job) => planner.record_end(now, job),
+            Event::Queued(_, turn) => planner.enqueue(now, turn),
+            Event::Cancelled(_, job) => planner.dequeue(job),
             Event::Running(_, jobs) => {
                 for (plan, is_reading) in jobs {
-                    planner.running(now, plan, is_reading);
+                    planner.refresh(now, plan, is_reading);
                 }
             }
         }
@@ -261,7 +262,7 @@
         let services: Vec<Arc<Service>> = self.services.read().values().cloned().collect();
         for service in services {
             let jobs = match &mut service.state.lock().policy {
-                Policy::Engines(planner) => planner.jobs_of(now, self.parts.number),
+                Policy::Engines(planner) => planner.renew_jobs(now, self.parts.number),
                 Policy::Plain(_) => continue,
             };
             for jobs in batches(jobs) {
@@ -326,7 +327,7 @@
                     Decision::Wait(turn) => return Err(Unplaced::NoRoom(turn)),
                     Decision::TooCostly => return Err(Unplaced::TooCostly),
                     Decision::TooLarge => return Err(Unplaced::TooLarge),
-                    Decision::Nobody => return Err(Unplaced::Nobody),
+                    Decision::NoEngine => return Err(Unplaced::Nobody),
                 };
                 self.sent(service, &state, (request, job), plan, &basis)
             }
@@ -354,7 +355,7 @@
         state: &State,
         (request, job): (&str, &Job),
         plan: Plan,
-        basis: &Basis,
+        basis: &Diagnostics,
     ) -> Result<Pick, Unplaced> {
         let endpoint = state.directory.get(&plan.first).cloned();
         let endpoint = endpoint.ok_or(Unplaced::Nobody)?;
@@ -377,7 +378,7 @@
             "readers" => plan.helpers.len() + 1, "helpers" => helper_names(state, &plan),
             "part_ms" => format!("{:.1}", plan.part_ms),
             "engines" => basis.engines, "backlog_ms" => format!("{:.1}", basis.backlog_ms),
-            "writers" => basis.writers, "pass_ms" => format!("{:.1}", basis.pass_ms),
+            "writers" => basis.decodes, "pass_ms" => format!("{:.1}", basis.pass_ms),
             "waited_ms" => (self.parts.clock.now() - job.arrived).as_millis() as u64);
         let urgency = urgency(&plan);
         let pick = Pick {
@@ -418,7 +419,7 @@
 
 impl Queue<'_> {
     /// Tells of the turn, where that is due.
-    fn tell(&mut self, turn: Turn) {
+    fn tell(&mut self, turn: Waiter) {
         let now = self.fleet.parts.clock.now();
         let is_due = self
             .told
@@ -443,7 +444,7 @@
             return;
         }
         if let Policy::Engines(planner) = &mut self.service.state.lock().policy {
-            planner.cancelled(self.job);
+            planner.dequeue(self.job);
         }
         let event = Event::Cancelled(self.service.name.clone(), self.job);
         self.fleet.tell(event, Urgency::Urgent);
@@ -452,14 +453,14 @@
 }
 
 /// Endpoints of one data centre are cut off together.
-fn group(data_centre: &DataCentre) -> Group {
+fn group(data_centre: &DataCentre) -> DataCentreKey {
     let name = EndpointId::new(data_centre.as_str());
-    Group(EndpointKey::of(&name, 0).0)
+    DataCentreKey(EndpointKey::of(&name, 0).0)
 }
 
 /// How soon hosts of other data centres have to hear of a job.
 fn urgency(plan: &Plan) -> Urgency {
-    if plan.has_parts() {
+    if plan.has_long_prefill() {
         Urgency::Urgent
     } else {
         Urgency::Usual
--- a/crates/kumquatdrum_gateway/src/fleet/pick.rs
+++ b/crates/kumquatdrum_gateway/src/fleet/pick.rs
@@ -47,7 +47,7 @@
         };
         let now = self.fleet.parts.clock.now();
         if let Policy::Engines(planner) = &mut self.service.state.lock().policy {
-            planner.began(now, job);
+            planner.record_first_token(now, job);
         }
         self.service.changed.notify_waiters();
         let event = Event::Began(self.service.name.clone(), job);
@@ -58,8 +58,8 @@
     pub fn succeeded(&self, load: Option<u32>) {
         let now = self.fleet.parts.clock.now();
         match &mut self.service.state.lock().policy {
-            Policy::Engines(planner) => planner.succeeded(self.key),
-            Policy::Plain(balancer) => balancer.succeeded(now, self.key, load),
+            Policy::Engines(planner) => planner.record_success(self.key),
+            Policy::Plain(balancer) => balancer.record_success(now, self.key, load),
         }
     }
 
@@ -67,8 +67,8 @@
     pub fn failed(&self, failure: Failure) {
         let now = self.fleet.parts.clock.now();
         let is_ejected = match &mut self.service.state.lock().policy {
-            Policy::Engines(planner) => planner.failed(now, self.key, failure),
-            Policy::Plain(balancer) => balancer.failed(now, self.key, failure),
+            Policy::Engines(planner) => planner.record_failure(now, self.key, failure),
+            Policy::Plain(balancer) => balancer.record_failure(now, self.key, failure),
         };
         if is_ejected {
             warn!(self.fleet.parts.logger, "endpoint_ejected"; "event" => "endpoint_ejected",
@@ -89,7 +89,7 @@
             return;
         };
         if let Policy::Engines(planner) = &mut state.policy {
-            planner.failed(now, key, Failure::Unreachable);
+            planner.record_failure(now, key, Failure::Unreachable);
         }
         warn!(self.fleet.parts.logger, "helper_failed"; "event" => "helper_failed",
             "endpoint" => self.endpoint.id.as_str(), "helper" => name);
@@ -106,8 +106,8 @@
     fn drop(&mut self) {
         let now = self.fleet.parts.clock.now();
         match (&mut self.service.state.lock().policy, self.job) {
-            (Policy::Engines(planner), Some(job)) => planner.ended(now, job),
-            (Policy::Plain(balancer), _) => balancer.ended(self.key),
+            (Policy::Engines(planner), Some(job)) => planner.record_end(now, job),
+            (Policy::Plain(balancer), _) => balancer.record_end(self.key),
             (Policy::Engines(_), None) => {}
         }
         self.service.changed.notify_waiters();
--- a/crates/kumquatdrum_gateway/src/message.rs
+++ b/crates/kumquatdrum_gateway/src/message.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use kumquatdrum_consensus::Member as ReplicaMember;
 use kumquatdrum_fanout::Urgency;
-use kumquatdrum_placement::{JobId, Plan, Turn};
+use kumquatdrum_placement::{JobId, Plan, Waiter};
 use kumquatdrum_registry::Update;
 use kumquatdrum_routes::Record;
 use kumquatdrum_types::{DataCentre, HostId, ServiceName};
@@ -189,7 +189,7 @@
     /// It has ended.
     Ended(ServiceName, JobId),
     /// It waits for its turn.
-    Queued(ServiceName, Turn),
+    Queued(ServiceName, Waiter),
     /// It waits no longer, and was not sent.
     Cancelled(ServiceName, JobId),
     /// These are under way, each with whether it is still read.
--- a/crates/kumquatdrum_placement/src/balancer.rs
+++ b/crates/kumquatdrum_placement/src/balancer.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use kumquatdrum_types::Moment;
 
-use crate::reach::{Group, Reach};
+use crate::reach::{DataCentreKey, Reach};
 use crate::{EndpointKey, Failure, Health};
 
 /// How long a reported load is believed: about as long as a plain request takes to run.
@@ -21,7 +21,7 @@
 
 #[derive(Debug)]
 struct Endpoint {
-    group: Group,
+    group: DataCentreKey,
     slots: u32,
     under_way: u32,
     reported: u32,
@@ -32,7 +32,10 @@
 
 impl Balancer {
     /// The endpoints that may be chosen from now on, with their slots.
-    pub fn set_endpoints(&mut self, usable: impl IntoIterator<Item = (EndpointKey, Group, u32)>) {
+    pub fn set_endpoints(
+        &mut self,
+        usable: impl IntoIterator<Item = (EndpointKey, DataCentreKey, u32)>,
+    ) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.usable = false;
         }
@@ -69,14 +72,14 @@
     }
 
     /// A chosen request has ended.
-    pub fn ended(&mut self, key: EndpointKey) {
+    pub fn record_end(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.under_way = endpoint.under_way.saturating_sub(1);
         }
     }
 
     /// An endpoint has answered, and may have told its load.
-    pub fn succeeded(&mut self, now: Moment, key: EndpointKey, load: Option<u32>) {
+    pub fn record_success(&mut self, now: Moment, key: EndpointKey, load: Option<u32>) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.health.succeeded();
             self.reach.succeeded(endpoint.group);
@@ -88,7 +91,7 @@
     }
 
     /// An endpoint has failed; returns whether it is spared from now on.
-    pub fn failed(&mut self, now: Moment, key: EndpointKey, failure: Failure) -> bool {
+    pub fn record_failure(&mut self, now: Moment, key: EndpointKey, failure: Failure) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return false;
         };
@@ -99,7 +102,7 @@
 
 impl Endpoint {
     /// An endpoint that has nothing to do yet.
-    fn new(group: Group) -> Self {
+    fn new(group: DataCentreKey) -> Self {
         Self {
             group,
             slots: 1,
--- a/crates/kumquatdrum_placement/src/budget.rs
+++ b/crates/kumquatdrum_placement/src/budget.rs
@@ -11,7 +11,7 @@
 
 /// The retries of one service that this host may make.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     window: Duration,
@@ -19,7 +19,7 @@
     retries: VecDeque<Moment>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Retries over all hosts in a window: `ratio` of the requests, and `slack`.
     pub const fn new(ratio: f64, slack: f64, window: Duration) -> Self {
         Self {
@@ -32,13 +32,13 @@
     }
 
     /// A caller's request has come.
-    pub fn requested(&mut self, now: Moment) {
+    pub fn record_request(&mut self, now: Moment) {
         self.requests.push_back(now);
         self.forget(now);
     }
 
     /// Takes one retry, where one is left for a host among `hosts`.
-    pub fn take(&mut self, now: Moment, hosts: usize) -> bool {
+    pub fn try_take(&mut self, now: Moment, hosts: usize) -> bool {
         self.forget(now);
         let slack = self.slack / hosts.max(1) as f64;
         let allowed = (self.ratio * self.requests.len() as f64 + slack) * MARGIN;
--- a/crates/kumquatdrum_placement/src/candidate.rs
+++ b/crates/kumquatdrum_placement/src/candidate.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 use kumquatdrum_types::Moment;
 
-use crate::{Cost, EndpointKey, Group, Health, JobId};
+use crate::{Cost, DataCentreKey, EndpointKey, Health, JobId};
 
 /// The share of memory that is planned for: answers grow beyond their estimates.
 const FILLED: f64 = 0.97;
@@ -15,7 +15,7 @@
 /// What a planner keeps of one engine.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
-    pub(crate) group: Group,
+    pub(crate) group: DataCentreKey,
     pub(crate) usable: bool,
     pub(crate) health: Health,
     /// When it has read what it holds, as far as that is known.
@@ -52,7 +52,7 @@
 
 impl Endpoint {
     /// An engine that does nothing yet.
-    pub(crate) fn new(group: Group) -> Self {
+    pub(crate) fn new(group: DataCentreKey) -> Self {
         Self {
             group,
             usable: false,
@@ -82,7 +82,7 @@
 
 impl Candidate<'_> {
     /// Where it stands.
-    pub(crate) fn group(&self) -> Group {
+    pub(crate) fn group(&self) -> DataCentreKey {
         self.endpoint.group
     }
 
--- a/crates/kumquatdrum_placement/src/job.rs
+++ b/crates/kumquatdrum_placement/src/job.rs
@@ -93,7 +93,7 @@
 
 /// A job that waits for its turn, as its host tells of it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Turn {
+pub struct Waiter {
     /// The job.
     pub job: JobId,
     /// What its reading costs one engine, in milliseconds.
@@ -119,7 +119,7 @@
 
 impl Plan {
     /// Whether engines read it as a part that others keep clear of: several share it, or it takes long.
-    pub fn has_parts(&self) -> bool {
+    pub fn has_long_prefill(&self) -> bool {
         !self.helpers.is_empty() || f64::from(self.part_ms) > short::PART_MS
     }
 
--- a/crates/kumquatdrum_placement/src/lib.rs
+++ b/crates/kumquatdrum_placement/src/lib.rs
@@ -22,9 +22,9 @@
 mod turns;
 
 pub use balancer::Balancer;
-pub use budget::Budget;
+pub use budget::RetryBudget;
 pub use cost::Cost;
 pub use health::{Failure, Health};
-pub use job::{EndpointKey, Job, JobId, Part, Plan, Turn};
-pub use planner::{Basis, Decision, Planner};
-pub use reach::Group;
+pub use job::{EndpointKey, Job, JobId, Part, Plan, Waiter};
+pub use planner::{Decision, Diagnostics, Planner};
+pub use reach::DataCentreKey;
--- a/crates/kumquatdrum_placement/src/long.rs
+++ b/crates/kumquatdrum_placement/src/long.rs
@@ -10,7 +10,7 @@
 
 use crate::candidate::Candidate;
 use crate::demand::weight;
-use crate::{Cost, Group, Job, Part, Plan};
+use crate::{Cost, DataCentreKey, Job, Part, Plan};
 
 /// The most engines that read one prompt together: the engines' own limit of sixteen helpers.
 pub(crate) const WIDEST: usize = 17;
@@ -54,7 +54,7 @@
     now: Moment,
     job: &Job,
     candidates: &[Candidate<'_>],
-    here: Option<Group>,
+    here: Option<DataCentreKey>,
 ) -> Placement {
     let read_ms = cost.read_ms(job.prompt);
     let all = sorted(candidates.iter().collect());
@@ -127,7 +127,7 @@
     candidates: &'a [Candidate<'a>],
     mut members: Vec<&'a Candidate<'a>>,
     read_ms: f64,
-    here: Option<Group>,
+    here: Option<DataCentreKey>,
 ) -> Option<Plan> {
     let part_ms = read_ms / members.len() as f64;
     let is_near = |candidate: &Candidate<'_>| {
--- a/crates/kumquatdrum_placement/src/planner.rs
+++ b/crates/kumquatdrum_placement/src/planner.rs
@@ -14,9 +14,9 @@
 use crate::demand::{Demand, weight};
 use crate::ended::Ended;
 use crate::long::Placement;
-use crate::reach::{Group, Reach};
+use crate::reach::{DataCentreKey, Reach};
 use crate::turns::Turns;
-use crate::{Cost, EndpointKey, Failure, Job, JobId, Part, Plan, Turn, long, short};
+use crate::{Cost, EndpointKey, Failure, Job, JobId, Part, Plan, Waiter, long, short};
 
 /// How long a job counts that its host does not speak of: hosts tell of all their jobs twice a
 /// second, and a host that misses four turns is frozen, cut off or gone.
@@ -26,26 +26,26 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     /// Send it; the basis is for those who ask why.
-    Send(Plan, Basis),
+    Send(Plan, Diagnostics),
     /// Ask again when something has ended; other hosts are told.
-    Wait(Turn),
+    Wait(Waiter),
     /// All engines together can't hold it.
     TooLarge,
     /// Others would lose more by it than its caller gains.
     TooCostly,
     /// No engine is known.
-    Nobody,
+    NoEngine,
 }
 
 /// What a decision rests on.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Basis {
+pub struct Diagnostics {
     /// Engines that could be chosen.
     pub engines: usize,
     /// The longest backlog among the chosen ones, in milliseconds.
     pub backlog_ms: f64,
     /// Answers that the first engine writes already.
-    pub writers: usize,
+    pub decodes: usize,
     /// What it writes one pass of in, in milliseconds.
     pub pass_ms: f64,
 }
@@ -61,7 +61,7 @@
     demand: Demand,
     reach: Reach,
     /// Where this host stands, if that is known.
-    here: Option<Group>,
+    here: Option<DataCentreKey>,
 }
 
 #[derive(Debug)]
@@ -89,7 +89,7 @@
     /// The same planner for a host that stands in the data centre of this group of engines.
     ///
     /// ```
-    /// use kumquatdrum_placement::{EndpointKey, Group, Planner};
+    /// use kumquatdrum_placement::{EndpointKey, DataCentreKey, Planner};
     /// # use kumquatdrum_routes::Engine;
     /// # let engine = Engine {
     /// #     slots: 16, memory_tokens: 300_000, pass_steps: 50, step_ms: 1.0, writer_ms: 0.01,
@@ -97,17 +97,20 @@
     /// #     chunk_tokens: 2_048, hop_ms: 0.05, usual_prompt: 10_000.0, usual_answer: 1_000.0,
     /// # };
     ///
-    /// let mut planner = Planner::new(engine).standing_in(Group(1));
-    /// planner.set_endpoints([(EndpointKey(7), Group(1)), (EndpointKey(8), Group(2))]);
+    /// let mut planner = Planner::new(engine).with_data_centre(DataCentreKey(1));
+    /// planner.set_endpoints([(EndpointKey(7), DataCentreKey(1)), (EndpointKey(8), DataCentreKey(2))]);
     /// ```
     #[must_use]
-    pub fn standing_in(mut self, here: Group) -> Self {
+    pub fn with_data_centre(mut self, here: DataCentreKey) -> Self {
         self.here = Some(here);
         self
     }
 
     /// The engines that may be chosen from now on.
-    pub fn set_endpoints(&mut self, usable: impl IntoIterator<Item = (EndpointKey, Group)>) {
+    pub fn set_endpoints(
+        &mut self,
+        usable: impl IntoIterator<Item = (EndpointKey, DataCentreKey)>,
+    ) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.usable = false;
         }
@@ -131,7 +134,7 @@
         }
         let memory = self.cost.engine().memory_tokens;
         if candidates.is_empty() {
-            return Decision::Nobody;
+            return Decision::NoEngine;
         }
         if job.tokens() > memory * candidates.len() as u64 {
             return Decision::TooLarge;
@@ -191,12 +194,12 @@
     }
 
     /// A job waits at another host.
-    pub fn queued(&mut self, now: Moment, turn: Turn) {
+    pub fn enqueue(&mut self, now: Moment, turn: Waiter) {
         self.turns.put(now, turn);
     }
 
     /// A job waits no longer, and was not sent.
-    pub fn cancelled(&mut self, job: JobId) {
+    pub fn dequeue(&mut self, job: JobId) {
         self.turns.remove(job);
     }
 
@@ -210,7 +213,7 @@
         }
         let part_ms = f64::from(plan.part_ms.max(0.0));
         let part = Duration::from_secs_f64(part_ms / 1e3);
-        let is_part = plan.has_parts();
+        let is_part = plan.has_long_prefill();
         for key in plan.readers() {
             if let Some(endpoint) = self.endpoints.get_mut(&key) {
                 endpoint.read_until = endpoint.read_until.max(now) + part;
@@ -252,11 +255,11 @@
     }
 
     /// Another host tells of a job that is under way, whose dispatch may have been missed.
-    pub fn running(&mut self, now: Moment, plan: Plan, is_reading: bool) {
+    pub fn refresh(&mut self, now: Moment, plan: Plan, is_reading: bool) {
         if let Some(placed) = self.jobs.get_mut(&plan.job) {
             placed.forget_at = now + FORGOTTEN;
             if !is_reading {
-                self.began(now, plan.job);
+                self.record_first_token(now, plan.job);
             }
             return;
         }
@@ -266,7 +269,7 @@
     }
 
     /// This host's jobs, with whether each is still read, for hosts that have missed them.
-    pub fn jobs_of(&mut self, now: Moment, host: u32) -> Vec<(Plan, bool)> {
+    pub fn renew_jobs(&mut self, now: Moment, host: u32) -> Vec<(Plan, bool)> {
         let mut jobs = Vec::new();
         for (job, placed) in &mut self.jobs {
             if job.host == host {
@@ -278,7 +281,7 @@
     }
 
     /// The first token of a job has come.
-    pub fn began(&mut self, now: Moment, job: JobId) {
+    pub fn record_first_token(&mut self, now: Moment, job: JobId) {
         if let Some(placed) = self.jobs.get_mut(&job).filter(|placed| placed.reading) {
             placed.reading = false;
             let plan = placed.plan.clone();
@@ -287,7 +290,7 @@
     }
 
     /// A job has ended. What was told of it before may still arrive, by another way.
-    pub fn ended(&mut self, now: Moment, job: JobId) {
+    pub fn record_end(&mut self, now: Moment, job: JobId) {
         self.ended.add(job);
         self.release(now, job);
     }
@@ -311,7 +314,7 @@
     }
 
     /// An engine has answered.
-    pub fn succeeded(&mut self, key: EndpointKey) {
+    pub fn record_success(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.health.succeeded();
             self.reach.succeeded(endpoint.group);
@@ -319,7 +322,7 @@
     }
 
     /// An engine has failed; returns whether it is spared from now on.
-    pub fn failed(&mut self, now: Moment, key: EndpointKey, failure: Failure) -> bool {
+    pub fn record_failure(&mut self, now: Moment, key: EndpointKey, failure: Failure) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return false;
         };
@@ -370,8 +373,8 @@
     }
 }
 
-fn turn(now: Moment, job: &Job, read_ms: f64) -> Turn {
-    Turn {
+fn turn(now: Moment, job: &Job, read_ms: f64) -> Waiter {
+    Waiter {
         job: job.id,
         read_ms: read_ms as f32,
         prompt: u32::try_from(job.prompt).unwrap_or(u32::MAX),
@@ -381,16 +384,16 @@
     }
 }
 
-fn basis(plan: &Plan, candidates: &[Candidate<'_>]) -> Basis {
+fn basis(plan: &Plan, candidates: &[Candidate<'_>]) -> Diagnostics {
     let find = |key: EndpointKey| candidates.iter().find(|candidate| candidate.key == key);
     let first = find(plan.first);
     let chosen = plan.readers().filter_map(find);
-    Basis {
+    Diagnostics {
         engines: candidates.len(),
         backlog_ms: chosen
             .map(|candidate| candidate.backlog_ms)
             .fold(0.0, f64::max),
-        writers: first.map_or(0, Candidate::writers),
+        decodes: first.map_or(0, Candidate::writers),
         pass_ms: first.map_or(0.0, |candidate| candidate.pass_ms),
     }
 }
--- a/crates/kumquatdrum_placement/src/short.rs
+++ b/crates/kumquatdrum_placement/src/short.rs
@@ -12,7 +12,7 @@
 use kumquatdrum_types::Moment;
 
 use crate::candidate::Candidate;
-use crate::{Cost, Group, Job, Part};
+use crate::{Cost, DataCentreKey, Job, Part};
 
 /// The share of a pause that a prompt's reading may take: the rest is for a pass of the answers.
 /// What takes longer is long.
@@ -52,7 +52,7 @@
     /// Prompts that all hosts send a second.
     pub(crate) rate: f64,
     /// The data centre that the host stands in, if that is known.
-    pub(crate) here: Option<Group>,
+    pub(crate) here: Option<DataCentreKey>,
 }
 
 /// How gladly an engine is taken, the best first.
@@ -138,7 +138,7 @@
     if load.here.is_none() {
         return load.rate;
     }
-    let groups: IndexSet<Group> = candidates.iter().map(Candidate::group).collect();
+    let groups: IndexSet<DataCentreKey> = candidates.iter().map(Candidate::group).collect();
     load.rate / groups.len().max(1) as f64
 }
 
--- a/crates/kumquatdrum_placement/src/turns.rs
+++ b/crates/kumquatdrum_placement/src/turns.rs
@@ -9,7 +9,7 @@
 use kumquatdrum_types::Moment;
 
 use crate::demand::weight;
-use crate::{JobId, Turn};
+use crate::{JobId, Waiter};
 
 /// How long a turn counts that its host does not speak of: hosts tell of each ten times a second.
 const LIFE: Duration = Duration::from_millis(300);
@@ -24,7 +24,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    turn: Turn,
+    turn: Waiter,
     arrived: Moment,
     due: Moment,
     heard: Moment,
@@ -32,7 +32,7 @@
 
 impl Turns {
     /// A prompt waits.
-    pub(crate) fn put(&mut self, now: Moment, turn: Turn) {
+    pub(crate) fn put(&mut self, now: Moment, turn: Waiter) {
         let waited = Duration::from_millis(turn.waited_ms.into()).as_micros() as u64;
         let waiting = Waiting {
             turn,
@@ -61,7 +61,7 @@
     }
 
     /// Whether no other prompt's turn comes before this one's.
-    pub(crate) fn is_next(&self, now: Moment, turn: Turn) -> bool {
+    pub(crate) fn is_next(&self, now: Moment, turn: Waiter) -> bool {
         let left = Duration::from_millis(turn.left_ms.into());
         let waited = Duration::from_millis(turn.waited_ms.into());
         let own = rank(&turn, waited, left);
@@ -76,7 +76,7 @@
 
 /// The more a prompt weighs for each millisecond of reading, and the longer it has waited of its
 /// time, the sooner its turn comes. One that is late already goes after those that are not.
-fn rank(turn: &Turn, waited: Duration, left: Duration) -> f64 {
+fn rank(turn: &Waiter, waited: Duration, left: Duration) -> f64 {
     let weight = weight(turn.prompt.into());
     let rate = weight / f64::from(turn.read_ms).max(1.0);
     let time = (waited + left).as_secs_f64().max(f64::MIN_POSITIVE);
--- a/crates/kumquatdrum_placement/tests/model/play.rs
+++ b/crates/kumquatdrum_placement/tests/model/play.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use indexmap::IndexMap;
-use kumquatdrum_placement::{Cost, Decision, EndpointKey, Group, Job, JobId, Plan, Planner, Turn};
+use kumquatdrum_placement::{
+    Cost, DataCentreKey, Decision, EndpointKey, Job, JobId, Plan, Planner, Waiter,
+};
 use kumquatdrum_routes::Engine as Figures;
 use kumquatdrum_types::Moment;
 
@@ -108,13 +110,13 @@
     }
 
     /// Where an engine stands.
-    fn group_of(&self, key: EndpointKey) -> Group {
-        Group(key.0 % self.data_centres)
+    fn group_of(&self, key: EndpointKey) -> DataCentreKey {
+        DataCentreKey(key.0 % self.data_centres)
     }
 
     /// Where a host stands.
-    fn group_at(&self, host: usize) -> Group {
-        Group(host as u64 % self.data_centres)
+    fn group_at(&self, host: usize) -> DataCentreKey {
+        DataCentreKey(host as u64 % self.data_centres)
     }
 }
 
@@ -124,7 +126,7 @@
     Sent(Plan),
     Began(JobId),
     Ended(JobId),
-    Waits(Turn),
+    Waits(Waiter),
     Left(JobId),
     Running(Vec<(Plan, bool)>),
 }
@@ -142,7 +144,7 @@
     fn new(scene: &Scene, figures: &Figures) -> Self {
         let planner = |host| {
             let planner = Planner::new(figures.clone());
-            let mut planner = planner.standing_in(scene.group_at(host));
+            let mut planner = planner.with_data_centre(scene.group_at(host));
             let keys = (1..=scene.engines).map(EndpointKey);
             planner.set_endpoints(keys.map(|key| (key, scene.group_of(key))));
             planner
@@ -190,13 +192,13 @@
             match &notice {
                 _ if but == Some(host) => {}
                 Notice::Sent(plan) => planner.sent(now, plan.clone()),
-                Notice::Began(job) => planner.began(now, *job),
-                Notice::Ended(job) => planner.ended(now, *job),
-                Notice::Waits(turn) => planner.queued(now, *turn),
-                Notice::Left(job) => planner.cancelled(*job),
+                Notice::Began(job) => planner.record_first_token(now, *job),
+                Notice::Ended(job) => planner.record_end(now, *job),
+                Notice::Waits(turn) => planner.enqueue(now, *turn),
+                Notice::Left(job) => planner.dequeue(*job),
                 Notice::Running(jobs) => {
                     for (plan, is_reading) in jobs {
-                        planner.running(now, plan.clone(), *is_reading);
+                        planner.refresh(now, plan.clone(), *is_reading);
                     }
                 }
             }
@@ -206,7 +208,7 @@
     /// Every host tells of its jobs, by which none is forgotten.
     fn retell(&mut self, now: f64) {
         for host in 0..self.hosts.len() {
-            let jobs = self.hosts[host].jobs_of(moment(now), host as u32);
+            let jobs = self.hosts[host].renew_jobs(moment(now), host as u32);
             if !jobs.is_empty() {
                 self.tell(now, host as u32, Notice::Running(jobs));
             }
@@ -220,8 +222,8 @@
         };
         let planner = self.own(id);
         match &notice {
-            Notice::Began(id) => planner.began(now, *id),
-            _ => planner.ended(now, id),
+            Notice::Began(id) => planner.record_first_token(now, *id),
+            _ => planner.record_end(now, id),
         }
         self.tell(now.micros as f64 / 1e3, id.host, notice);
     }
@@ -307,7 +309,7 @@
                         false
                     }
                     _ => {
-                        planners.own(*id).cancelled(*id);
+                        planners.own(*id).dequeue(*id);
                         planners.tell(now, id.host, Notice::Left(*id));
                         outcomes[prompt.kind].refused += 1;
                         false
--- a/crates/kumquatdrum_placement/tests/planner.rs
+++ b/crates/kumquatdrum_placement/tests/planner.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use kumquatdrum_placement::{Decision, EndpointKey, Group, Job, JobId, Plan, Planner};
+use kumquatdrum_placement::{DataCentreKey, Decision, EndpointKey, Job, JobId, Plan, Planner};
 use kumquatdrum_types::Moment;
 use model::play::figures;
 use rand_core::{Rng, SeedableRng};
@@ -14,7 +14,7 @@
 
 fn planner(engines: u64) -> Planner {
     let mut planner = Planner::new(figures());
-    planner.set_endpoints((1..=engines).map(|number| (EndpointKey(number), Group(0))));
+    planner.set_endpoints((1..=engines).map(|number| (EndpointKey(number), DataCentreKey(0))));
     planner
 }
 
@@ -61,7 +61,7 @@
         other => panic!("{other:?}"),
     }
     // Once the first token has come, the engines are free for the next one.
-    planner.began(at, first.job);
+    planner.record_first_token(at, first.job);
     sent(planner.place(at, &job(2, 150_000, at)));
 }
 
@@ -82,7 +82,7 @@
         .collect();
     for told in [2_000, 4_000] {
         for short in &shorts {
-            planner.running(at(told), short.clone(), false);
+            planner.refresh(at(told), short.clone(), false);
         }
     }
     let very_long = job(100, 250_000, at(3_500));
@@ -101,26 +101,26 @@
         Decision::Wait(turn) => assert!(turn.blocked),
         other => panic!("{other:?}"),
     }
-    planner.cancelled(broken.id);
+    planner.dequeue(broken.id);
     for short in shorts {
-        planner.ended(at(5_501), short.job);
+        planner.record_end(at(5_501), short.job);
     }
     sent(planner.place(at(5_502), &job(102, 250_000, at(5_502))));
 }
 
 /// A planner that stands in data centre 0 of two, and a short answer at engine 1 there.
 fn two_data_centres() -> (Planner, Plan) {
-    let mut planner = Planner::new(figures()).standing_in(Group(0));
+    let mut planner = Planner::new(figures()).with_data_centre(DataCentreKey(0));
     planner.set_endpoints([
-        (EndpointKey(1), Group(0)),
-        (EndpointKey(2), Group(0)),
-        (EndpointKey(3), Group(1)),
-        (EndpointKey(4), Group(1)),
+        (EndpointKey(1), DataCentreKey(0)),
+        (EndpointKey(2), DataCentreKey(0)),
+        (EndpointKey(3), DataCentreKey(1)),
+        (EndpointKey(4), DataCentreKey(1)),
     ]);
     let first = sent(planner.place(START, &job(1, 2_000, START)));
     assert_eq!(first.first, EndpointKey(1));
     let read = START + Duration::from_millis(50);
-    planner.began(read, first.job);
+    planner.record_first_token(read, first.job);
     (planner, first)
 }
 
@@ -161,7 +161,7 @@
             tokens: 3_000,
             ..part_at(3, number, 0.0)
         };
-        planner.running(at, other, false);
+        planner.refresh(at, other, false);
     }
     let near = sent(planner.place(at, &job(2, 2_000, at)));
     assert_eq!(near.first, packed.first);
@@ -175,7 +175,7 @@
 fn a_long_answer_comes_from_the_own_data_centre_where_one_engine_there_has_the_room() {
     let (mut planner, short) = two_data_centres();
     let at = START + Duration::from_millis(100);
-    planner.ended(at, short.job);
+    planner.record_end(at, short.job);
     // Engines 1 and 2 hold something, so that those elsewhere are roomier.
     for key in [1, 2] {
         let held = Plan {
@@ -183,11 +183,11 @@
             pause_ms: 60_000,
             ..part_at(key, key, 0.0)
         };
-        planner.running(at, held, false);
+        planner.refresh(at, held, false);
     }
     let near = sent(planner.place(at, &job(2, 150_000, at)));
     assert!([1, 2].contains(&near.first.0), "{near:?}");
-    planner.ended(at, near.job);
+    planner.record_end(at, near.job);
     let too_large = sent(planner.place(at, &job(3, 280_000, at)));
     assert!([3, 4].contains(&too_large.first.0), "{too_large:?}");
 }
@@ -204,13 +204,13 @@
         matches!(held, Decision::Wait(_)),
         "{held:?} beside {busy:?}"
     );
-    planner.began(at, busy.job);
+    planner.record_first_token(at, busy.job);
     assert!(
         matches!(planner.place(at, &longest), Decision::Wait(_)),
         "the other one goes first"
     );
     sent(planner.place(at, &long));
-    planner.cancelled(long.id);
+    planner.dequeue(long.id);
 }
 
 #[test]
@@ -229,11 +229,11 @@
     planner.sent(START, other.clone());
     // Its memory is taken, and it is told of again.
     let at = START + Duration::from_secs(2);
-    planner.running(at, other, false);
+    planner.refresh(at, other, false);
     let later = START + Duration::from_secs(4);
     let beside = sent(planner.place(later, &job(2, 100_000, later)));
     assert_eq!(beside.first, EndpointKey(2));
-    planner.ended(later, beside.job);
+    planner.record_end(later, beside.job);
     let last = START + Duration::from_secs(9);
     let plan = sent(planner.place(last, &job(3, 300_000, last)));
     assert!(
@@ -254,7 +254,7 @@
             let prompt = 1_000 + u64::from(random.next_u32()) % 260_000;
             match planner.place(now, &job(number, prompt, now)) {
                 Decision::Send(plan, _) => running.push(plan),
-                _ => planner.cancelled(JobId { host: 1, number }),
+                _ => planner.dequeue(JobId { host: 1, number }),
             }
             if running.len() > 8 || random.next_u32() % 3 == 0 {
                 end_one(&mut planner, &mut running, now, random.next_u32());
@@ -280,16 +280,16 @@
     let plan = running.swap_remove(drawn as usize % running.len());
     match drawn % 4 {
         0 => {}
-        1 => planner.began(now, plan.job),
+        1 => planner.record_first_token(now, plan.job),
         _ => {
-            planner.running(now, plan.clone(), drawn.is_multiple_of(2));
-            planner.began(now, plan.job);
+            planner.refresh(now, plan.clone(), drawn.is_multiple_of(2));
+            planner.record_first_token(now, plan.job);
         }
     }
-    planner.ended(now, plan.job);
+    planner.record_end(now, plan.job);
     // An end that is told twice, and a late word of it, change nothing.
-    planner.ended(now, plan.job);
-    planner.began(now, plan.job);
+    planner.record_end(now, plan.job);
+    planner.record_first_token(now, plan.job);
 }
 
 /// A relay that froze, or one that bundles, hands on a dispatch after another way has told its end.
@@ -298,11 +298,11 @@
     let mut planner = planner(1);
     let at = |ms| START + Duration::from_millis(ms);
     let ended = part_at(1, 1, 3_000.0);
-    planner.ended(at(0), ended.job);
+    planner.record_end(at(0), ended.job);
     planner.sent(at(100), ended.clone());
-    planner.running(at(200), ended.clone(), true);
+    planner.refresh(at(200), ended.clone(), true);
     let plan = sent(planner.place(at(300), &job(2, 2_000, at(300))));
-    planner.ended(at(310), plan.job);
+    planner.record_end(at(310), plan.job);
     // Its memory and its reading time are free for a prompt that fills the engine.
     sent(planner.place(at(400), &job(3, 250_000, at(400))));
 }
--- a/crates/kumquatdrum_placement/tests/shares.rs
+++ b/crates/kumquatdrum_placement/tests/shares.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use kumquatdrum_placement::{Balancer, Budget, EndpointKey, Failure, Group};
+use kumquatdrum_placement::{Balancer, DataCentreKey, EndpointKey, Failure, RetryBudget};
 use kumquatdrum_types::Moment;
 
 const START: Moment = Moment::from_millis(60_000);
 
-fn taken(budget: &mut Budget, now: Moment, hosts: usize) -> usize {
-    (0..1_000).filter(|_| budget.take(now, hosts)).count()
+fn taken(budget: &mut RetryBudget, now: Moment, hosts: usize) -> usize {
+    (0..1_000).filter(|_| budget.try_take(now, hosts)).count()
 }
 
 #[test]
@@ -16,9 +16,9 @@
     let window = Duration::from_secs(10);
     let mut total = 0;
     for _ in 0..8 {
-        let mut budget = Budget::new(0.2, 104.0, window);
+        let mut budget = RetryBudget::new(0.2, 104.0, window);
         for _ in 0..100 {
-            budget.requested(START);
+            budget.record_request(START);
         }
         total += taken(&mut budget, START, 8);
     }
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_window_slides() {
-    let mut budget = Budget::new(0.0, 10.0, Duration::from_secs(10));
+    let mut budget = RetryBudget::new(0.0, 10.0, Duration::from_secs(10));
     let first = taken(&mut budget, START, 1);
     assert!(first > 0);
     assert_eq!(taken(&mut budget, START + Duration::from_secs(9), 1), 0);
@@ -40,8 +40,8 @@
 fn an_endpoint_that_can_t_be_reached_is_spared_and_tried_again() {
     let (good, bad) = (EndpointKey(1), EndpointKey(2));
     let mut balancer = Balancer::default();
-    balancer.set_endpoints([(good, Group(0), 4), (bad, Group(1), 4)]);
-    assert!(balancer.failed(START, bad, Failure::Unreachable));
+    balancer.set_endpoints([(good, DataCentreKey(0), 4), (bad, DataCentreKey(1), 4)]);
+    assert!(balancer.record_failure(START, bad, Failure::Unreachable));
     for _ in 0..8 {
         assert_eq!(balancer.choose(START, &[]), Some(good));
     }
@@ -49,21 +49,21 @@
     let chosen: Vec<_> = (0..4).filter_map(|_| balancer.choose(later, &[])).collect();
     assert!(chosen.contains(&bad));
     // Where all are spared, all are tried.
-    balancer.failed(later, good, Failure::Unreachable);
-    balancer.failed(later, bad, Failure::Unreachable);
+    balancer.record_failure(later, good, Failure::Unreachable);
+    balancer.record_failure(later, bad, Failure::Unreachable);
     assert!(balancer.choose(later, &[]).is_some());
     assert_eq!(balancer.choose(later, &[good, bad]), None);
 }
 
 #[test]
 fn a_data_centre_that_can_t_be_reached_is_spared_as_a_whole() {
-    let (near, far) = (Group(0), Group(1));
+    let (near, far) = (DataCentreKey(0), DataCentreKey(1));
     let mut balancer = Balancer::default();
     balancer.set_endpoints(
         (0..10).map(|number| (EndpointKey(number), if number < 2 { near } else { far }, 4)),
     );
     for key in 2..5 {
-        balancer.failed(START, EndpointKey(key), Failure::Unreachable);
+        balancer.record_failure(START, EndpointKey(key), Failure::Unreachable);
     }
     for _ in 0..6 {
         let chosen = balancer.choose(START, &[]).expect("an endpoint");
@@ -72,7 +72,7 @@
             "{chosen:?} is in the data centre that is cut off"
         );
     }
-    balancer.succeeded(START, EndpointKey(9), None);
+    balancer.record_success(START, EndpointKey(9), None);
     let chosen: Vec<_> = (0..6).filter_map(|_| balancer.choose(START, &[])).collect();
     assert!(
         chosen.iter().any(|key| key.0 >= 5),
