--- a/crates/kumquatdrum_gateway/src/call/run.rs
+++ b/crates/kumquatdrum_gateway/src/call/run.rs
@@ -90,13 +90,13 @@
     pub(super) async fn pick(&self, tries: &Tries) -> Result<Pick, Problem> {
         let job = Job {
             id: self.gateway.fleet.name(),
-            prompt: self.ask.prompt_tokens.unwrap_or(0),
-            answer: self.ask.answer_tokens.unwrap_or(0),
-            pause: self.pause(),
+            prompt_tokens: self.ask.prompt_tokens.unwrap_or(0),
+            answer_tokens: self.ask.answer_tokens.unwrap_or(0),
+            max_pause: self.pause(),
             arrived: self.arrived,
             due: self.arrived + self.route.target,
             deadline: self.deadline,
-            spared: tries.spared.clone(),
+            excluded: tries.spared.clone(),
         };
         let picked = self.gateway.fleet.pick(&self.service, &self.name, &job);
         let picked = picked.await;
--- a/crates/kumquatdrum_gateway/src/fleet.rs
+++ b/crates/kumquatdrum_gateway/src/fleet.rs
@@ -241,7 +241,7 @@
             return None;
         };
         match event {
-            Event::Sent(_, plan) => planner.sent(now, plan),
+            Event::Sent(_, plan) => planner.record_dispatch(now, plan),
             Event::Began(_, job) => planner.record_first_token(now, job),
             Event::Ended(_, job) => planner.record_end(now, job),
             Event::Queued(_, turn) => planner.enqueue(now, turn),
@@ -332,7 +332,7 @@
                 self.sent(service, &state, (request, job), plan, &basis)
             }
             Policy::Plain(balancer) => {
-                let key = balancer.choose(now, &job.spared);
+                let key = balancer.choose(now, &job.excluded);
                 let key = key.ok_or(Unplaced::Nobody)?;
                 let endpoint = state.directory.get(&key).cloned();
                 let endpoint = endpoint.ok_or(Unplaced::Nobody)?;
@@ -374,7 +374,7 @@
             })
         });
         info!(self.parts.logger, "placed"; "event" => "placed", "request" => request,
-            "endpoint" => endpoint.id.as_str(), "prompt" => job.prompt,
+            "endpoint" => endpoint.id.as_str(), "prompt" => job.prompt_tokens,
             "readers" => plan.helpers.len() + 1, "helpers" => helper_names(state, &plan),
             "part_ms" => format!("{:.1}", plan.part_ms),
             "engines" => basis.engines, "backlog_ms" => format!("{:.1}", basis.backlog_ms),
--- a/crates/kumquatdrum_placement/src/balancer.rs
+++ b/crates/kumquatdrum_placement/src/balancer.rs
@@ -51,11 +51,11 @@
     }
 
     /// The endpoint with most room, none of `spared`; the choice counts as under way.
-    pub fn choose(&mut self, now: Moment, spared: &[EndpointKey]) -> Option<EndpointKey> {
+    pub fn choose(&mut self, now: Moment, excluded: &[EndpointKey]) -> Option<EndpointKey> {
         self.turn = self.turn.wrapping_add(1);
         let count = self.endpoints.len().max(1);
         let usable = |(_, (key, endpoint)): &(usize, (&EndpointKey, &Endpoint))| {
-            endpoint.usable && !spared.contains(key)
+            endpoint.usable && !excluded.contains(key)
         };
         let order = |(place, (_, endpoint)): &(usize, (&EndpointKey, &Endpoint))| {
             let is_cut = self.reach.is_cut(now, endpoint.group);
--- a/crates/kumquatdrum_placement/src/demand.rs
+++ b/crates/kumquatdrum_placement/src/demand.rs
@@ -72,7 +72,7 @@
         let delayed = (seconds / target_s.max(f64::MIN_POSITIVE)).min(1.0);
         let share = width as f64 / engines.max(1) as f64;
         let loss = rate * seconds * share * delayed;
-        loss > weight(job.prompt) * BORNE
+        loss > weight(job.prompt_tokens) * BORNE
     }
 
     /// Forgets what was sent before the window.
--- a/crates/kumquatdrum_placement/src/job.rs
+++ b/crates/kumquatdrum_placement/src/job.rs
@@ -48,11 +48,11 @@
     /// Its name.
     pub id: JobId,
     /// Tokens to be read.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Tokens to be written, as far as they are known.
-    pub answer: u64,
+    pub answer_tokens: u64,
     /// The longest pause in its answer that its caller bears.
-    pub pause: Duration,
+    pub max_pause: Duration,
     /// When its caller came.
     pub arrived: Moment,
     /// When its first token is on time.
@@ -60,13 +60,13 @@
     /// When its caller gives up.
     pub deadline: Moment,
     /// Endpoints that have failed it.
-    pub spared: Vec<EndpointKey>,
+    pub excluded: Vec<EndpointKey>,
 }
 
 impl Job {
     /// Tokens of memory that it fills.
     pub const fn tokens(&self) -> u64 {
-        self.prompt + self.answer
+        self.prompt_tokens + self.answer_tokens
     }
 }
 
--- a/crates/kumquatdrum_placement/src/long.rs
+++ b/crates/kumquatdrum_placement/src/long.rs
@@ -56,7 +56,7 @@
     candidates: &[Candidate<'_>],
     here: Option<DataCentreKey>,
 ) -> Placement {
-    let read_ms = cost.read_ms(job.prompt);
+    let read_ms = cost.read_ms(job.prompt_tokens);
     let all = sorted(candidates.iter().collect());
     let taken_ms = cost.pass_ms(1, 0) * PASSES;
     let wanted = width(&all, read_ms, taken_ms, f64::INFINITY).unwrap_or(1);
@@ -69,7 +69,7 @@
     let freely = width(&ready, read_ms, taken_ms, f64::INFINITY).unwrap_or(1);
     let part_ms = read_ms / freely as f64;
     let left_ms = (job.due - now).as_secs_f64() * 1e3;
-    let bound = weight(job.prompt) * HARM_BORNE;
+    let bound = weight(job.prompt_tokens) * HARM_BORNE;
     // What is late already, as a broken answer that goes on here, has nothing to lose by few engines.
     let is_late = left_ms <= 0.0;
     let width = match width(&ready, read_ms, taken_ms, bound) {
@@ -166,10 +166,10 @@
         job: job.id,
         first: first.key,
         helpers,
-        prompt: u32::try_from(job.prompt).unwrap_or(u32::MAX),
+        prompt: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
         target_ms: (job.due - job.arrived).as_millis() as u32,
         part_ms: part_ms as f32,
         tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
-        pause_ms: job.pause.as_millis() as u32,
+        pause_ms: job.max_pause.as_millis() as u32,
     })
 }
--- a/crates/kumquatdrum_placement/src/planner.rs
+++ b/crates/kumquatdrum_placement/src/planner.rs
@@ -139,7 +139,7 @@
         if job.tokens() > memory * candidates.len() as u64 {
             return Decision::TooLarge;
         }
-        let read_ms = self.cost.read_ms(job.prompt);
+        let read_ms = self.cost.read_ms(job.prompt_tokens);
         let mut turn = turn(now, job, read_ms);
         let plan = if short::is_short(job, &candidates, read_ms) {
             let load = short::Load {
@@ -172,7 +172,7 @@
             return Decision::Wait(turn);
         };
         let basis = basis(&plan, &candidates);
-        self.sent(now, plan.clone());
+        self.record_dispatch(now, plan.clone());
         Decision::Send(plan, basis)
     }
 
@@ -189,7 +189,7 @@
         if self.turns.contains(job.id) || free >= 2 * width {
             return false;
         }
-        let part_ms = self.cost.read_ms(job.prompt) / width as f64;
+        let part_ms = self.cost.read_ms(job.prompt_tokens) / width as f64;
         self.demand.forbids(job, part_ms, width, engines)
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// Takes a dispatch of this or another host.
-    pub fn sent(&mut self, now: Moment, plan: Plan) {
+    pub fn record_dispatch(&mut self, now: Moment, plan: Plan) {
         self.turns.remove(plan.job);
         let target = Duration::from_millis(plan.target_ms.into());
         self.demand.add(now, plan.prompt.into(), target);
@@ -333,7 +333,7 @@
     /// The engines that may get a job: those that are not spared, where any are.
     fn candidates(&self, now: Moment, job: &Job) -> Vec<Candidate<'_>> {
         let usable = |(key, endpoint): &(&EndpointKey, &Endpoint)| {
-            endpoint.usable && !job.spared.contains(key)
+            endpoint.usable && !job.excluded.contains(key)
         };
         let usable: Vec<_> = self.endpoints.iter().filter(usable).collect();
         let is_sound = |endpoint: &Endpoint| {
@@ -377,7 +377,7 @@
     Waiter {
         job: job.id,
         read_ms: read_ms as f32,
-        prompt: u32::try_from(job.prompt).unwrap_or(u32::MAX),
+        prompt: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
         waited_ms: (now - job.arrived).as_millis() as u32,
         left_ms: (job.due - now).as_millis() as u32,
         blocked: false,
@@ -411,10 +411,10 @@
         job: job.id,
         first,
         helpers,
-        prompt: u32::try_from(job.prompt).unwrap_or(u32::MAX),
+        prompt: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
         target_ms: (job.due - job.arrived).as_millis() as u32,
         part_ms: (read_ms / readers as f64) as f32,
         tokens: u32::try_from(job.tokens()).unwrap_or(u32::MAX),
-        pause_ms: job.pause.as_millis() as u32,
+        pause_ms: job.max_pause.as_millis() as u32,
     }
 }
--- a/crates/kumquatdrum_placement/src/short.rs
+++ b/crates/kumquatdrum_placement/src/short.rs
@@ -41,7 +41,7 @@
 /// Whether a prompt is short: neither its own caller nor any of an answer under way would be kept
 /// from an event for too long by its reading.
 pub(crate) fn is_short(job: &Job, candidates: &[Candidate<'_>], read_ms: f64) -> bool {
-    let own = job.pause.as_secs_f64() * 1e3;
+    let own = job.max_pause.as_secs_f64() * 1e3;
     let tightest = candidates.iter().map(Candidate::tightest_pause_ms);
     read_ms <= tightest.fold(own, f64::min) * PAUSE
 }
@@ -109,11 +109,11 @@
 }
 
 fn place_of(cost: &Cost, job: &Job, candidate: &Candidate<'_>, left_ms: f64, load: &Load) -> Place {
-    let read_ms = cost.read_ms(job.prompt).min(PART_MS);
+    let read_ms = cost.read_ms(job.prompt_tokens).min(PART_MS);
     let pass_ms = cost.pass_ms(candidate.writers() + 1, candidate.tokens());
     let others_ms = candidate.backlog_ms + PASSES * pass_ms;
     let first_us = ((others_ms + read_ms) * 1e3) as u64;
-    let answers = candidate.answers_as_tight(job.pause.as_secs_f64() * 1e3);
+    let answers = candidate.answers_as_tight(job.max_pause.as_secs_f64() * 1e3);
     let is_soon = others_ms <= left_ms * PACKED && candidate.parts_ms <= 0.0;
     let is_on_time = others_ms + read_ms <= left_ms * BEHIND;
     let is_far = load.here.is_some_and(|here| here != candidate.group());
--- a/crates/kumquatdrum_placement/tests/model/play.rs
+++ b/crates/kumquatdrum_placement/tests/model/play.rs
@@ -191,7 +191,7 @@
         for (host, planner) in self.hosts.iter_mut().enumerate() {
             match &notice {
                 _ if but == Some(host) => {}
-                Notice::Sent(plan) => planner.sent(now, plan.clone()),
+                Notice::Sent(plan) => planner.record_dispatch(now, plan.clone()),
                 Notice::Began(job) => planner.record_first_token(now, *job),
                 Notice::Ended(job) => planner.record_end(now, *job),
                 Notice::Waits(turn) => planner.enqueue(now, *turn),
@@ -351,13 +351,13 @@
     let arrived = moment(prompt.at_ms);
     Job {
         id,
-        prompt: prompt.tokens,
-        answer: u64::from(prompt.events) * 51,
-        pause: prompt.pause,
+        prompt_tokens: prompt.tokens,
+        answer_tokens: u64::from(prompt.events) * 51,
+        max_pause: prompt.pause,
         arrived,
         due: arrived + prompt.target,
         deadline: arrived + std::time::Duration::from_secs(10),
-        spared: Vec::new(),
+        excluded: Vec::new(),
     }
 }
 
--- a/crates/kumquatdrum_placement/tests/planner.rs
+++ b/crates/kumquatdrum_placement/tests/planner.rs
@@ -26,13 +26,13 @@
     };
     Job {
         id: JobId { host: 1, number },
-        prompt,
-        answer: 1_000,
-        pause: Duration::from_millis(pause),
+        prompt_tokens: prompt,
+        answer_tokens: 1_000,
+        max_pause: Duration::from_millis(pause),
         arrived,
         due: arrived + Duration::from_millis(target),
         deadline: arrived + Duration::from_secs(10),
-        spared: Vec::new(),
+        excluded: Vec::new(),
     }
 }
 
@@ -74,7 +74,7 @@
         .map(|number| {
             let others = (1..=4).filter(|key| *key != number % 4 + 1);
             let short = Job {
-                spared: others.map(EndpointKey).collect(),
+                excluded: others.map(EndpointKey).collect(),
                 ..job(number, 2_000, START)
             };
             sent(planner.place(START, &short))
@@ -141,11 +141,11 @@
 fn a_short_prompt_waits_behind_a_part_rather_than_keep_long_reads_off_another_engine() {
     let (mut planner, packed) = two_data_centres();
     let at = START + Duration::from_millis(100);
-    planner.sent(at, part_at(packed.first.0, 1, 100.0));
+    planner.record_dispatch(at, part_at(packed.first.0, 1, 100.0));
     let behind = sent(planner.place(at, &job(2, 2_000, at)));
     assert_eq!(behind.first, packed.first);
     // Behind a longer one its first token would be late.
-    planner.sent(at, part_at(packed.first.0, 2, 150.0));
+    planner.record_dispatch(at, part_at(packed.first.0, 2, 150.0));
     let clean = sent(planner.place(at, &job(3, 2_000, at)));
     assert_eq!(clean.first, EndpointKey(2));
 }
@@ -165,8 +165,8 @@
     }
     let near = sent(planner.place(at, &job(2, 2_000, at)));
     assert_eq!(near.first, packed.first);
-    planner.sent(at, part_at(1, 11, 1_000.0));
-    planner.sent(at, part_at(2, 12, 1_000.0));
+    planner.record_dispatch(at, part_at(1, 11, 1_000.0));
+    planner.record_dispatch(at, part_at(2, 12, 1_000.0));
     let far = sent(planner.place(at, &job(3, 2_000, at)));
     assert_eq!(far.first, EndpointKey(3));
 }
@@ -226,7 +226,7 @@
         tokens: 300_000,
         pause_ms: 1_000,
     };
-    planner.sent(START, other.clone());
+    planner.record_dispatch(START, other.clone());
     // Its memory is taken, and it is told of again.
     let at = START + Duration::from_secs(2);
     planner.refresh(at, other, false);
@@ -299,7 +299,7 @@
     let at = |ms| START + Duration::from_millis(ms);
     let ended = part_at(1, 1, 3_000.0);
     planner.record_end(at(0), ended.job);
-    planner.sent(at(100), ended.clone());
+    planner.record_dispatch(at(100), ended.clone());
     planner.refresh(at(200), ended.clone(), true);
     let plan = sent(planner.place(at(300), &job(2, 2_000, at(300))));
     planner.record_end(at(310), plan.job);
