--- a/crates/kumquatdrum_gateway/src/fleet.rs
+++ b/crates/kumquatdrum_gateway/src/fleet.rs
@@ -7,8 +7,8 @@
 use indexmap::IndexMap;
 use kumquatdrum_fanout::Urgency;
 use kumquatdrum_placement::{
-    Balancer, DataCentreKey, Decision, Diagnostics, EndpointKey, Job, JobId, Plan, Planner,
-    RetryBudget, Waiter,
+    Balancer, Budget, DataCentreKey, Decision, Diagnostics, EndpointKey, Job, JobId, Plan, Planner,
+    Waiter,
 };
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_registry::Announcement;
@@ -81,7 +81,7 @@
 struct State {
     engine: Option<Engine>,
     policy: Policy,
-    budget: RetryBudget,
+    budget: Budget,
     directory: IndexMap<EndpointKey, Announcement>,
 }
 
@@ -146,7 +146,7 @@
         let state = State {
             engine: engine.cloned(),
             policy,
-            budget: RetryBudget::new(retries.ratio, retries.slack, window),
+            budget: Budget::new(retries.ratio, retries.slack, window),
             directory: IndexMap::new(),
         };
         Service {
--- a/crates/kumquatdrum_placement/src/balancer.rs
+++ b/crates/kumquatdrum_placement/src/balancer.rs
@@ -1,124 +1,126 @@
-//! Requests over the endpoints of a plain service.
+//! Balances requests over the endpoints of a plain service.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 use kumquatdrum_types::Moment;
 
-use crate::reach::{DataCentreKey, Reach};
+use crate::reachability::{DataCentreKey, Reachability};
 use crate::{EndpointKey, Failure, Health};
 
-/// How long a reported load is believed: about as long as a plain request takes to run.
-const REPORT_LIFE: Duration = Duration::from_millis(250);
+/// How long a reported load is used: roughly the run time of a plain request.
+const REPORT_EXPIRY: Duration = Duration::from_millis(250);
 
-/// Spreads requests by what this host has under way, what endpoints report, and their health.
+/// Chooses endpoints by requests in flight from this host, reported load and health.
 #[derive(Debug, Default)]
 pub struct Balancer {
     endpoints: IndexMap<EndpointKey, Endpoint>,
-    reach: Reach,
-    turn: usize,
+    reachability: Reachability,
+    rotation: usize,
 }
 
 #[derive(Debug)]
 struct Endpoint {
-    group: DataCentreKey,
+    data_centre: DataCentreKey,
     slots: u32,
-    under_way: u32,
-    reported: u32,
+    in_flight: u32,
+    reported_load: u32,
     reported_at: Moment,
     health: Health,
-    usable: bool,
+    is_usable: bool,
 }
 
 impl Balancer {
-    /// The endpoints that may be chosen from now on, with their slots.
+    /// Replaces the set of usable endpoints, each with its number of slots.
     pub fn set_endpoints(
         &mut self,
         usable: impl IntoIterator<Item = (EndpointKey, DataCentreKey, u32)>,
     ) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.usable = false;
+            endpoint.is_usable = false;
         }
-        for (key, group, slots) in usable {
+        for (key, data_centre, slots) in usable {
             let endpoint = self.endpoints.entry(key);
-            let endpoint = endpoint.or_insert_with(|| Endpoint::new(group));
-            endpoint.group = group;
+            let endpoint = endpoint.or_insert_with(|| Endpoint::new(data_centre));
+            endpoint.data_centre = data_centre;
             endpoint.slots = slots.max(1);
-            endpoint.usable = true;
+            endpoint.is_usable = true;
         }
         self.endpoints
-            .retain(|_, endpoint| endpoint.usable || endpoint.under_way > 0);
+            .retain(|_, endpoint| endpoint.is_usable || endpoint.in_flight > 0);
     }
 
-    /// The endpoint with most room, none of `spared`; the choice counts as under way.
+    /// Chooses the least loaded endpoint that is not in `excluded` and counts the request as in
+    /// flight.
     pub fn choose(&mut self, now: Moment, excluded: &[EndpointKey]) -> Option<EndpointKey> {
-        self.turn = self.turn.wrapping_add(1);
+        self.rotation = self.rotation.wrapping_add(1);
         let count = self.endpoints.len().max(1);
-        let usable = |(_, (key, endpoint)): &(usize, (&EndpointKey, &Endpoint))| {
-            endpoint.usable && !excluded.contains(key)
+        let is_usable = |(_, (key, endpoint)): &(usize, (&EndpointKey, &Endpoint))| {
+            endpoint.is_usable && !excluded.contains(key)
         };
-        let order = |(place, (_, endpoint)): &(usize, (&EndpointKey, &Endpoint))| {
-            let is_cut = self.reach.is_cut(now, endpoint.group);
-            let ejected = is_cut || endpoint.health.is_ejected(now);
+        let order = |(index, (_, endpoint)): &(usize, (&EndpointKey, &Endpoint))| {
+            let is_unreachable = self.reachability.is_unreachable(now, endpoint.data_centre);
+            let is_ejected = is_unreachable || endpoint.health.is_ejected(now);
             let load = (endpoint.load(now) * 1e3) as u64;
-            (ejected, load, (place + self.turn) % count)
+            (is_ejected, load, (index + self.rotation) % count)
         };
-        let best = self.endpoints.iter().enumerate().filter(usable);
+        let best = self.endpoints.iter().enumerate().filter(is_usable);
         let key = best.min_by_key(order).map(|(_, (key, _))| *key)?;
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
-            endpoint.under_way += 1;
+            endpoint.in_flight += 1;
         }
         Some(key)
     }
 
-    /// A chosen request has ended.
+    /// Records that a request sent to the endpoint has ended.
     pub fn record_end(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
-            endpoint.under_way = endpoint.under_way.saturating_sub(1);
+            endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         }
     }
 
-    /// An endpoint has answered, and may have told its load.
+    /// Records a success of the endpoint and the load it reported, if any.
     pub fn record_success(&mut self, now: Moment, key: EndpointKey, load: Option<u32>) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
-            endpoint.health.succeeded();
-            self.reach.succeeded(endpoint.group);
+            endpoint.health.record_success();
+            self.reachability.record_success(endpoint.data_centre);
             if let Some(load) = load {
-                endpoint.reported = load;
+                endpoint.reported_load = load;
                 endpoint.reported_at = now;
             }
         }
     }
 
-    /// An endpoint has failed; returns whether it is spared from now on.
+    /// Records a failure of the endpoint; returns whether it is ejected.
     pub fn record_failure(&mut self, now: Moment, key: EndpointKey, failure: Failure) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return false;
         };
-        self.reach.failed(now, endpoint.group, failure);
-        endpoint.health.failed(now, failure)
+        self.reachability
+            .record_failure(now, endpoint.data_centre, failure);
+        endpoint.health.record_failure(now, failure)
     }
 }
 
 impl Endpoint {
-    /// An endpoint that has nothing to do yet.
-    fn new(group: DataCentreKey) -> Self {
+    /// Returns an idle endpoint that is not usable yet.
+    fn new(data_centre: DataCentreKey) -> Self {
         Self {
-            group,
+            data_centre,
             slots: 1,
-            under_way: 0,
-            reported: 0,
+            in_flight: 0,
+            reported_load: 0,
             reported_at: Moment::ZERO,
             health: Health::default(),
-            usable: false,
+            is_usable: false,
         }
     }
 
-    /// Requests a slot, with the health's penalty.
+    /// Returns the requests per slot plus the health penalty.
     fn load(&self, now: Moment) -> f64 {
-        let is_fresh = now - self.reported_at <= REPORT_LIFE && self.reported_at > Moment::ZERO;
-        let reported = if is_fresh { self.reported } else { 0 };
-        let requests = self.under_way.max(reported) + u32::from(self.under_way > 0);
+        let is_fresh = now - self.reported_at <= REPORT_EXPIRY && self.reported_at > Moment::ZERO;
+        let reported_load = if is_fresh { self.reported_load } else { 0 };
+        let requests = self.in_flight.max(reported_load) + u32::from(self.in_flight > 0);
         f64::from(requests) / f64::from(self.slots) + self.health.penalty_ms() / 100.0
     }
 }
--- a/crates/kumquatdrum_placement/src/cost.rs
+++ b/crates/kumquatdrum_placement/src/cost.rs
@@ -1,40 +1,41 @@
-//! What work costs an engine, from the figures that it publishes.
+//! Estimates the cost of work on an engine from its declared performance.
 
 use kumquatdrum_routes::Engine;
 
-/// What work costs an engine.
+/// A cost model for one type of engine.
 #[derive(Debug, Clone)]
 pub struct Cost {
     engine: Engine,
 }
 
 impl Cost {
-    /// The cost on engines with these figures.
+    /// Creates a cost model from an engine's declared performance.
     pub const fn new(engine: Engine) -> Self {
         Self { engine }
     }
 
-    /// The figures.
+    /// Returns the declared performance.
     pub const fn engine(&self) -> &Engine {
         &self.engine
     }
 
-    /// Milliseconds of reading a whole prompt on one engine: linear in its tokens, and in the
-    /// pairs of each token with all before it.
-    pub fn read_ms(&self, tokens: u64) -> f64 {
+    /// Returns the milliseconds of prefill of a whole prompt on one engine: linear in its tokens,
+    /// plus a quadratic term for attention.
+    pub fn prefill_ms(&self, tokens: u64) -> f64 {
         let tokens = tokens as f64;
         let linear = tokens / self.engine.read_tokens_per_ms.max(f64::MIN_POSITIVE);
         let pairs = tokens * tokens / 2.0 / 1e6;
         linear + pairs * self.engine.pairs_ms_per_m
     }
 
-    /// Milliseconds of a pass in which `writers` write with `context` tokens together.
-    pub fn pass_ms(&self, writers: usize, context: u64) -> f64 {
-        if writers == 0 {
+    /// Returns the milliseconds of a pass that decodes `decodes` answers with `context` tokens in
+    /// total.
+    pub fn pass_ms(&self, decodes: usize, context: u64) -> f64 {
+        if decodes == 0 {
             return 0.0;
         }
         let step = self.engine.step_ms
-            + self.engine.writer_ms * writers as f64
+            + self.engine.writer_ms * decodes as f64
             + self.engine.context_ms_per_k * context as f64 / 1e3;
         step * f64::from(self.engine.pass_steps.max(1))
     }
--- a/crates/kumquatdrum_placement/src/health.rs
+++ b/crates/kumquatdrum_placement/src/health.rs
@@ -1,76 +1,75 @@
-//! Which endpoints to spare, told from their answers alone.
+//! Detects unhealthy endpoints from their responses alone.
 
 use std::time::Duration;
 
 use kumquatdrum_types::Moment;
 
-/// How an endpoint failed.
+/// The way in which an endpoint failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection came about.
+    /// The connection could not be established.
     Unreachable,
-    /// A connection broke, fell silent or carried something that is no answer.
+    /// The connection broke, timed out or carried an invalid response.
     Broken,
-    /// It had no room.
+    /// The endpoint had no capacity.
     Busy,
-    /// It ran the request and answered with an error of its own.
+    /// The endpoint ran the request and returned an error.
     Error,
 }
 
-/// How an endpoint has answered lately.
+/// The recent record of an endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
-    /// Failures in a row.
-    row: u32,
-    /// The share of failures, newer answers weighing more.
-    rate: f64,
+    consecutive_failures: u32,
+    /// Exponential moving average of failures.
+    failure_rate: f64,
     ejected_until: Moment,
 }
 
-/// The first time that an endpoint is spared after it could not be reached: a few round trips
-/// of the widest link, so that a passing loss costs little.
-const EJECTION: Duration = Duration::from_millis(400);
-/// The longest time between two probes by real requests.
-const LONGEST_EJECTION: Duration = Duration::from_secs(4);
-/// Broken answers in a row that eject: one or two come from single lost answers.
-const BROKEN_IN_A_ROW: u32 = 3;
-/// The weight of the newest answer in the share of failures: about the last ten count.
-const NEWEST: f64 = 0.1;
-/// What an endpoint that fails always is held to be slower, in milliseconds: a retry's cost.
-const FAILURE_MS: f64 = 400.0;
+/// The first ejection of an unreachable endpoint: a few round trips of the slowest link, so that a
+/// transient failure costs little.
+const MIN_EJECTION: Duration = Duration::from_millis(400);
+/// The longest time between two probes with real requests.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// Consecutive broken responses that eject an endpoint; fewer may be isolated losses.
+const BROKEN_BEFORE_EJECTION: u32 = 3;
+/// The weight of the newest response in the failure rate.
+const NEWEST_WEIGHT: f64 = 0.1;
+/// The latency penalty of an endpoint that always fails: the cost of a retry.
+const FAILURE_PENALTY_MS: f64 = 400.0;
 
 impl Health {
-    /// It has answered.
-    pub fn succeeded(&mut self) {
-        self.row = 0;
-        self.rate *= 1.0 - NEWEST;
+    /// Records a successful response.
+    pub fn record_success(&mut self) {
+        self.consecutive_failures = 0;
+        self.failure_rate *= 1.0 - NEWEST_WEIGHT;
         self.ejected_until = Moment::ZERO;
     }
 
-    /// It has failed. Returns whether it is spared from now on.
-    pub fn failed(&mut self, now: Moment, failure: Failure) -> bool {
-        self.rate = self.rate * (1.0 - NEWEST) + NEWEST;
-        self.row += 1;
+    /// Records a failure; returns whether the endpoint is ejected.
+    pub fn record_failure(&mut self, now: Moment, failure: Failure) -> bool {
+        self.failure_rate = self.failure_rate * (1.0 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
+        self.consecutive_failures += 1;
         let ejects = match failure {
             Failure::Unreachable => true,
-            Failure::Broken => self.row >= BROKEN_IN_A_ROW,
+            Failure::Broken => self.consecutive_failures >= BROKEN_BEFORE_EJECTION,
             Failure::Busy | Failure::Error => false,
         };
         if ejects {
-            let doublings = self.row.saturating_sub(1).min(8);
-            let ejection = EJECTION * (1 << doublings);
-            self.ejected_until = now + ejection.min(LONGEST_EJECTION);
+            let doublings = self.consecutive_failures.saturating_sub(1).min(8);
+            let ejection = MIN_EJECTION * (1 << doublings);
+            self.ejected_until = now + ejection.min(MAX_EJECTION);
         }
         ejects
     }
 
-    /// Whether to spare it now.
+    /// Returns whether the endpoint is ejected at `now`.
     pub fn is_ejected(&self, now: Moment) -> bool {
         now < self.ejected_until
     }
 
-    /// How much slower it is to be held, in milliseconds.
+    /// Returns the latency penalty in milliseconds.
     pub fn penalty_ms(&self) -> f64 {
-        self.rate * FAILURE_MS
+        self.failure_rate * FAILURE_PENALTY_MS
     }
 }
--- a/crates/kumquatdrum_placement/src/job.rs
+++ b/crates/kumquatdrum_placement/src/job.rs
@@ -1,34 +1,34 @@
-//! A prompt to be placed, and its place.
+//! Jobs and the plans that place them on engines.
 
 use std::time::Duration;
 
-use crate::short;
+use crate::short_prompt;
 use kumquatdrum_types::{EndpointId, Moment, hash};
 use serde::{Deserialize, Serialize};
 
-/// A request that runs on engines, over all hosts.
+/// Identifies a request to engines across all hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId {
-    /// The number of the host that dispatches it.
+    /// The number of the dispatching host.
     pub host: u32,
-    /// Counts the host's dispatches.
+    /// The sequence number of the job on its host.
     pub number: u64,
 }
 
 impl JobId {
-    /// A number that is spread evenly over jobs, the same on every host.
-    pub(crate) const fn draw(&self) -> u64 {
+    /// Returns a uniformly distributed hash, equal on every host.
+    pub(crate) const fn uniform_hash(&self) -> u64 {
         hash::mix((self.host as u64) << 40 ^ self.number)
     }
 }
 
-/// A short stand-in for an endpoint's name and incarnation, the same on every host.
+/// A hash of an endpoint's name and incarnation, equal on every host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EndpointKey(pub u64);
 
 impl EndpointKey {
-    /// FNV-1a over the name and the incarnation.
+    /// Computes FNV-1a over the name and the incarnation.
     ///
     /// ```
     /// use kumquatdrum_placement::EndpointKey;
@@ -42,90 +42,91 @@
     }
 }
 
-/// A prompt to be placed.
+/// A prompt to place on engines.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its name.
+    /// Identifies the job across all hosts.
     pub id: JobId,
-    /// Tokens to be read.
+    /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens to be written, as far as they are known.
+    /// Expected tokens of the answer.
     pub answer_tokens: u64,
-    /// The longest pause in its answer that its caller bears.
+    /// The longest pause between two events of the answer that the caller accepts.
     pub max_pause: Duration,
-    /// When its caller came.
+    /// When the request arrived.
     pub arrived: Moment,
-    /// When its first token is on time.
+    /// When the first token is due.
     pub due: Moment,
-    /// When its caller gives up.
+    /// When the caller gives up.
     pub deadline: Moment,
-    /// Endpoints that have failed it.
+    /// Endpoints that have failed the job.
     pub excluded: Vec<EndpointKey>,
 }
 
 impl Job {
-    /// Tokens of memory that it fills.
-    pub const fn tokens(&self) -> u64 {
+    /// Returns the tokens of memory that the job needs.
+    pub const fn memory_tokens(&self) -> u64 {
         self.prompt_tokens + self.answer_tokens
     }
 }
 
-/// Where a job is.
+/// The engines of a job and the work that they do.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     /// The job.
     pub job: JobId,
-    /// The engine that gets the request, reads its part and writes the answer.
+    /// The engine that gets the request, runs its part of the prefill and decodes the answer.
     pub first: EndpointKey,
-    /// The engines that read the other parts, those that hold memory first.
-    pub helpers: Vec<Part>,
+    /// Engines that run the other parts of the prefill, those with reserved memory first.
+    pub helpers: Vec<Helper>,
     /// Tokens of the prompt.
     pub prompt: u32,
-    /// How long the first token may take, in milliseconds.
+    /// The time from arrival until the first token is due, in milliseconds.
     pub target_ms: u32,
-    /// What one part costs its engine, in milliseconds of reading.
+    /// The prefill time of one part, in milliseconds.
     pub part_ms: f32,
-    /// Tokens of memory at the first engine.
+    /// Tokens of memory on the first engine.
     pub tokens: u32,
-    /// The longest pause that the job's caller bears, in milliseconds.
+    /// The longest pause that the caller accepts, in milliseconds.
     pub pause_ms: u32,
 }
 
-/// A job that waits for its turn, as its host tells of it.
+/// A queued job, as its host announces it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Waiter {
     /// The job.
     pub job: JobId,
-    /// What its reading costs one engine, in milliseconds.
+    /// The prefill time on one engine, in milliseconds.
     pub read_ms: f32,
-    /// Tokens of its prompt.
+    /// Tokens of the prompt.
     pub prompt: u32,
-    /// How long it has waited, in milliseconds.
+    /// The time since arrival, in milliseconds.
     pub waited_ms: u32,
-    /// How long until its first token is late, in milliseconds; 0 where it is.
+    /// The time until the first token is due, in milliseconds; 0 if it is overdue.
     pub left_ms: u32,
-    /// It waits for memory, and lets others pass.
+    /// The job waits for memory; others may overtake it.
     pub blocked: bool,
 }
 
-/// One engine's part of a job that another engine answers.
+/// An engine that runs part of a prefill for another engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Helper {
     /// The engine.
     pub endpoint: EndpointKey,
-    /// Tokens of its memory that have to be reserved for the job; none where it only reads.
+    /// Tokens of memory to reserve for the job; 0 if the engine only runs prefill.
     pub reserved: u32,
 }
 
 impl Plan {
-    /// Whether engines read it as a part that others keep clear of: several share it, or it takes long.
+    /// Returns whether the prefill is shared by several engines or takes longer than
+    /// a pass. Such prefills must not overlap on an engine.
     pub fn has_long_prefill(&self) -> bool {
-        !self.helpers.is_empty() || f64::from(self.part_ms) > short::PART_MS
+        !self.helpers.is_empty() || f64::from(self.part_ms) > short_prompt::MIN_PART_MS
     }
 
-    /// All engines that read.
-    pub fn readers(&self) -> impl Iterator<Item = EndpointKey> + '_ {
-        let helpers = self.helpers.iter().map(|part| part.endpoint);
+    /// Returns all engines that run part of the prefill.
+    pub fn prefill_engines(&self) -> impl Iterator<Item = EndpointKey> + '_ {
+        let helpers = self.helpers.iter().map(|helper| helper.endpoint);
         std::iter::once(self.first).chain(helpers)
     }
 }
--- a/crates/kumquatdrum_placement/src/planner.rs
+++ b/crates/kumquatdrum_placement/src/planner.rs
@@ -1,8 +1,7 @@
-//! Prompts on model engines.
+//! Places prompts on model engines.
 //!
-//! A prompt is read before its answer is written, and an engine that reads makes the answers that
-//! it writes pause. A planner keeps what every host has told of its dispatches, and from that
-//! estimates what each engine has still to read, what it writes and what its memory holds.
+//! Prefill delays the answers that an engine is decoding. The planner tracks the dispatches of all
+//! hosts and estimates each engine's prefill backlog, answers and memory use.
 
 use std::time::Duration;
 
@@ -10,43 +9,45 @@
 use kumquatdrum_routes::Engine;
 use kumquatdrum_types::Moment;
 
-use crate::candidate::{Candidate, Endpoint, Writer};
+use crate::candidate::{Candidate, Decode, Endpoint};
 use crate::demand::{Demand, weight};
-use crate::ended::Ended;
-use crate::long::Placement;
-use crate::reach::{DataCentreKey, Reach};
-use crate::turns::Turns;
-use crate::{Cost, EndpointKey, Failure, Job, JobId, Part, Plan, Waiter, long, short};
+use crate::long_prompt::Placement;
+use crate::queue::Queue;
+use crate::reachability::{DataCentreKey, Reachability};
+use crate::tombstones::Tombstones;
+use crate::{
+    Cost, EndpointKey, Failure, Helper, Job, JobId, Plan, Waiter, long_prompt, short_prompt,
+};
 
-/// How long a job counts that its host does not speak of: hosts tell of all their jobs twice a
-/// second, and a host that misses four turns is frozen, cut off or gone.
-const FORGOTTEN: Duration = Duration::from_millis(2_200);
+/// The time after which a job is dropped unless its host announces it: four missed announcements
+/// mean that the host is paused, unreachable or gone.
+const JOB_EXPIRY: Duration = Duration::from_millis(2_200);
 
-/// What to do with a job.
+/// The result of a placement.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// Send it; the basis is for those who ask why.
+    /// Dispatch the plan.
     Send(Plan, Diagnostics),
-    /// Ask again when something has ended; other hosts are told.
+    /// Retry when another job ends; other hosts are informed.
     Wait(Waiter),
-    /// All engines together can't hold it.
+    /// The engines' combined memory cannot hold the prompt.
     TooLarge,
-    /// Others would lose more by it than its caller gains.
+    /// Other callers would lose more than the prompt is worth.
     TooCostly,
-    /// No engine is known.
+    /// No engine is usable.
     NoEngine,
 }
 
-/// What a decision rests on.
+/// The state that a placement was based on, for logs.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Diagnostics {
-    /// Engines that could be chosen.
+    /// Candidate engines.
     pub engines: usize,
-    /// The longest backlog among the chosen ones, in milliseconds.
+    /// The longest backlog of the chosen engines, in milliseconds.
     pub backlog_ms: f64,
-    /// Answers that the first engine writes already.
+    /// Answers in progress on the first engine.
     pub decodes: usize,
-    /// What it writes one pass of in, in milliseconds.
+    /// The duration of a pass of the first engine, in milliseconds.
     pub pass_ms: f64,
 }
 
@@ -55,41 +56,41 @@
 pub struct Planner {
     cost: Cost,
     endpoints: IndexMap<EndpointKey, Endpoint>,
-    jobs: IndexMap<JobId, Placed>,
-    turns: Turns,
-    ended: Ended,
+    jobs: IndexMap<JobId, Assignment>,
+    queue: Queue,
+    tombstones: Tombstones,
     demand: Demand,
-    reach: Reach,
-    /// Where this host stands, if that is known.
-    here: Option<DataCentreKey>,
+    reachability: Reachability,
+    /// The data centre of this host, if known.
+    local_data_centre: Option<DataCentreKey>,
 }
 
 #[derive(Debug)]
-struct Placed {
+struct Assignment {
     plan: Plan,
-    reading: bool,
-    forget_at: Moment,
+    is_prefilling: bool,
+    expires_at: Moment,
 }
 
 impl Planner {
-    /// A planner for engines with these figures.
+    /// Creates a planner for engines with this declared performance.
     pub fn new(engine: Engine) -> Self {
         Self {
             cost: Cost::new(engine),
             endpoints: IndexMap::new(),
             jobs: IndexMap::new(),
-            turns: Turns::default(),
-            ended: Ended::default(),
+            queue: Queue::default(),
+            tombstones: Tombstones::default(),
             demand: Demand::default(),
-            reach: Reach::default(),
-            here: None,
+            reachability: Reachability::default(),
+            local_data_centre: None,
         }
     }
 
-    /// The same planner for a host that stands in the data centre of this group of engines.
+    /// Sets the data centre of the planner's host.
     ///
     /// ```
-    /// use kumquatdrum_placement::{EndpointKey, DataCentreKey, Planner};
+    /// use kumquatdrum_placement::{DataCentreKey, EndpointKey, Planner};
     /// # use kumquatdrum_routes::Engine;
     /// # let engine = Engine {
     /// #     slots: 16, memory_tokens: 300_000, pass_steps: 50, step_ms: 1.0, writer_ms: 0.01,
@@ -101,282 +102,294 @@
     /// planner.set_endpoints([(EndpointKey(7), DataCentreKey(1)), (EndpointKey(8), DataCentreKey(2))]);
     /// ```
     #[must_use]
-    pub fn with_data_centre(mut self, here: DataCentreKey) -> Self {
-        self.here = Some(here);
+    pub fn with_data_centre(mut self, local_data_centre: DataCentreKey) -> Self {
+        self.local_data_centre = Some(local_data_centre);
         self
     }
 
-    /// The engines that may be chosen from now on.
+    /// Replaces the set of usable engines.
     pub fn set_endpoints(
         &mut self,
         usable: impl IntoIterator<Item = (EndpointKey, DataCentreKey)>,
     ) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.usable = false;
+            endpoint.is_usable = false;
         }
-        for (key, group) in usable {
+        for (key, data_centre) in usable {
             let endpoint = self.endpoints.entry(key);
-            let endpoint = endpoint.or_insert_with(|| Endpoint::new(group));
-            endpoint.group = group;
-            endpoint.usable = true;
+            let endpoint = endpoint.or_insert_with(|| Endpoint::new(data_centre));
+            endpoint.data_centre = data_centre;
+            endpoint.is_usable = true;
         }
         self.endpoints.retain(|_, endpoint| {
-            endpoint.usable || endpoint.reads > 0 || !endpoint.writers.is_empty()
+            endpoint.is_usable || endpoint.prefills > 0 || !endpoint.decodes.is_empty()
         });
     }
 
-    /// Places a job, or says why not. What is sent counts from now on.
+    /// Decides where to place a job. A plan that is returned counts as dispatched.
     pub fn place(&mut self, now: Moment, job: &Job) -> Decision {
-        self.forget(now);
+        self.expire(now);
         let candidates = self.candidates(now, job);
-        if self.is_refused(job, &candidates) {
+        if self.is_rejected(job, &candidates) {
             return Decision::TooCostly;
         }
-        let memory = self.cost.engine().memory_tokens;
+        let memory_tokens = self.cost.engine().memory_tokens;
         if candidates.is_empty() {
             return Decision::NoEngine;
         }
-        if job.tokens() > memory * candidates.len() as u64 {
+        if job.memory_tokens() > memory_tokens * candidates.len() as u64 {
             return Decision::TooLarge;
         }
-        let read_ms = self.cost.read_ms(job.prompt_tokens);
-        let mut turn = turn(now, job, read_ms);
-        let plan = if short::is_short(job, &candidates, read_ms) {
-            let load = short::Load {
-                rate: self.demand.rate(),
-                here: self.here,
+        let prefill_ms = self.cost.prefill_ms(job.prompt_tokens);
+        let mut waiter = new_waiter(now, job, prefill_ms);
+        let plan = if short_prompt::is_short(job, &candidates, prefill_ms) {
+            let conditions = short_prompt::Conditions {
+                dispatch_rate: self.demand.dispatch_rate(),
+                local_data_centre: self.local_data_centre,
             };
-            let candidate = short::place(&self.cost, now, job, &candidates, &load);
+            let candidate = short_prompt::place(&self.cost, now, job, &candidates, &conditions);
             candidate.map(|candidate| {
-                let helpers = short::helpers(&candidates, candidate, read_ms);
-                shared(job, candidate.key, helpers, read_ms)
+                let helpers = short_prompt::choose_helpers(&candidates, candidate, prefill_ms);
+                plan_short(job, candidate.key, helpers, prefill_ms)
             })
         } else {
-            match long::place(&self.cost, now, job, &candidates, self.here) {
-                Placement::Send(plan) if self.turns.is_next(now, turn) => Some(plan),
+            match long_prompt::place(&self.cost, now, job, &candidates, self.local_data_centre) {
+                Placement::Send(plan) if self.queue.is_next(now, waiter) => Some(plan),
                 Placement::Send(_) | Placement::Wait => None,
                 Placement::Blocked => {
-                    turn.blocked = true;
+                    waiter.blocked = true;
                     None
                 }
-                // It lets others pass and waits for answers to end, while that can be in time.
-                Placement::Harmful { part_ms } if f64::from(turn.left_ms) > part_ms => {
-                    turn.blocked = true;
+                // Let others overtake while the first token can still be in time.
+                Placement::TooDisruptive { part_ms } if f64::from(waiter.left_ms) > part_ms => {
+                    waiter.blocked = true;
                     None
                 }
-                Placement::Harmful { .. } => return Decision::TooCostly,
+                Placement::TooDisruptive { .. } => return Decision::TooCostly,
             }
         };
         let Some(plan) = plan else {
-            self.turns.put(now, turn);
-            return Decision::Wait(turn);
+            self.queue.insert(now, waiter);
+            return Decision::Wait(waiter);
         };
-        let basis = basis(&plan, &candidates);
+        let diagnostics = diagnose(&plan, &candidates);
         self.record_dispatch(now, plan.clone());
-        Decision::Send(plan, basis)
+        Decision::Send(plan, diagnostics)
     }
 
-    /// Whether others would lose more by a job than its caller gains. A job that waits already is
-    /// not refused any more.
-    fn is_refused(&self, job: &Job, candidates: &[Candidate<'_>]) -> bool {
+    /// Returns whether other callers would lose more than the job is worth. A job that already
+    /// waits is not rejected.
+    fn is_rejected(&self, job: &Job, candidates: &[Candidate<'_>]) -> bool {
         let engines = candidates.len();
-        let width = engines.clamp(1, long::WIDEST);
-        let free = candidates
+        let max_engines = engines.clamp(1, long_prompt::MAX_PREFILL_ENGINES);
+        let unoccupied = candidates
             .iter()
-            .filter(|candidate| candidate.parts_ms <= 0.0)
+            .filter(|candidate| candidate.long_prefill_ms <= 0.0)
             .count();
-        // Where as many engines are left, nobody waits for it.
-        if self.turns.contains(job.id) || free >= 2 * width {
+        // Enough other engines remain available, so nobody is delayed.
+        if self.queue.contains(job.id) || unoccupied >= 2 * max_engines {
             return false;
         }
-        let part_ms = self.cost.read_ms(job.prompt_tokens) / width as f64;
-        self.demand.forbids(job, part_ms, width, engines)
+        let part_ms = self.cost.prefill_ms(job.prompt_tokens) / max_engines as f64;
+        self.demand
+            .is_too_costly(job, part_ms, max_engines, engines)
     }
 
-    /// A job waits at another host.
-    pub fn enqueue(&mut self, now: Moment, turn: Waiter) {
-        self.turns.put(now, turn);
+    /// Adds or updates a job that waits at another host.
+    pub fn enqueue(&mut self, now: Moment, waiter: Waiter) {
+        self.queue.insert(now, waiter);
     }
 
-    /// A job waits no longer, and was not sent.
+    /// Removes a waiting job that is given up.
     pub fn dequeue(&mut self, job: JobId) {
-        self.turns.remove(job);
+        self.queue.remove(job);
     }
 
-    /// Takes a dispatch of this or another host.
+    /// Records a dispatch of this or another host.
     pub fn record_dispatch(&mut self, now: Moment, plan: Plan) {
-        self.turns.remove(plan.job);
+        self.queue.remove(plan.job);
         let target = Duration::from_millis(plan.target_ms.into());
         self.demand.add(now, plan.prompt.into(), target);
-        if self.ended.contains(plan.job) {
+        if self.tombstones.contains(plan.job) {
             return;
         }
         let part_ms = f64::from(plan.part_ms.max(0.0));
         let part = Duration::from_secs_f64(part_ms / 1e3);
-        let is_part = plan.has_long_prefill();
-        for key in plan.readers() {
+        let is_long = plan.has_long_prefill();
+        for key in plan.prefill_engines() {
             if let Some(endpoint) = self.endpoints.get_mut(&key) {
-                endpoint.read_until = endpoint.read_until.max(now) + part;
-                if is_part {
-                    let pass_ms = self.cost.pass_ms(endpoint.writers.len(), endpoint.tokens);
+                endpoint.prefill_until = endpoint.prefill_until.max(now) + part;
+                if is_long {
+                    let pass_ms = self
+                        .cost
+                        .pass_ms(endpoint.decodes.len(), endpoint.used_tokens);
                     let pass = Duration::from_secs_f64(pass_ms / 1e3);
-                    endpoint.parts_until = endpoint.parts_until.max(now) + part + pass;
+                    endpoint.long_prefill_until =
+                        endpoint.long_prefill_until.max(now) + part + pass;
                 }
             }
         }
-        self.allocate(now, plan, true);
+        self.add_assignment(now, plan, true);
     }
 
-    /// Counts a job at its engines.
-    fn allocate(&mut self, now: Moment, plan: Plan, is_reading: bool) {
-        for key in plan.readers().filter(|_| is_reading) {
+    /// Adds a job to the state of its engines.
+    fn add_assignment(&mut self, now: Moment, plan: Plan, is_prefilling: bool) {
+        for key in plan.prefill_engines().filter(|_| is_prefilling) {
             if let Some(endpoint) = self.endpoints.get_mut(&key) {
-                endpoint.reads += 1;
+                endpoint.prefills += 1;
             }
         }
-        for (key, tokens) in memory(&plan) {
+        for (key, tokens) in memory_by_engine(&plan) {
             if let Some(endpoint) = self.endpoints.get_mut(&key) {
-                endpoint.tokens += tokens;
+                endpoint.used_tokens += tokens;
             }
         }
         if let Some(endpoint) = self.endpoints.get_mut(&plan.first) {
-            let writer = Writer {
-                pause_ms: f64::from(plan.pause_ms),
+            let decode = Decode {
+                max_pause_ms: f64::from(plan.pause_ms),
                 weight: weight(plan.prompt.into()),
             };
-            endpoint.writers.insert(plan.job, writer);
+            endpoint.decodes.insert(plan.job, decode);
         }
-        let placed = Placed {
+        let assignment = Assignment {
             plan,
-            reading: is_reading,
-            forget_at: now + FORGOTTEN,
+            is_prefilling,
+            expires_at: now + JOB_EXPIRY,
         };
-        self.jobs.insert(placed.plan.job, placed);
+        self.jobs.insert(assignment.plan.job, assignment);
     }
 
-    /// Another host tells of a job that is under way, whose dispatch may have been missed.
-    pub fn refresh(&mut self, now: Moment, plan: Plan, is_reading: bool) {
-        if let Some(placed) = self.jobs.get_mut(&plan.job) {
-            placed.forget_at = now + FORGOTTEN;
-            if !is_reading {
+    /// Renews a running job of another host, and adds it if its dispatch was missed.
+    pub fn refresh(&mut self, now: Moment, plan: Plan, is_prefilling: bool) {
+        if let Some(assignment) = self.jobs.get_mut(&plan.job) {
+            assignment.expires_at = now + JOB_EXPIRY;
+            if !is_prefilling {
                 self.record_first_token(now, plan.job);
             }
             return;
         }
-        if !self.ended.contains(plan.job) {
-            self.allocate(now, plan, is_reading);
+        if !self.tombstones.contains(plan.job) {
+            self.add_assignment(now, plan, is_prefilling);
         }
     }
 
-    /// This host's jobs, with whether each is still read, for hosts that have missed them.
+    /// Renews this host's jobs and returns them, each with whether it is in prefill, for
+    /// announcement to other hosts.
     pub fn renew_jobs(&mut self, now: Moment, host: u32) -> Vec<(Plan, bool)> {
         let mut jobs = Vec::new();
-        for (job, placed) in &mut self.jobs {
+        for (job, assignment) in &mut self.jobs {
             if job.host == host {
-                placed.forget_at = now + FORGOTTEN;
-                jobs.push((placed.plan.clone(), placed.reading));
+                assignment.expires_at = now + JOB_EXPIRY;
+                jobs.push((assignment.plan.clone(), assignment.is_prefilling));
             }
         }
         jobs
     }
 
-    /// The first token of a job has come.
+    /// Records the first token of a job.
     pub fn record_first_token(&mut self, now: Moment, job: JobId) {
-        if let Some(placed) = self.jobs.get_mut(&job).filter(|placed| placed.reading) {
-            placed.reading = false;
-            let plan = placed.plan.clone();
-            self.read(now, &plan);
+        if let Some(assignment) = self
+            .jobs
+            .get_mut(&job)
+            .filter(|assignment| assignment.is_prefilling)
+        {
+            assignment.is_prefilling = false;
+            let plan = assignment.plan.clone();
+            self.finish_prefill(now, &plan);
         }
     }
 
-    /// A job has ended. What was told of it before may still arrive, by another way.
+    /// Records the end of a job. Delayed messages about it are ignored from now on.
     pub fn record_end(&mut self, now: Moment, job: JobId) {
-        self.ended.add(job);
+        self.tombstones.add(job);
         self.release(now, job);
     }
 
-    /// Frees what a job holds, if it is known.
+    /// Frees the job's resources, if it is known.
     fn release(&mut self, now: Moment, job: JobId) {
-        let Some(placed) = self.jobs.swap_remove(&job) else {
+        let Some(assignment) = self.jobs.swap_remove(&job) else {
             return;
         };
-        if placed.reading {
-            self.read(now, &placed.plan);
+        if assignment.is_prefilling {
+            self.finish_prefill(now, &assignment.plan);
         }
-        for (key, tokens) in memory(&placed.plan) {
+        for (key, tokens) in memory_by_engine(&assignment.plan) {
             if let Some(endpoint) = self.endpoints.get_mut(&key) {
-                endpoint.tokens = endpoint.tokens.saturating_sub(tokens);
+                endpoint.used_tokens = endpoint.used_tokens.saturating_sub(tokens);
             }
         }
-        if let Some(endpoint) = self.endpoints.get_mut(&placed.plan.first) {
-            endpoint.writers.swap_remove(&job);
+        if let Some(endpoint) = self.endpoints.get_mut(&assignment.plan.first) {
+            endpoint.decodes.swap_remove(&job);
         }
     }
 
-    /// An engine has answered.
+    /// Records a success of an engine.
     pub fn record_success(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
-            endpoint.health.succeeded();
-            self.reach.succeeded(endpoint.group);
+            endpoint.health.record_success();
+            self.reachability.record_success(endpoint.data_centre);
         }
     }
 
-    /// An engine has failed; returns whether it is spared from now on.
+    /// Records a failure of an engine; returns whether it is ejected.
     pub fn record_failure(&mut self, now: Moment, key: EndpointKey, failure: Failure) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return false;
         };
-        self.reach.failed(now, endpoint.group, failure);
-        endpoint.health.failed(now, failure)
+        self.reachability
+            .record_failure(now, endpoint.data_centre, failure);
+        endpoint.health.record_failure(now, failure)
     }
 
-    /// The engines that may get a job: those that are not spared, where any are.
+    /// Returns the candidate engines for a job: the healthy ones, or all if none is healthy.
     fn candidates(&self, now: Moment, job: &Job) -> Vec<Candidate<'_>> {
-        let usable = |(key, endpoint): &(&EndpointKey, &Endpoint)| {
-            endpoint.usable && !job.excluded.contains(key)
+        let is_usable = |(key, endpoint): &(&EndpointKey, &Endpoint)| {
+            endpoint.is_usable && !job.excluded.contains(key)
         };
-        let usable: Vec<_> = self.endpoints.iter().filter(usable).collect();
-        let is_sound = |endpoint: &Endpoint| {
-            !endpoint.health.is_ejected(now) && !self.reach.is_cut(now, endpoint.group)
+        let usable: Vec<_> = self.endpoints.iter().filter(is_usable).collect();
+        let is_healthy = |endpoint: &Endpoint| {
+            !endpoint.health.is_ejected(now)
+                && !self.reachability.is_unreachable(now, endpoint.data_centre)
         };
-        let has_sound = usable.iter().any(|(_, endpoint)| is_sound(endpoint));
+        let has_healthy = usable.iter().any(|(_, endpoint)| is_healthy(endpoint));
         let chosen = usable.into_iter();
-        let chosen = chosen.filter(|(_, endpoint)| !has_sound || is_sound(endpoint));
+        let chosen = chosen.filter(|(_, endpoint)| !has_healthy || is_healthy(endpoint));
         chosen
             .map(|(key, endpoint)| endpoint.candidate(now, *key, &self.cost))
             .collect()
     }
 
-    /// A job's parts are read; engines that read nothing else have read all they hold.
-    fn read(&mut self, now: Moment, plan: &Plan) {
-        for key in plan.readers() {
+    /// Records the end of a job's prefill, and clears the backlog of engines without other
+    /// prefills.
+    fn finish_prefill(&mut self, now: Moment, plan: &Plan) {
+        for key in plan.prefill_engines() {
             if let Some(endpoint) = self.endpoints.get_mut(&key) {
-                endpoint.reads = endpoint.reads.saturating_sub(1);
-                if endpoint.reads == 0 {
-                    endpoint.read_until = endpoint.read_until.min(now);
-                    endpoint.parts_until = endpoint.parts_until.min(now);
+                endpoint.prefills = endpoint.prefills.saturating_sub(1);
+                if endpoint.prefills == 0 {
+                    endpoint.prefill_until = endpoint.prefill_until.min(now);
+                    endpoint.long_prefill_until = endpoint.long_prefill_until.min(now);
                 }
             }
         }
     }
 
-    fn forget(&mut self, now: Moment) {
-        let old = self.jobs.iter();
-        let old = old.filter(|(_, placed)| placed.forget_at <= now);
-        let old: Vec<JobId> = old.map(|(job, _)| *job).collect();
-        for job in old {
+    fn expire(&mut self, now: Moment) {
+        let expired = self.jobs.iter();
+        let expired = expired.filter(|(_, assignment)| assignment.expires_at <= now);
+        let expired: Vec<JobId> = expired.map(|(job, _)| *job).collect();
+        for job in expired {
             self.release(now, job);
         }
-        self.ended.forget(now);
-        self.turns.forget(now);
-        self.demand.forget(now);
+        self.tombstones.expire(now);
+        self.queue.expire(now);
+        self.demand.expire(now);
     }
 }
 
-fn turn(now: Moment, job: &Job, read_ms: f64) -> Waiter {
+fn new_waiter(now: Moment, job: &Job, prefill_ms: f64) -> Waiter {
     Waiter {
         job: job.id,
-        read_ms: read_ms as f32,
+        read_ms: prefill_ms as f32,
         prompt: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
         waited_ms: (now - job.arrived).as_millis() as u32,
         left_ms: (job.due - now).as_millis() as u32,
@@ -384,37 +397,37 @@
     }
 }
 
-fn basis(plan: &Plan, candidates: &[Candidate<'_>]) -> Diagnostics {
+fn diagnose(plan: &Plan, candidates: &[Candidate<'_>]) -> Diagnostics {
     let find = |key: EndpointKey| candidates.iter().find(|candidate| candidate.key == key);
     let first = find(plan.first);
-    let chosen = plan.readers().filter_map(find);
+    let chosen = plan.prefill_engines().filter_map(find);
     Diagnostics {
         engines: candidates.len(),
         backlog_ms: chosen
             .map(|candidate| candidate.backlog_ms)
             .fold(0.0, f64::max),
-        decodes: first.map_or(0, Candidate::writers),
+        decodes: first.map_or(0, Candidate::decodes),
         pass_ms: first.map_or(0.0, |candidate| candidate.pass_ms),
     }
 }
 
-/// The memory that a plan fills, by engine.
-fn memory(plan: &Plan) -> impl Iterator<Item = (EndpointKey, u64)> + '_ {
+/// Returns the memory of a plan by engine.
+fn memory_by_engine(plan: &Plan) -> impl Iterator<Item = (EndpointKey, u64)> + '_ {
     let helpers = plan.helpers.iter();
-    let helpers = helpers.map(|part| (part.endpoint, u64::from(part.reserved)));
+    let helpers = helpers.map(|helper| (helper.endpoint, u64::from(helper.reserved)));
     std::iter::once((plan.first, u64::from(plan.tokens))).chain(helpers)
 }
 
-fn shared(job: &Job, first: EndpointKey, helpers: Vec<Part>, read_ms: f64) -> Plan {
-    let readers = helpers.len() + 1;
+fn plan_short(job: &Job, first: EndpointKey, helpers: Vec<Helper>, prefill_ms: f64) -> Plan {
+    let prefill_engines = helpers.len() + 1;
     Plan {
         job: job.id,
         first,
         helpers,
         prompt: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
         target_ms: (job.due - job.arrived).as_millis() as u32,
-        part_ms: (read_ms / readers as f64) as f32,
-        tokens: u32::try_from(job.tokens()).unwrap_or(u32::MAX),
+        part_ms: (prefill_ms / prefill_engines as f64) as f32,
+        tokens: u32::try_from(job.memory_tokens()).unwrap_or(u32::MAX),
         pause_ms: job.max_pause.as_millis() as u32,
     }
 }
--- /dev/null
+++ b/crates/kumquatdrum_placement/src/queue.rs
@@ -0,0 +1,91 @@
+//! Orders the long prompts that wait on all hosts.
+//!
+//! Hosts announce their waiting prompts to each other and order them alike, so that each host
+//! dispatches only when its own prompt is next.
+
+use std::time::Duration;
+
+use indexmap::IndexMap;
+use kumquatdrum_types::Moment;
+
+use crate::demand::weight;
+use crate::{JobId, Waiter};
+
+/// The time after which an entry is dropped unless its host renews it: three missed announcements.
+const ENTRY_EXPIRY: Duration = Duration::from_millis(300);
+/// The weight factor of a prompt whose first token is overdue.
+const LATE_FACTOR: f64 = 0.25;
+
+/// Long prompts that wait for dispatch.
+#[derive(Debug, Default)]
+pub(crate) struct Queue {
+    entries: IndexMap<JobId, Entry>,
+}
+
+#[derive(Debug)]
+struct Entry {
+    waiter: Waiter,
+    arrived: Moment,
+    due: Moment,
+    refreshed_at: Moment,
+}
+
+impl Queue {
+    /// Adds or renews a waiting prompt.
+    pub(crate) fn insert(&mut self, now: Moment, waiter: Waiter) {
+        let waited = Duration::from_millis(waiter.waited_ms.into()).as_micros() as u64;
+        let entry = Entry {
+            waiter,
+            arrived: Moment {
+                micros: now.micros.saturating_sub(waited),
+            },
+            due: now + Duration::from_millis(waiter.left_ms.into()),
+            refreshed_at: now,
+        };
+        self.entries.insert(waiter.job, entry);
+    }
+
+    /// Returns whether a prompt is in the queue.
+    pub(crate) fn contains(&self, job: JobId) -> bool {
+        self.entries.contains_key(&job)
+    }
+
+    /// Removes a prompt.
+    pub(crate) fn remove(&mut self, job: JobId) {
+        self.entries.swap_remove(&job);
+    }
+
+    /// Drops entries that have not been renewed.
+    pub(crate) fn expire(&mut self, now: Moment) {
+        self.entries
+            .retain(|_, entry| now - entry.refreshed_at <= ENTRY_EXPIRY);
+    }
+
+    /// Returns whether no other prompt is before this one.
+    pub(crate) fn is_next(&self, now: Moment, waiter: Waiter) -> bool {
+        let left = Duration::from_millis(waiter.left_ms.into());
+        let waited = Duration::from_millis(waiter.waited_ms.into());
+        let own = score(&waiter, waited, left);
+        let others = self.entries.values();
+        let mut others =
+            others.filter(|other| !other.waiter.blocked && other.waiter.job != waiter.job);
+        others.all(|other| {
+            let score = score(&other.waiter, now - other.arrived, other.due - now);
+            (own, waiter.job) >= (score, other.waiter.job)
+        })
+    }
+}
+
+/// Returns the priority of a prompt: its weight per millisecond of prefill, increased by the share
+/// of its time that it has waited and reduced if it is overdue.
+fn score(waiter: &Waiter, waited: Duration, left: Duration) -> f64 {
+    let weight = weight(waiter.prompt.into());
+    let rate = weight / f64::from(waiter.read_ms).max(1.0);
+    let time = (waited + left).as_secs_f64().max(f64::MIN_POSITIVE);
+    let aged = rate * (1.0 + waited.as_secs_f64() / time);
+    if left.is_zero() {
+        aged * LATE_FACTOR
+    } else {
+        aged
+    }
+}
--- a/crates/kumquatdrum_placement/src/budget.rs
+++ b/crates/kumquatdrum_placement/src/retry.rs
@@ -1,17 +1,17 @@
-//! A host's share of the retries that all hosts may make together.
+//! Limits this host's retries to its share of a budget common to all hosts.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use kumquatdrum_types::Moment;
 
-/// The share of the allowance that is used: hosts differ in what they know of each other, and
-/// requests that were counted here may be counted later where they end.
-const MARGIN: f64 = 0.7;
+/// The share of the budget that is used: hosts may disagree on the number of hosts, and a request
+/// counted on this host may end in a later window.
+const USED_SHARE: f64 = 0.7;
 
 /// The retries of one service that this host may make.
 #[derive(Debug)]
-pub struct RetryBudget {
+pub struct Budget {
     ratio: f64,
     slack: f64,
     window: Duration,
@@ -19,8 +19,9 @@
     retries: VecDeque<Moment>,
 }
 
-impl RetryBudget {
-    /// Retries over all hosts in a window: `ratio` of the requests, and `slack`.
+impl Budget {
+    /// Creates a budget of `ratio` times the requests plus `slack` retries per window, over all
+    /// hosts.
     pub const fn new(ratio: f64, slack: f64, window: Duration) -> Self {
         Self {
             ratio,
@@ -31,30 +32,30 @@
         }
     }
 
-    /// A caller's request has come.
+    /// Records a caller's request.
     pub fn record_request(&mut self, now: Moment) {
         self.requests.push_back(now);
-        self.forget(now);
+        self.expire(now);
     }
 
-    /// Takes one retry, where one is left for a host among `hosts`.
+    /// Takes one retry if this host, as one of `hosts`, has any left.
     pub fn try_take(&mut self, now: Moment, hosts: usize) -> bool {
-        self.forget(now);
+        self.expire(now);
         let slack = self.slack / hosts.max(1) as f64;
-        let allowed = (self.ratio * self.requests.len() as f64 + slack) * MARGIN;
-        let is_left = ((self.retries.len() + 1) as f64) <= allowed;
-        if is_left {
+        let allowed = (self.ratio * self.requests.len() as f64 + slack) * USED_SHARE;
+        let is_allowed = ((self.retries.len() + 1) as f64) <= allowed;
+        if is_allowed {
             self.retries.push_back(now);
         }
-        is_left
+        is_allowed
     }
 
-    fn forget(&mut self, now: Moment) {
-        let is_old = |at: &Moment| now - *at > self.window;
-        while self.requests.front().is_some_and(is_old) {
+    fn expire(&mut self, now: Moment) {
+        let is_expired = |at: &Moment| now - *at > self.window;
+        while self.requests.front().is_some_and(is_expired) {
             self.requests.pop_front();
         }
-        while self.retries.front().is_some_and(is_old) {
+        while self.retries.front().is_some_and(is_expired) {
             self.retries.pop_front();
         }
     }
--- /dev/null
+++ b/crates/kumquatdrum_placement/src/short_prompt.rs
@@ -0,0 +1,180 @@
+//! Places prompts whose prefill fits between two events of the engine's answers.
+//!
+//! Their callers expect a first token within a fraction of a second and short pauses. They are
+//! packed on engines that already decode such answers, which leaves other engines free for long
+//! prefills, and on engines of the host's own data centre, whose streams survive a network
+//! partition.
+
+use std::cmp::Reverse;
+use std::time::Duration;
+
+use indexmap::IndexSet;
+use kumquatdrum_types::Moment;
+
+use crate::candidate::Candidate;
+use crate::{Cost, DataCentreKey, Helper, Job};
+
+/// The share of the longest pause that a short prompt's prefill may take; the rest is left for a
+/// decode pass.
+const PREFILL_PAUSE_SHARE: f64 = 0.8;
+/// The share of the time left until the first token is due that queueing may take on a packed
+/// engine. The rest is left for the prefill and for concurrent dispatches of other hosts.
+const PACKED_DELAY_SHARE: f64 = 0.36;
+/// The share of the time left until the first token is due that queueing and prefill may take
+/// before an engine without such answers is preferred. The rest is left for concurrent dispatches
+/// of other hosts.
+const ON_TIME_SHARE: f64 = 0.7;
+/// The choice is random among as many engines as prompts are dispatched in this window. Hosts learn
+/// of each other's dispatches late, and would otherwise all choose the same engine and exceed its
+/// slots.
+const SPREAD_WINDOW: Duration = Duration::from_millis(80);
+/// Passes before the first token besides the prefill: half of the current one, and the one that
+/// runs the prefill.
+const PASSES_TO_FIRST_TOKEN: f64 = 1.5;
+/// The shortest part that is worth another engine, in milliseconds of prefill: about one pass.
+pub(crate) const MIN_PART_MS: f64 = 60.0;
+
+/// Returns whether the prefill is short enough for the pauses of the job and of all answers in
+/// progress.
+pub(crate) fn is_short(job: &Job, candidates: &[Candidate<'_>], prefill_ms: f64) -> bool {
+    let own_pause = job.max_pause.as_secs_f64() * 1e3;
+    let tightest = candidates.iter().map(Candidate::tightest_pause_ms);
+    prefill_ms <= tightest.fold(own_pause, f64::min) * PREFILL_PAUSE_SHARE
+}
+
+/// The conditions of a placement besides the engines.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Conditions {
+    /// Dispatches per second over all hosts.
+    pub(crate) dispatch_rate: f64,
+    /// The data centre of this host, if known.
+    pub(crate) local_data_centre: Option<DataCentreKey>,
+}
+
+/// The preference among engines, best first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Preference {
+    /// The engine decodes answers with equally short pauses and can start soon.
+    Packed,
+    /// The engine decodes such answers and has a backlog, but the first token is in time.
+    Delayed,
+    /// The engine decodes no such answers; placing one would keep long prefills away from it.
+    Unpacked,
+    /// The first token would probably be late.
+    Late,
+}
+
+/// The sort key of a candidate, best first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Key {
+    is_late: bool,
+    /// The engine is in another data centre, so that a network partition breaks the stream. Ignored
+    /// if the first token would be late.
+    is_remote: bool,
+    preference: Preference,
+    /// The number of answers, if it matters for the preference.
+    decodes: Reverse<usize>,
+    /// The estimated time to first token, in microseconds.
+    first_token_us: u64,
+}
+
+/// Chooses the engine for a short prompt: the best one, or one of the next if many hosts compete
+/// for it.
+pub(crate) fn place<'a>(
+    cost: &Cost,
+    now: Moment,
+    job: &Job,
+    candidates: &'a [Candidate<'a>],
+    conditions: &Conditions,
+) -> Option<&'a Candidate<'a>> {
+    let slots = cost.engine().slots as usize;
+    let left_ms = (job.due - now).as_secs_f64() * 1e3;
+    let fits = candidates
+        .iter()
+        .filter(|candidate| candidate.free_tokens >= job.memory_tokens());
+    let fits = fits.filter(|candidate| candidate.decodes() < slots);
+    let ranked = fits.map(|candidate| {
+        (
+            build_key(cost, job, candidate, left_ms, conditions),
+            candidate,
+        )
+    });
+    let mut ranked: Vec<(Key, &Candidate<'_>)> = ranked.collect();
+    ranked.sort_by_key(|(key, candidate)| (*key, candidate.key));
+    let (best, _) = ranked.first()?;
+    let is_equivalent = |key: &Key| !key.is_late && key.is_remote == best.is_remote;
+    let equivalent = ranked.iter().filter(|(key, _)| is_equivalent(key)).count();
+    let choices = (1
+        + (competing_rate(candidates, conditions) * SPREAD_WINDOW.as_secs_f64()) as usize)
+        .min(equivalent.max(1));
+    let index = job.id.uniform_hash() % choices as u64;
+    ranked.get(index as usize).map(|(_, candidate)| *candidate)
+}
+
+fn build_key(
+    cost: &Cost,
+    job: &Job,
+    candidate: &Candidate<'_>,
+    left_ms: f64,
+    conditions: &Conditions,
+) -> Key {
+    let prefill_ms = cost.prefill_ms(job.prompt_tokens).min(MIN_PART_MS);
+    let pass_ms = cost.pass_ms(candidate.decodes() + 1, candidate.used_tokens());
+    let delay_ms = candidate.backlog_ms + PASSES_TO_FIRST_TOKEN * pass_ms;
+    let first_token_us = ((delay_ms + prefill_ms) * 1e3) as u64;
+    let packed_decodes = candidate.decodes_within(job.max_pause.as_secs_f64() * 1e3);
+    let can_start_soon =
+        delay_ms <= left_ms * PACKED_DELAY_SHARE && candidate.long_prefill_ms <= 0.0;
+    let is_on_time = delay_ms + prefill_ms <= left_ms * ON_TIME_SHARE;
+    let is_remote = conditions
+        .local_data_centre
+        .is_some_and(|local_data_centre| local_data_centre != candidate.data_centre());
+    let (preference, decodes) = match packed_decodes {
+        1.. if can_start_soon => (Preference::Packed, packed_decodes),
+        1.. if is_on_time => (Preference::Delayed, 0),
+        _ if can_start_soon => (Preference::Unpacked, candidate.decodes()),
+        _ => (Preference::Late, 0),
+    };
+    let is_late = preference == Preference::Late;
+    Key {
+        is_late,
+        is_remote: is_remote && !is_late,
+        preference,
+        decodes: Reverse(decodes),
+        first_token_us,
+    }
+}
+
+/// Returns the dispatches per second of hosts that prefer the same engines.
+fn competing_rate(candidates: &[Candidate<'_>], conditions: &Conditions) -> f64 {
+    if conditions.local_data_centre.is_none() {
+        return conditions.dispatch_rate;
+    }
+    let data_centres: IndexSet<DataCentreKey> =
+        candidates.iter().map(Candidate::data_centre).collect();
+    conditions.dispatch_rate / data_centres.len().max(1) as f64
+}
+
+/// Chooses the engines that share a short prefill longer than a pass, those with the fewest answers
+/// first.
+pub(crate) fn choose_helpers(
+    candidates: &[Candidate<'_>],
+    first: &Candidate<'_>,
+    prefill_ms: f64,
+) -> Vec<Helper> {
+    let wanted = (prefill_ms / MIN_PART_MS) as usize;
+    let available = candidates
+        .iter()
+        .filter(|candidate| candidate.key != first.key);
+    let mut available: Vec<&Candidate<'_>> = available
+        .filter(|candidate| candidate.long_prefill_ms <= 0.0)
+        .collect();
+    available.sort_by_key(|candidate| candidate.decodes());
+    let helpers = available.into_iter().take(wanted);
+    helpers
+        .map(|candidate| Helper {
+            endpoint: candidate.key,
+            reserved: 0,
+        })
+        .collect()
+}
--- a/crates/kumquatdrum_placement/tests/planner.rs
+++ b/crates/kumquatdrum_placement/tests/planner.rs
@@ -1,4 +1,4 @@
-//! What a planner keeps of jobs, here and at other hosts.
+//! Placement decisions and the planner's state of jobs on all hosts.
 
 mod model;
 
@@ -6,29 +6,29 @@
 
 use kumquatdrum_placement::{DataCentreKey, Decision, EndpointKey, Job, JobId, Plan, Planner};
 use kumquatdrum_types::Moment;
-use model::play::figures;
+use model::simulation::engine_settings;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
 const START: Moment = Moment::from_millis(1_000_000);
 
 fn planner(engines: u64) -> Planner {
-    let mut planner = Planner::new(figures());
+    let mut planner = Planner::new(engine_settings());
     planner.set_endpoints((1..=engines).map(|number| (EndpointKey(number), DataCentreKey(0))));
     planner
 }
 
-fn job(number: u64, prompt: u64, arrived: Moment) -> Job {
-    let (pause, target) = match prompt {
+fn job(number: u64, prompt_tokens: u64, arrived: Moment) -> Job {
+    let (max_pause, target) = match prompt_tokens {
         0..=24_000 => (250, 300),
         24_001..=110_000 => (600, 1_500),
         _ => (1_000, 3_000),
     };
     Job {
         id: JobId { host: 1, number },
-        prompt_tokens: prompt,
+        prompt_tokens,
         answer_tokens: 1_000,
-        max_pause: Duration::from_millis(pause),
+        max_pause: Duration::from_millis(max_pause),
         arrived,
         due: arrived + Duration::from_millis(target),
         deadline: arrived + Duration::from_secs(10),
@@ -37,7 +37,7 @@
 }
 
 #[track_caller]
-fn sent(decision: Decision) -> Plan {
+fn expect_sent(decision: Decision) -> Plan {
     match decision {
         Decision::Send(plan, _) => plan,
         other => panic!("not sent: {other:?}"),
@@ -45,31 +45,31 @@
 }
 
 #[test]
-fn parts_of_two_long_prompts_never_meet_at_an_engine() {
+fn long_prefills_never_overlap_on_an_engine() {
     let mut planner = planner(20);
-    let first = sent(planner.place(START, &job(1, 150_000, START)));
+    let first = expect_sent(planner.place(START, &job(1, 150_000, START)));
     let at = START + Duration::from_millis(10);
     match planner.place(at, &job(2, 150_000, at)) {
         Decision::Wait(_) => {}
         Decision::Send(second, _) => {
             assert!(
                 second
-                    .readers()
-                    .all(|reader| first.readers().all(|other| other != reader))
+                    .prefill_engines()
+                    .all(|engine| first.prefill_engines().all(|other| other != engine))
             );
         }
         other => panic!("{other:?}"),
     }
-    // Once the first token has come, the engines are free for the next one.
+    // After the first token, the engines are free for the next prompt.
     planner.record_first_token(at, first.job);
-    sent(planner.place(at, &job(2, 150_000, at)));
+    expect_sent(planner.place(at, &job(2, 150_000, at)));
 }
 
 #[test]
-fn a_prompt_waits_while_it_would_make_too_many_answers_pause_and_is_refused_in_the_end() {
+fn a_disruptive_prompt_waits_and_is_rejected_when_overdue() {
     let mut planner = planner(4);
     let at = |ms| START + Duration::from_millis(ms);
-    // Eight answers at each engine, asked for some time ago.
+    // Eight answers on each engine, which have been running for a while.
     let shorts: Vec<Plan> = (0..32)
         .map(|number| {
             let others = (1..=4).filter(|key| *key != number % 4 + 1);
@@ -77,54 +77,54 @@
                 excluded: others.map(EndpointKey).collect(),
                 ..job(number, 2_000, START)
             };
-            sent(planner.place(START, &short))
+            expect_sent(planner.place(START, &short))
         })
         .collect();
-    for told in [2_000, 4_000] {
+    for announced_ms in [2_000, 4_000] {
         for short in &shorts {
-            planner.refresh(at(told), short.clone(), false);
+            planner.refresh(at(announced_ms), short.clone(), false);
         }
     }
     let very_long = job(100, 250_000, at(3_500));
     match planner.place(at(3_500), &very_long) {
-        Decision::Wait(turn) => assert!(turn.blocked),
+        Decision::Wait(waiter) => assert!(waiter.blocked),
         other => panic!("{other:?}"),
     }
-    // Others don't wait for it.
-    sent(planner.place(at(3_501), &job(101, 2_000, at(3_501))));
-    // Its first token can't be in time any more.
+    // Short prompts overtake it.
+    expect_sent(planner.place(at(3_501), &job(101, 2_000, at(3_501))));
+    // Its first token can no longer be in time.
     let late = planner.place(at(5_500), &very_long);
     assert_eq!(late, Decision::TooCostly);
-    // An answer that broke and goes on elsewhere is late anyway, and is not given up.
-    let broken = job(103, 250_000, START);
-    match planner.place(at(5_500), &broken) {
-        Decision::Wait(turn) => assert!(turn.blocked),
+    // A resumed answer is late in any case and is not rejected.
+    let resumed = job(103, 250_000, START);
+    match planner.place(at(5_500), &resumed) {
+        Decision::Wait(waiter) => assert!(waiter.blocked),
         other => panic!("{other:?}"),
     }
-    planner.dequeue(broken.id);
+    planner.dequeue(resumed.id);
     for short in shorts {
         planner.record_end(at(5_501), short.job);
     }
-    sent(planner.place(at(5_502), &job(102, 250_000, at(5_502))));
+    expect_sent(planner.place(at(5_502), &job(102, 250_000, at(5_502))));
 }
 
-/// A planner that stands in data centre 0 of two, and a short answer at engine 1 there.
+/// Returns a planner in data centre 0 of two and a short answer on engine 1 there.
 fn two_data_centres() -> (Planner, Plan) {
-    let mut planner = Planner::new(figures()).with_data_centre(DataCentreKey(0));
+    let mut planner = Planner::new(engine_settings()).with_data_centre(DataCentreKey(0));
     planner.set_endpoints([
         (EndpointKey(1), DataCentreKey(0)),
         (EndpointKey(2), DataCentreKey(0)),
         (EndpointKey(3), DataCentreKey(1)),
         (EndpointKey(4), DataCentreKey(1)),
     ]);
-    let first = sent(planner.place(START, &job(1, 2_000, START)));
+    let first = expect_sent(planner.place(START, &job(1, 2_000, START)));
     assert_eq!(first.first, EndpointKey(1));
     let read = START + Duration::from_millis(50);
     planner.record_first_token(read, first.job);
     (planner, first)
 }
 
-fn part_at(key: u64, number: u64, part_ms: f32) -> Plan {
+fn plan_with_part(key: u64, number: u64, part_ms: f32) -> Plan {
     Plan {
         job: JobId { host: 2, number },
         first: EndpointKey(key),
@@ -138,83 +138,83 @@
 }
 
 #[test]
-fn a_short_prompt_waits_behind_a_part_rather_than_keep_long_reads_off_another_engine() {
+fn a_short_prompt_queues_behind_a_long_prefill_before_it_occupies_another_engine() {
     let (mut planner, packed) = two_data_centres();
     let at = START + Duration::from_millis(100);
-    planner.record_dispatch(at, part_at(packed.first.0, 1, 100.0));
-    let behind = sent(planner.place(at, &job(2, 2_000, at)));
-    assert_eq!(behind.first, packed.first);
-    // Behind a longer one its first token would be late.
-    planner.record_dispatch(at, part_at(packed.first.0, 2, 150.0));
-    let clean = sent(planner.place(at, &job(3, 2_000, at)));
-    assert_eq!(clean.first, EndpointKey(2));
+    planner.record_dispatch(at, plan_with_part(packed.first.0, 1, 100.0));
+    let delayed = expect_sent(planner.place(at, &job(2, 2_000, at)));
+    assert_eq!(delayed.first, packed.first);
+    // Behind a longer prefill, the first token would be late.
+    planner.record_dispatch(at, plan_with_part(packed.first.0, 2, 150.0));
+    let spread = expect_sent(planner.place(at, &job(3, 2_000, at)));
+    assert_eq!(spread.first, EndpointKey(2));
 }
 
 #[test]
-fn a_short_prompt_leaves_the_data_centre_only_where_it_would_be_late_there() {
+fn a_short_prompt_leaves_the_data_centre_only_if_it_would_be_late_there() {
     let (mut planner, packed) = two_data_centres();
     let at = START + Duration::from_millis(100);
-    // The other data centre writes more, and is passed over.
+    // The other data centre has more answers, but is not chosen.
     for number in 1..=4 {
         let other = Plan {
             pause_ms: 250,
             tokens: 3_000,
-            ..part_at(3, number, 0.0)
+            ..plan_with_part(3, number, 0.0)
         };
         planner.refresh(at, other, false);
     }
-    let near = sent(planner.place(at, &job(2, 2_000, at)));
-    assert_eq!(near.first, packed.first);
-    planner.record_dispatch(at, part_at(1, 11, 1_000.0));
-    planner.record_dispatch(at, part_at(2, 12, 1_000.0));
-    let far = sent(planner.place(at, &job(3, 2_000, at)));
-    assert_eq!(far.first, EndpointKey(3));
+    let local = expect_sent(planner.place(at, &job(2, 2_000, at)));
+    assert_eq!(local.first, packed.first);
+    planner.record_dispatch(at, plan_with_part(1, 11, 1_000.0));
+    planner.record_dispatch(at, plan_with_part(2, 12, 1_000.0));
+    let remote = expect_sent(planner.place(at, &job(3, 2_000, at)));
+    assert_eq!(remote.first, EndpointKey(3));
 }
 
 #[test]
-fn a_long_answer_comes_from_the_own_data_centre_where_one_engine_there_has_the_room() {
+fn a_long_prompt_is_answered_from_the_local_data_centre_if_an_engine_has_the_memory() {
     let (mut planner, short) = two_data_centres();
     let at = START + Duration::from_millis(100);
     planner.record_end(at, short.job);
-    // Engines 1 and 2 hold something, so that those elsewhere are roomier.
+    // Engines 1 and 2 use some memory, so the remote engines have more free.
     for key in [1, 2] {
-        let held = Plan {
+        let memory_holder = Plan {
             tokens: 50_000,
             pause_ms: 60_000,
-            ..part_at(key, key, 0.0)
+            ..plan_with_part(key, key, 0.0)
         };
-        planner.refresh(at, held, false);
+        planner.refresh(at, memory_holder, false);
     }
-    let near = sent(planner.place(at, &job(2, 150_000, at)));
-    assert!([1, 2].contains(&near.first.0), "{near:?}");
-    planner.record_end(at, near.job);
-    let too_large = sent(planner.place(at, &job(3, 280_000, at)));
+    let local = expect_sent(planner.place(at, &job(2, 150_000, at)));
+    assert!([1, 2].contains(&local.first.0), "{local:?}");
+    planner.record_end(at, local.job);
+    let too_large = expect_sent(planner.place(at, &job(3, 280_000, at)));
     assert!([3, 4].contains(&too_large.first.0), "{too_large:?}");
 }
 
 #[test]
-fn the_prompt_that_weighs_more_for_its_reading_goes_first_on_every_host() {
+fn the_prompt_with_more_weight_per_prefill_time_goes_first() {
     let mut planner = planner(4);
-    let busy = sent(planner.place(START, &job(1, 200_000, START)));
+    let first = expect_sent(planner.place(START, &job(1, 200_000, START)));
     let at = START + Duration::from_millis(10);
     let (long, longest) = (job(2, 60_000, at), job(3, 190_000, at));
     assert!(matches!(planner.place(at, &longest), Decision::Wait(_)));
-    let held = planner.place(at, &long);
+    let decision = planner.place(at, &long);
     assert!(
-        matches!(held, Decision::Wait(_)),
-        "{held:?} beside {busy:?}"
+        matches!(decision, Decision::Wait(_)),
+        "{decision:?}, engines in use by {first:?}"
     );
-    planner.record_first_token(at, busy.job);
+    planner.record_first_token(at, first.job);
     assert!(
         matches!(planner.place(at, &longest), Decision::Wait(_)),
-        "the other one goes first"
+        "the prompt with more weight per prefill time is next"
     );
-    sent(planner.place(at, &long));
+    expect_sent(planner.place(at, &long));
     planner.dequeue(long.id);
 }
 
 #[test]
-fn a_host_that_falls_silent_holds_nothing_for_long() {
+fn resources_of_a_silent_host_are_released() {
     let mut planner = planner(2);
     let other = Plan {
         job: JobId { host: 2, number: 1 },
@@ -227,23 +227,23 @@
         pause_ms: 1_000,
     };
     planner.record_dispatch(START, other.clone());
-    // Its memory is taken, and it is told of again.
+    // The job uses memory and is announced again.
     let at = START + Duration::from_secs(2);
     planner.refresh(at, other, false);
     let later = START + Duration::from_secs(4);
-    let beside = sent(planner.place(later, &job(2, 100_000, later)));
-    assert_eq!(beside.first, EndpointKey(2));
-    planner.record_end(later, beside.job);
+    let plan = expect_sent(planner.place(later, &job(2, 100_000, later)));
+    assert_eq!(plan.first, EndpointKey(2));
+    planner.record_end(later, plan.job);
     let last = START + Duration::from_secs(9);
-    let plan = sent(planner.place(last, &job(3, 300_000, last)));
+    let plan = expect_sent(planner.place(last, &job(3, 300_000, last)));
     assert!(
-        plan.helpers.iter().all(|part| part.reserved == 0),
+        plan.helpers.iter().all(|helper| helper.reserved == 0),
         "{plan:?}"
     );
 }
 
 #[test]
-fn memory_is_back_at_its_idle_level_whatever_happens_to_jobs() {
+fn memory_is_released_for_any_order_of_job_events() {
     for seed in 0..60 {
         let mut random = Pcg32::seed_from_u64(seed);
         let mut planner = planner(6);
@@ -257,52 +257,52 @@
                 _ => planner.dequeue(JobId { host: 1, number }),
             }
             if running.len() > 8 || random.next_u32() % 3 == 0 {
-                end_one(&mut planner, &mut running, now, random.next_u32());
+                end_random_job(&mut planner, &mut running, now, random.next_u32());
             }
         }
         while !running.is_empty() {
-            end_one(&mut planner, &mut running, now, random.next_u32());
+            end_random_job(&mut planner, &mut running, now, random.next_u32());
         }
         let idle = now + Duration::from_secs(10);
-        let whole = sent(planner.place(idle, &job(9_999, 300_000, idle)));
-        assert_eq!(whole.readers().count(), 6, "seed {seed}: {whole:?}");
+        let plan = expect_sent(planner.place(idle, &job(9_999, 300_000, idle)));
+        assert_eq!(plan.prefill_engines().count(), 6, "seed {seed}: {plan:?}");
         assert!(
-            whole.helpers.iter().all(|part| part.reserved == 0),
-            "seed {seed}: {whole:?}"
+            plan.helpers.iter().all(|helper| helper.reserved == 0),
+            "seed {seed}: {plan:?}"
         );
     }
 }
 
-fn end_one(planner: &mut Planner, running: &mut Vec<Plan>, now: Moment, drawn: u32) {
+fn end_random_job(planner: &mut Planner, running: &mut Vec<Plan>, now: Moment, random: u32) {
     if running.is_empty() {
         return;
     }
-    let plan = running.swap_remove(drawn as usize % running.len());
-    match drawn % 4 {
+    let plan = running.swap_remove(random as usize % running.len());
+    match random % 4 {
         0 => {}
         1 => planner.record_first_token(now, plan.job),
         _ => {
-            planner.refresh(now, plan.clone(), drawn.is_multiple_of(2));
+            planner.refresh(now, plan.clone(), random.is_multiple_of(2));
             planner.record_first_token(now, plan.job);
         }
     }
     planner.record_end(now, plan.job);
-    // An end that is told twice, and a late word of it, change nothing.
+    // Repeated and late events of an ended job have no effect.
     planner.record_end(now, plan.job);
     planner.record_first_token(now, plan.job);
 }
 
-/// A relay that froze, or one that bundles, hands on a dispatch after another way has told its end.
+/// A slow relay may deliver a dispatch after the end of the job has arrived by another path.
 #[test]
-fn news_of_a_job_that_has_ended_holds_nothing() {
+fn late_messages_about_an_ended_job_reserve_nothing() {
     let mut planner = planner(1);
     let at = |ms| START + Duration::from_millis(ms);
-    let ended = part_at(1, 1, 3_000.0);
+    let ended = plan_with_part(1, 1, 3_000.0);
     planner.record_end(at(0), ended.job);
     planner.record_dispatch(at(100), ended.clone());
     planner.refresh(at(200), ended.clone(), true);
-    let plan = sent(planner.place(at(300), &job(2, 2_000, at(300))));
+    let plan = expect_sent(planner.place(at(300), &job(2, 2_000, at(300))));
     planner.record_end(at(310), plan.job);
-    // Its memory and its reading time are free for a prompt that fills the engine.
-    sent(planner.place(at(400), &job(3, 250_000, at(400))));
+    // The engine's memory and prefill time are free for a prompt that fills it.
+    expect_sent(planner.place(at(400), &job(3, 250_000, at(400))));
 }
--- a/crates/kumquatdrum_placement/tests/shares.rs
+++ b/crates/kumquatdrum_placement/tests/retries_and_ejection.rs
@@ -1,43 +1,43 @@
-//! Retries within a share, and endpoints that are spared.
+//! Retry budgets and the ejection of endpoints.
 
 use std::time::Duration;
 
-use kumquatdrum_placement::{Balancer, DataCentreKey, EndpointKey, Failure, RetryBudget};
+use kumquatdrum_placement::{Balancer, Budget, DataCentreKey, EndpointKey, Failure};
 use kumquatdrum_types::Moment;
 
 const START: Moment = Moment::from_millis(60_000);
 
-fn taken(budget: &mut RetryBudget, now: Moment, hosts: usize) -> usize {
+fn take_all(budget: &mut Budget, now: Moment, hosts: usize) -> usize {
     (0..1_000).filter(|_| budget.try_take(now, hosts)).count()
 }
 
 #[test]
-fn all_hosts_together_stay_within_the_allowance() {
+fn all_hosts_together_stay_within_the_retry_budget() {
     let window = Duration::from_secs(10);
     let mut total = 0;
     for _ in 0..8 {
-        let mut budget = RetryBudget::new(0.2, 104.0, window);
+        let mut budget = Budget::new(0.2, 104.0, window);
         for _ in 0..100 {
             budget.record_request(START);
         }
-        total += taken(&mut budget, START, 8);
+        total += take_all(&mut budget, START, 8);
     }
-    assert!(total <= 160 + 104, "{total} of 264");
-    assert!(total > 130, "{total} of 264 is too careful");
+    assert!(total <= 160 + 104, "{total} retries allowed of 264");
+    assert!(total > 130, "only {total} of 264 retries allowed");
 }
 
 #[test]
-fn a_window_slides() {
-    let mut budget = RetryBudget::new(0.0, 10.0, Duration::from_secs(10));
-    let first = taken(&mut budget, START, 1);
+fn the_retry_window_slides() {
+    let mut budget = Budget::new(0.0, 10.0, Duration::from_secs(10));
+    let first = take_all(&mut budget, START, 1);
     assert!(first > 0);
-    assert_eq!(taken(&mut budget, START + Duration::from_secs(9), 1), 0);
+    assert_eq!(take_all(&mut budget, START + Duration::from_secs(9), 1), 0);
     let later = START + Duration::from_millis(10_001);
-    assert_eq!(taken(&mut budget, later, 1), first);
+    assert_eq!(take_all(&mut budget, later, 1), first);
 }
 
 #[test]
-fn an_endpoint_that_can_t_be_reached_is_spared_and_tried_again() {
+fn an_unreachable_endpoint_is_ejected_and_probed_again() {
     let (good, bad) = (EndpointKey(1), EndpointKey(2));
     let mut balancer = Balancer::default();
     balancer.set_endpoints([(good, DataCentreKey(0), 4), (bad, DataCentreKey(1), 4)]);
@@ -48,7 +48,7 @@
     let later = START + Duration::from_secs(5);
     let chosen: Vec<_> = (0..4).filter_map(|_| balancer.choose(later, &[])).collect();
     assert!(chosen.contains(&bad));
-    // Where all are spared, all are tried.
+    // If all endpoints are ejected, all remain candidates.
     balancer.record_failure(later, good, Failure::Unreachable);
     balancer.record_failure(later, bad, Failure::Unreachable);
     assert!(balancer.choose(later, &[]).is_some());
@@ -57,25 +57,26 @@
 
 #[test]
 fn a_data_centre_that_can_t_be_reached_is_spared_as_a_whole() {
-    let (near, far) = (DataCentreKey(0), DataCentreKey(1));
+    let (local, remote) = (DataCentreKey(0), DataCentreKey(1));
     let mut balancer = Balancer::default();
-    balancer.set_endpoints(
-        (0..10).map(|number| (EndpointKey(number), if number < 2 { near } else { far }, 4)),
-    );
+    balancer.set_endpoints((0..10).map(|number| {
+        (
+            EndpointKey(number),
+            if number < 2 { local } else { remote },
+            4,
+        )
+    }));
     for key in 2..5 {
         balancer.record_failure(START, EndpointKey(key), Failure::Unreachable);
     }
     for _ in 0..6 {
         let chosen = balancer.choose(START, &[]).expect("an endpoint");
-        assert!(
-            chosen.0 < 2,
-            "{chosen:?} is in the data centre that is cut off"
-        );
+        assert!(chosen.0 < 2, "{chosen:?} is in the unreachable data centre");
     }
     balancer.record_success(START, EndpointKey(9), None);
     let chosen: Vec<_> = (0..6).filter_map(|_| balancer.choose(START, &[])).collect();
     assert!(
         chosen.iter().any(|key| key.0 >= 5),
-        "one answer tells that it is back"
+        "one response makes the data centre usable again"
     );
 }
