--- a/crates/kumquatdrum_host/src/fleet.rs
+++ b/crates/kumquatdrum_host/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use kumquatdrum_routing::{Ask, CacheEvent, Health, Output, Progress, Router, Settings, retry};
+use kumquatdrum_routing::{CacheEvent, Health, Output, Progress, Request, Router, Settings, retry};
 use kumquatdrum_types::endpoint::Kind;
 use kumquatdrum_types::exchange::Target;
 use kumquatdrum_types::{
@@ -180,7 +180,7 @@
             if health == Health::Gone {
                 service.targets.swap_remove(endpoint);
             }
-            let outputs = service.router.health(now, endpoint, health);
+            let outputs = service.router.set_health(now, endpoint, health);
             service.tell(outputs);
         });
     }
@@ -188,12 +188,15 @@
     /// Takes in a cache event; tells whether events were lost before it.
     pub fn cache(&self, name: &ServiceName, endpoint: &EndpointId, event: &CacheEvent) -> bool {
         self.with(name, |service, now| {
-            !service.router.cache(now, endpoint, event).is_empty()
+            !service
+                .router
+                .apply_cache_event(now, endpoint, event)
+                .is_empty()
         })
     }
 
     /// Asks for a place; the decision arrives when it is made.
-    pub fn submit(&self, name: &ServiceName, ask: Ask) -> oneshot::Receiver<Decision> {
+    pub fn submit(&self, name: &ServiceName, ask: Request) -> oneshot::Receiver<Decision> {
         let (sender, receiver) = oneshot::channel();
         self.with(name, |service, now| {
             service.waiting.insert(ask.request.clone(), sender);
@@ -214,7 +217,7 @@
     /// Tells the router how an attempt goes.
     pub fn progress(&self, name: &ServiceName, attempt: u64, progress: Progress) {
         self.with(name, |service, now| {
-            let outputs = service.router.progress(now, attempt, progress);
+            let outputs = service.router.record_progress(now, attempt, progress);
             service.tell(outputs);
         });
     }
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -126,7 +126,7 @@
         workspace: &Workspace,
         prompt_tokens: u64,
         deadline: Duration,
-    ) -> Result<routing::Ask, Problem> {
+    ) -> Result<routing::Request, Problem> {
         let named = ask.priority.as_deref().or(workspace.priority.as_deref());
         let priority = match named.map(|name| index.priority(name)) {
             None => routing::Priority::default(),
@@ -141,7 +141,7 @@
                     .with_message("header x-priority names no declared priority"));
             }
         };
-        Ok(routing::Ask {
+        Ok(routing::Request {
             request: caller.request.clone(),
             workspace: workspace.name.clone(),
             weight: workspace.weight,
@@ -152,9 +152,9 @@
             deadline: self.shell.clock.now() + deadline,
             excluded: Vec::new(),
             work: if ask.model {
-                routing::Work::Model
+                routing::RequestKind::Model
             } else {
-                routing::Work::Plain
+                routing::RequestKind::Plain
             },
         })
     }
--- a/crates/kumquatdrum_host/src/gangs.rs
+++ b/crates/kumquatdrum_host/src/gangs.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 use kumquatdrum_engine::Engine;
-use kumquatdrum_routing::gang::{Answer, Output, Part, Table};
+use kumquatdrum_routing::gang::{Output, Reply, Reservation, Reservations};
 use kumquatdrum_types::exchange::Target;
 use kumquatdrum_types::{AttemptId, EndpointId, HostId, Moment};
 use parking_lot::Mutex;
@@ -34,7 +34,7 @@
 
 #[derive(Default)]
 struct State {
-    table: Table,
+    table: Reservations,
     waiting: IndexMap<AttemptId, Waiting>,
 }
 
@@ -79,7 +79,7 @@
             ready: Some(ready),
             lost: Some(lost),
         };
-        let parts = parts.into_iter().map(|(target, tokens)| Part {
+        let parts = parts.into_iter().map(|(target, tokens)| Reservation {
             engine: target.endpoint,
             tokens,
         });
@@ -118,7 +118,7 @@
     /// An engine is dead, and with it what was reserved there.
     pub fn gone(self: &Arc<Self>, engine: &EndpointId) {
         let mut state = self.state.lock();
-        let outputs = state.table.gone(self.clock.now(), engine);
+        let outputs = state.table.remove_engine(self.clock.now(), engine);
         self.carry_out(&mut state, outputs);
         self.woken.notify_one();
     }
@@ -169,20 +169,26 @@
                 }
                 Output::Reserve {
                     attempt,
-                    part,
+                    reservation,
                     time_to_live,
-                } => self.ask(state, &attempt, part, time_to_live),
+                } => self.ask(state, &attempt, reservation, time_to_live),
                 Output::Release { attempt, engine } => self.release(state, attempt, engine),
             }
         }
     }
 
-    fn ask(self: &Arc<Self>, state: &State, attempt: &AttemptId, part: Part, ttl: Duration) {
+    fn ask(
+        self: &Arc<Self>,
+        state: &State,
+        attempt: &AttemptId,
+        reservation: Reservation,
+        ttl: Duration,
+    ) {
         let Some(waiting) = state.waiting.get(attempt) else {
             return;
         };
-        let is_head = waiting.head.as_ref() == Some(&part.engine);
-        let Some(target) = waiting.targets.get(&part.engine).cloned() else {
+        let is_head = waiting.head.as_ref() == Some(&reservation.engine);
+        let Some(target) = waiting.targets.get(&reservation.engine).cloned() else {
             return;
         };
         let gangs = Arc::clone(self);
@@ -194,12 +200,12 @@
                 let owner = &gangs.host;
                 gangs
                     .engine
-                    .reserve(&target, &attempt, owner, part.tokens, ttl)
+                    .reserve(&target, &attempt, owner, reservation.tokens, ttl)
                     .await
             };
             match granted {
-                Ok(true) => gangs.answered(&attempt, &part.engine, Answer::Granted),
-                Ok(false) => gangs.answered(&attempt, &part.engine, Answer::Busy),
+                Ok(true) => gangs.answered(&attempt, &reservation.engine, Reply::Granted),
+                Ok(false) => gangs.answered(&attempt, &reservation.engine, Reply::Busy),
                 Err(_) => {}
             }
         });
@@ -213,16 +219,16 @@
         let gangs = Arc::clone(self);
         self.calls.lock().spawn(async move {
             if gangs.engine.release(&target, &attempt).await.is_ok() {
-                gangs.answered(&attempt, &engine, Answer::Released);
+                gangs.answered(&attempt, &engine, Reply::Released);
             }
         });
     }
 
-    fn answered(self: &Arc<Self>, attempt: &AttemptId, engine: &EndpointId, answer: Answer) {
+    fn answered(self: &Arc<Self>, attempt: &AttemptId, engine: &EndpointId, answer: Reply) {
         let mut state = self.state.lock();
         let outputs = state
             .table
-            .answer(self.clock.now(), attempt, engine, answer);
+            .handle_reply(self.clock.now(), attempt, engine, answer);
         self.carry_out(&mut state, outputs);
         self.woken.notify_one();
     }
--- a/crates/kumquatdrum_host/src/quota.rs
+++ b/crates/kumquatdrum_host/src/quota.rs
@@ -6,7 +6,9 @@
 
 use indexmap::IndexMap;
 use kumquatdrum_peer::{Channel, Client};
-use kumquatdrum_routing::limits::{Demand, Grant, Holder, INTERVAL, Limit, Refused, Steward};
+use kumquatdrum_routing::limits::{
+    Coordinator, DEMAND_INTERVAL, Demand, Grant, Limit, Limiter, Refused,
+};
 use kumquatdrum_types::{BootId, HostId, WorkspaceName};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -34,8 +36,8 @@
     client: Arc<Client>,
     in_force: Arc<Store>,
     members: Arc<Members>,
-    holder: Mutex<Holder>,
-    steward: Mutex<Steward>,
+    holder: Mutex<Limiter>,
+    steward: Mutex<Coordinator>,
 }
 
 /// One admitted request's slot in its workspace's limits; dropping it gives the slot back.
@@ -70,8 +72,8 @@
     /// A quota without grants.
     pub fn new(parts: Parts) -> Self {
         let now = parts.clock.now();
-        let holder = Holder::new(parts.host.clone(), parts.hosts, now);
-        let steward = Steward::new(
+        let holder = Limiter::new(parts.host.clone(), parts.hosts, now);
+        let steward = Coordinator::new(
             parts.host.clone(),
             parts.boot,
             parts.hosts,
@@ -119,7 +121,7 @@
     /// Tells demands and follows the declaration until `stopped` resolves.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
         let mut version = self.in_force.follow();
-        let mut rounds = tokio::time::interval(INTERVAL);
+        let mut rounds = tokio::time::interval(DEMAND_INTERVAL);
         loop {
             tokio::select! {
                 _ = rounds.tick() => self.tell_demands(),
@@ -153,7 +155,7 @@
         let mut live = self.members.live_hosts();
         live.sort();
         live.truncate(STEWARDS);
-        let demands = self.holder.lock().demands(self.clock.now(), &live);
+        let demands = self.holder.lock().build_demands(self.clock.now(), &live);
         let mut by_steward: IndexMap<HostId, Vec<Demand>> = IndexMap::new();
         for (steward, demand) in demands {
             by_steward.entry(steward).or_default().push(demand);
@@ -170,7 +172,9 @@
     fn grants(&self, demands: &[Demand]) -> Vec<Grant> {
         let now = self.clock.now();
         let mut steward = self.steward.lock();
-        let grants = demands.iter().map(|demand| steward.demand(now, demand));
+        let grants = demands
+            .iter()
+            .map(|demand| steward.handle_demand(now, demand));
         grants.flatten().collect()
     }
 
@@ -178,7 +182,7 @@
         let now = self.clock.now();
         let mut holder = self.holder.lock();
         for grant in grants {
-            holder.grant(now, grant);
+            holder.apply_grant(now, grant);
         }
     }
 
@@ -201,6 +205,6 @@
         let now = self.quota.clock.now();
         let used = self.used.load(Ordering::Relaxed);
         let mut holder = self.quota.holder.lock();
-        holder.finished(now, &self.workspace, self.expected, used);
+        holder.finish(now, &self.workspace, self.expected, used);
     }
 }
--- a/crates/kumquatdrum_host/src/request/order.rs
+++ b/crates/kumquatdrum_host/src/request/order.rs
@@ -21,7 +21,7 @@
     /// The service.
     pub service: ServiceName,
     /// What the router needs to know; excluded endpoints are filled in.
-    pub routing: routing::Ask,
+    pub routing: routing::Request,
     /// What is fixed from its start.
     pub plan: Plan,
     /// Its idempotency key, with what a claim needs.
--- a/crates/kumquatdrum_routing/benches/decision.rs
+++ b/crates/kumquatdrum_routing/benches/decision.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use kumquatdrum_routing::{
-    Ask, BlockHash, CacheChange, CacheEvent, Output, Priority, Progress, Router, Settings, Usage,
-    Work,
+    BlockHash, CacheChange, CacheEvent, Output, Priority, Progress, Request, RequestKind, Router,
+    Settings, Usage,
 };
 use kumquatdrum_types::endpoint::{Engine, Kind};
 use kumquatdrum_types::{Announcement, BootId, EndpointId, Load, Moment};
@@ -61,15 +61,15 @@
             sequence: 1,
             change: CacheChange::Stored(stored),
         };
-        let _ = router.cache(Moment::ZERO, &endpoint(index), &event);
+        let _ = router.apply_cache_event(Moment::ZERO, &endpoint(index), &event);
     }
     router
 }
 
-fn ask(number: u64, now: Moment) -> Ask {
+fn ask(number: u64, now: Moment) -> Request {
     let is_long = number.is_multiple_of(LONG_EVERY);
     let blocks = if is_long { 800 } else { 8 };
-    Ask {
+    Request {
         request: number.to_string().as_str().into(),
         workspace: (number % 10).to_string().as_str().into(),
         weight: 1,
@@ -81,7 +81,7 @@
             .collect(),
         deadline: now + Duration::from_secs(600),
         excluded: Vec::new(),
-        work: Work::Model,
+        work: RequestKind::Model,
     }
 }
 
@@ -108,8 +108,8 @@
             let Some(attempt) = open.pop_front() else {
                 break;
             };
-            let _ = router.progress(now, attempt, Progress::FirstToken);
-            let _ = router.progress(now, attempt, Progress::Finished(Usage::default()));
+            let _ = router.record_progress(now, attempt, Progress::FirstToken);
+            let _ = router.record_progress(now, attempt, Progress::Finished(Usage::default()));
         }
         progresses += start.elapsed();
     }
--- a/crates/kumquatdrum_routing/benches/policies/run.rs
+++ b/crates/kumquatdrum_routing/benches/policies/run.rs
@@ -5,8 +5,8 @@
 
 use kumquatdrum_routing::retry::Budget;
 use kumquatdrum_routing::{
-    Ask, CacheChange, CacheEvent, Dispatch, Failure, Health, Output, Priority, Progress, Router,
-    Usage, Work,
+    CacheChange, CacheEvent, Dispatch, Failure, Health, Output, Priority, Progress, Request,
+    RequestKind, Router, Usage,
 };
 use kumquatdrum_types::endpoint::{Engine as Announced, Kind};
 use kumquatdrum_types::{Announcement, BootId, EndpointId, Load, Moment};
@@ -151,7 +151,7 @@
                 self.tell(|router| router.announce(now, &announcement));
             }
             What::Cached(engine, event) => {
-                self.tell(|router| router.cache(now, &name(engine), &event));
+                self.tell(|router| router.apply_cache_event(now, &name(engine), &event));
             }
             What::Kill(engine) => {
                 let mut lost = self.engines[engine].kill();
@@ -162,7 +162,7 @@
                 self.after(2.0, What::Gone(engine));
             }
             What::Gone(engine) => {
-                self.tell(|router| router.health(now, &name(engine), Health::Gone));
+                self.tell(|router| router.set_health(now, &name(engine), Health::Gone));
             }
             What::Wake(daemon) => {
                 self.wakes[daemon] = Moment::NEVER;
@@ -181,7 +181,7 @@
 
     fn submit(&mut self, index: usize) {
         let arrival = &self.arrivals[index];
-        let ask = Ask {
+        let ask = Request {
             request: index.to_string().as_str().into(),
             workspace: arrival.workspace.to_string().as_str().into(),
             weight: 1,
@@ -193,7 +193,7 @@
                 micros: (arrival.deadline * 1e6) as u64,
             },
             excluded: self.tries[index].clone(),
-            work: Work::Model,
+            work: RequestKind::Model,
         };
         let daemon = arrival.daemon;
         if self.tries[index].is_empty() {
@@ -286,7 +286,7 @@
         if outcome.parts_open == 0 && outcome.first_token.is_none() {
             outcome.first_token = Some(since);
             let now = self.moment();
-            let outputs = self.routers[daemon].progress(now, attempt, Progress::FirstToken);
+            let outputs = self.routers[daemon].record_progress(now, attempt, Progress::FirstToken);
             self.obey(daemon, outputs);
         }
     }
@@ -303,7 +303,7 @@
             output_tokens: arrival.output,
         };
         let now = self.moment();
-        let outputs = self.routers[daemon].progress(now, attempt, Progress::Finished(usage));
+        let outputs = self.routers[daemon].record_progress(now, attempt, Progress::Finished(usage));
         self.obey(daemon, outputs);
     }
 
@@ -311,7 +311,7 @@
     fn lost(&mut self, index: usize, daemon: usize, attempt: u64, engine: usize) {
         let progress = Progress::Failed(Failure::Broken);
         let now = self.moment();
-        let outputs = self.routers[daemon].progress(now, attempt, progress);
+        let outputs = self.routers[daemon].record_progress(now, attempt, progress);
         self.obey(daemon, outputs);
         self.tries[index].push(name(engine));
         if self.outcomes[index].end.is_none() && self.budgets[daemon].take() {
--- a/crates/kumquatdrum_routing/src/ask.rs
+++ b/crates/kumquatdrum_routing/src/ask.rs
@@ -10,7 +10,7 @@
 
 /// The kind of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Work {
+pub enum RequestKind {
     /// A prompt for a model engine.
     Model,
     /// A call of a plain service.
@@ -37,7 +37,7 @@
 
 /// One request that waits for an endpoint.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct Request {
     /// Its name, unique among the requests that the router holds.
     pub request: RequestId,
     /// Whose it is.
@@ -57,7 +57,7 @@
     /// Endpoints that must not get it, such as those where it failed before.
     pub excluded: Vec<EndpointId>,
     /// The kind of work.
-    pub work: Work,
+    pub work: RequestKind,
 }
 
 /// What membership holds of an endpoint.
--- a/crates/kumquatdrum_routing/src/gang.rs
+++ b/crates/kumquatdrum_routing/src/gang.rs
@@ -18,7 +18,7 @@
 
 /// An engine with the memory to reserve there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct Reservation {
     /// The engine.
     pub engine: EndpointId,
     /// KV memory, in tokens.
@@ -33,7 +33,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// The engine with its part.
-        part: Part,
+        reservation: Reservation,
         /// When the engine may drop it, if it is not renewed.
         time_to_live: Duration,
     },
@@ -52,7 +52,7 @@
 
 /// An engine's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub enum Reply {
     /// Reserved or renewed.
     Granted,
     /// No room now.
@@ -78,7 +78,7 @@
 
 #[derive(Debug)]
 struct Member {
-    part: Part,
+    part: Reservation,
     hold: Hold,
     next: Moment,
 }
@@ -125,28 +125,28 @@
 /// All reservations of one owner.
 ///
 /// ```
-/// use kumquatdrum_routing::gang::{Answer, Output, Part, Table};
+/// use kumquatdrum_routing::gang::{Reply, Output, Reservation, Reservations};
 /// use kumquatdrum_types::Moment;
 ///
 /// let now = Moment::ZERO;
-/// let mut table = Table::default();
-/// let part = Part { engine: "engine-1".into(), tokens: 600_000 };
+/// let mut table = Reservations::default();
+/// let part = Reservation { engine: "engine-1".into(), tokens: 600_000 };
 /// let asked = table.begin(now, "host-1:7".into(), [part], Moment::from_millis(9_000));
 /// assert!(matches!(asked[..], [Output::Reserve { .. }]));
-/// let ready = table.answer(now, &"host-1:7".into(), &"engine-1".into(), Answer::Granted);
+/// let ready = table.handle_reply(now, &"host-1:7".into(), &"engine-1".into(), Reply::Granted);
 /// assert_eq!(ready, [Output::Ready("host-1:7".into())]);
 /// let released = table.end(now, &"host-1:7".into());
 /// assert!(matches!(released[..], [Output::Release { .. }]));
 /// assert!(!table.is_empty());
-/// let _ = table.answer(now, &"host-1:7".into(), &"engine-1".into(), Answer::Released);
+/// let _ = table.handle_reply(now, &"host-1:7".into(), &"engine-1".into(), Reply::Released);
 /// assert!(table.is_empty());
 /// ```
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct Reservations {
     gangs: IndexMap<AttemptId, Gang>,
 }
 
-impl Table {
+impl Reservations {
     /// Begins to reserve; the parts are asked in the order of the engines' names. Unless all are
     /// reserved by `expires`, the attempt fails.
     #[must_use]
@@ -154,7 +154,7 @@
         &mut self,
         now: Moment,
         attempt: AttemptId,
-        parts: impl IntoIterator<Item = Part>,
+        parts: impl IntoIterator<Item = Reservation>,
         expires: Moment,
     ) -> Vec<Output> {
         let mut members: Vec<Member> = parts.into_iter().map(Member::new).collect();
@@ -170,40 +170,40 @@
 
     /// Takes in an engine's answer. A grant that nobody waits for is released.
     #[must_use]
-    pub fn answer(
+    pub fn handle_reply(
         &mut self,
         now: Moment,
         attempt: &AttemptId,
         engine: &EndpointId,
-        answer: Answer,
+        answer: Reply,
     ) -> Vec<Output> {
         let member = self
             .gangs
             .get_mut(attempt)
             .and_then(|gang| gang.member(engine));
         match (member, answer) {
-            (Some(member), Answer::Granted) if member.hold == Hold::Asked => {
+            (Some(member), Reply::Granted) if member.hold == Hold::Asked => {
                 member.hold = Hold::Held;
                 member.next = now + RENEWAL;
             }
-            (Some(member), Answer::Busy) if member.hold == Hold::Asked => {
+            (Some(member), Reply::Busy) if member.hold == Hold::Asked => {
                 member.next = now + RESEND;
             }
-            (Some(member), Answer::Released) if member.hold == Hold::Releasing => {
+            (Some(member), Reply::Released) if member.hold == Hold::Releasing => {
                 member.hold = Hold::Free;
             }
             // The engine has dropped what was reserved; without all parts there is nothing.
-            (Some(member), Answer::Busy | Answer::Released) if member.hold == Hold::Held => {
+            (Some(member), Reply::Busy | Reply::Released) if member.hold == Hold::Held => {
                 member.hold = Hold::Free;
                 return self.fail(now, attempt);
             }
-            (Some(member), Answer::Granted)
+            (Some(member), Reply::Granted)
                 if matches!(member.hold, Hold::Free | Hold::Releasing | Hold::Gone) =>
             {
                 member.hold = Hold::Releasing;
                 member.next = now;
             }
-            (None, Answer::Granted) => return self.release_unknown(now, attempt, engine),
+            (None, Reply::Granted) => return self.release_unknown(now, attempt, engine),
             _ => {}
         }
         self.advance(now, attempt)
@@ -211,7 +211,7 @@
 
     /// The engine is dead, and so is what it held. A new life holds nothing.
     #[must_use]
-    pub fn gone(&mut self, now: Moment, engine: &EndpointId) -> Vec<Output> {
+    pub fn remove_engine(&mut self, now: Moment, engine: &EndpointId) -> Vec<Output> {
         let mut touched = Vec::new();
         for (attempt, gang) in &mut self.gangs {
             if let Some(member) = gang.member(engine) {
@@ -259,7 +259,7 @@
         outputs
     }
 
-    /// When to call [`Table::tick`] at the latest.
+    /// When to call [`Reservations::tick`] at the latest.
     pub fn next_wake(&self) -> Moment {
         let wakes = self.gangs.values().map(Gang::next_wake);
         wakes.min().unwrap_or(Moment::NEVER)
@@ -327,7 +327,7 @@
 }
 
 impl Member {
-    const fn new(part: Part) -> Self {
+    const fn new(part: Reservation) -> Self {
         Self {
             part,
             hold: Hold::Free,
@@ -338,7 +338,7 @@
     fn releasing(engine: &EndpointId) -> Self {
         Self {
             hold: Hold::Releasing,
-            ..Self::new(Part {
+            ..Self::new(Reservation {
                 engine: engine.clone(),
                 tokens: 0,
             })
@@ -379,7 +379,7 @@
                 Hold::Free | Hold::Gone => continue,
                 Hold::Asked | Hold::Held => outputs.push(Output::Reserve {
                     attempt: attempt.clone(),
-                    part: member.part.clone(),
+                    reservation: member.part.clone(),
                     time_to_live: TIME_TO_LIVE,
                 }),
                 Hold::Releasing => outputs.push(Output::Release {
--- a/crates/kumquatdrum_routing/src/job.rs
+++ b/crates/kumquatdrum_routing/src/job.rs
@@ -2,7 +2,7 @@
 
 use kumquatdrum_types::Moment;
 
-use crate::{Ask, Settings, Work};
+use crate::{Request, RequestKind, Settings};
 
 /// What one call of a plain service counts, in tokens.
 const PLAIN_WORK: u64 = 1_000;
@@ -25,14 +25,14 @@
     pub const ALL: [Self; 4] = [Self::Short, Self::Medium, Self::Long, Self::Spanning];
 
     /// The class of a request, given the memory of the largest engine in tokens.
-    pub const fn of(settings: &Settings, ask: &Ask, memory: u64) -> Self {
+    pub const fn of(settings: &Settings, ask: &Request, memory: u64) -> Self {
         let tokens = ask.prompt_tokens;
         match ask.work {
-            Work::Plain => Self::Short,
-            Work::Model if tokens + ask.expected_output_tokens > memory => Self::Spanning,
-            Work::Model if tokens <= settings.short_tokens => Self::Short,
-            Work::Model if tokens < settings.long_tokens => Self::Medium,
-            Work::Model => Self::Long,
+            RequestKind::Plain => Self::Short,
+            RequestKind::Model if tokens + ask.expected_output_tokens > memory => Self::Spanning,
+            RequestKind::Model if tokens <= settings.short_tokens => Self::Short,
+            RequestKind::Model if tokens < settings.long_tokens => Self::Medium,
+            RequestKind::Model => Self::Long,
         }
     }
 
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 pub struct Job {
     /// What was asked.
-    pub ask: Ask,
+    pub ask: Request,
     /// Its size class.
     pub size: Size,
     /// When it came.
@@ -65,8 +65,8 @@
     /// service are taken as equal; how long they take is learnt like an engine's rate.
     pub fn prefill_tokens(&self) -> u64 {
         match self.ask.work {
-            Work::Model => self.ask.prompt_tokens,
-            Work::Plain => PLAIN_WORK,
+            RequestKind::Model => self.ask.prompt_tokens,
+            RequestKind::Plain => PLAIN_WORK,
         }
     }
 }
--- a/crates/kumquatdrum_routing/src/lib.rs
+++ b/crates/kumquatdrum_routing/src/lib.rs
@@ -18,7 +18,8 @@
 pub mod slot;
 
 pub use ask::{
-    Ask, BlockHash, CacheChange, CacheEvent, Failure, Health, Priority, Progress, Usage, Work,
+    BlockHash, CacheChange, CacheEvent, Failure, Health, Priority, Progress, Request, RequestKind,
+    Usage,
 };
 pub use job::{Job, Size};
 pub use output::{Dispatch, Output, Refuse};
--- a/crates/kumquatdrum_routing/src/limits.rs
+++ b/crates/kumquatdrum_routing/src/limits.rs
@@ -15,9 +15,9 @@
 use kumquatdrum_types::{HostId, WorkspaceName, hash};
 
 pub use bucket::Bucket;
-pub use holder::{Holder, Refused};
+pub use holder::{Limiter, Refused};
 pub use message::{Demand, Grant, Share, Stamp};
-pub use steward::Steward;
+pub use steward::Coordinator;
 
 /// The part of a limit that is given to all hosts as floors.
 pub const RESERVE: f64 = 0.3;
@@ -27,7 +27,7 @@
 /// counts on it for a lease, and its last grant lasts one more. The rest is for clock drift.
 pub const BINDING: Duration = Duration::from_millis(4_200);
 /// How often a host should send its demands.
-pub const INTERVAL: Duration = Duration::from_millis(500);
+pub const DEMAND_INTERVAL: Duration = Duration::from_millis(500);
 /// What a host may save up of its share, in time.
 pub const BURST: Duration = Duration::from_secs(1);
 
--- a/crates/kumquatdrum_routing/src/limits/holder.rs
+++ b/crates/kumquatdrum_routing/src/limits/holder.rs
@@ -57,9 +57,9 @@
 /// Admits the requests of one host.
 ///
 /// ```
-/// use kumquatdrum_routing::limits::{Holder, Limit};
+/// use kumquatdrum_routing::limits::{Limiter, Limit};
 /// use kumquatdrum_types::Moment;
-/// let mut holder = Holder::new("a".into(), 1, Moment::ZERO);
+/// let mut holder = Limiter::new("a".into(), 1, Moment::ZERO);
 /// let limit = Limit { concurrency: Some(10), ..Limit::default() };
 /// holder.set_limit(Moment::ZERO, "salon".into(), limit);
 /// // Three of ten is the floor of the only host, before anything is granted.
@@ -67,7 +67,7 @@
 /// assert!(holder.admit(Moment::ZERO, &"salon".into(), 1_000).is_err());
 /// ```
 #[derive(Debug)]
-pub struct Holder {
+pub struct Limiter {
     host: HostId,
     hosts: usize,
     started: Moment,
@@ -75,7 +75,7 @@
     workspaces: IndexMap<WorkspaceName, Workspace>,
 }
 
-impl Holder {
+impl Limiter {
     /// The holder of a host among `hosts` declared ones that starts its life now.
     pub fn new(host: HostId, hosts: usize, now: Moment) -> Self {
         Self {
@@ -126,7 +126,7 @@
     }
 
     /// Notes the end of an admitted request, with the tokens that it really took.
-    pub fn finished(&mut self, now: Moment, workspace: &WorkspaceName, expected: u64, used: u64) {
+    pub fn finish(&mut self, now: Moment, workspace: &WorkspaceName, expected: u64, used: u64) {
         let hosts = self.hosts;
         let Some(entry) = self.workspaces.get_mut(workspace) else {
             return;
@@ -144,7 +144,7 @@
 
     /// What to send to which steward, each [`INTERVAL`](super::INTERVAL). `live` are the hosts
     /// known to be alive, this one included.
-    pub fn demands(&mut self, now: Moment, live: &[HostId]) -> Vec<(HostId, Demand)> {
+    pub fn build_demands(&mut self, now: Moment, live: &[HostId]) -> Vec<(HostId, Demand)> {
         self.round += 1;
         let may_bind = now >= self.started + BINDING;
         let mut demands = Vec::new();
@@ -180,7 +180,7 @@
     }
 
     /// Takes in a steward's answer. One of a former binding or of an old round is ignored.
-    pub fn grant(&mut self, now: Moment, grant: &Grant) {
+    pub fn apply_grant(&mut self, now: Moment, grant: &Grant) {
         let hosts = self.hosts;
         let Some(entry) = self.workspaces.get_mut(&grant.workspace) else {
             return;
--- a/crates/kumquatdrum_routing/src/limits/steward.rs
+++ b/crates/kumquatdrum_routing/src/limits/steward.rs
@@ -22,27 +22,27 @@
 /// Grants shares of the limits of the workspaces whose steward this host is.
 ///
 /// ```
-/// use kumquatdrum_routing::limits::{BINDING, Holder, Limit, Steward};
+/// use kumquatdrum_routing::limits::{BINDING, Limiter, Limit, Coordinator};
 /// use kumquatdrum_types::{BootId, Moment};
 /// use std::time::Duration;
 ///
 /// let limit = Limit { requests_per_second: Some(100.0), ..Limit::default() };
-/// let mut steward = Steward::new("a".into(), BootId(1), 1, Duration::from_secs(600));
+/// let mut steward = Coordinator::new("a".into(), BootId(1), 1, Duration::from_secs(600));
 /// steward.set_limit("salon".into(), limit);
-/// let mut holder = Holder::new("a".into(), 1, Moment::ZERO);
+/// let mut holder = Limiter::new("a".into(), 1, Moment::ZERO);
 /// holder.set_limit(Moment::ZERO, "salon".into(), limit);
 ///
 /// // The first answer carries the stamp that binds the host, the second one grants the pool.
 /// let now = Moment::ZERO + BINDING;
 /// for granted in [0.0, 70.0] {
-///     let (_, demand) = holder.demands(now, &["a".into()]).remove(0);
-///     let grant = steward.demand(now, &demand).expect("limited");
+///     let (_, demand) = holder.build_demands(now, &["a".into()]).remove(0);
+///     let grant = steward.handle_demand(now, &demand).expect("limited");
 ///     assert_eq!(grant.share.requests, granted);
-///     holder.grant(now, &grant);
+///     holder.apply_grant(now, &grant);
 /// }
 /// ```
 #[derive(Debug)]
-pub struct Steward {
+pub struct Coordinator {
     host: HostId,
     boot: BootId,
     hosts: usize,
@@ -51,7 +51,7 @@
     members: IndexMap<WorkspaceName, IndexMap<HostId, Member>>,
 }
 
-impl Steward {
+impl Coordinator {
     /// A steward among `hosts` declared hosts. The boot id differs from life to life; no request
     /// runs longer than `longest_request`.
     pub fn new(host: HostId, boot: BootId, hosts: usize, longest_request: Duration) -> Self {
@@ -83,7 +83,7 @@
 
     /// Answers a demand. The answer grants nothing while no majority is bound, yet its stamp
     /// lets the host bind itself. `None` where the workspace has no limit.
-    pub fn demand(&mut self, now: Moment, demand: &Demand) -> Option<Grant> {
+    pub fn handle_demand(&mut self, now: Moment, demand: &Demand) -> Option<Grant> {
         let workspace = &demand.load.workspace;
         let limit = *self.limits.get(workspace)?;
         let floor = limit.floor(self.hosts);
--- a/crates/kumquatdrum_routing/src/policy/estimated.rs
+++ b/crates/kumquatdrum_routing/src/policy/estimated.rs
@@ -7,7 +7,7 @@
 use super::arrivals::{Rate, Shares};
 use super::{FIRST_PRIORITY, Placement, Policy, is_allowed, size_priority, span};
 use crate::fleet::{Fleet, SlotIndex};
-use crate::{Job, Size, Work};
+use crate::{Job, RequestKind, Size};
 
 /// Endpoints that one decision looks at.
 const SAMPLE: usize = 10;
@@ -177,7 +177,7 @@
         let waited = (now - job.since).as_secs_f64();
         let depth = match job.size {
             // How many calls a plain service takes at once is its own affair.
-            _ if job.ask.work == Work::Plain => return f64::INFINITY,
+            _ if job.ask.work == RequestKind::Plain => return f64::INFINITY,
             Size::Short => fleet.settings.short_depth,
             Size::Medium => fleet.settings.medium_depth,
             Size::Long | Size::Spanning => fleet.settings.long_depth,
--- a/crates/kumquatdrum_routing/src/router.rs
+++ b/crates/kumquatdrum_routing/src/router.rs
@@ -12,7 +12,7 @@
 use crate::queue::{Queue, Ticket, work};
 use crate::slot::Load;
 use crate::{
-    Ask, CacheEvent, Dispatch, Failure, Health, Job, Output, Progress, Refuse, Settings, Size,
+    CacheEvent, Dispatch, Failure, Health, Job, Output, Progress, Refuse, Request, Settings, Size,
 };
 
 /// How often a request that found no place is tried again, where nothing else happens.
@@ -47,7 +47,7 @@
 /// The router of one service.
 ///
 /// ```
-/// use kumquatdrum_routing::{Ask, Output, Priority, Progress, Router, Settings, Usage, Work};
+/// use kumquatdrum_routing::{Request, Output, Priority, Progress, Router, Settings, Usage, RequestKind};
 /// use kumquatdrum_types::endpoint::Kind;
 /// use kumquatdrum_types::{Announcement, BootId, Moment};
 ///
@@ -64,7 +64,7 @@
 /// };
 /// assert!(router.announce(Moment::ZERO, &announcement).is_empty());
 ///
-/// let ask = Ask {
+/// let ask = Request {
 ///     request: "r-1".into(),
 ///     workspace: "salon".into(),
 ///     weight: 1,
@@ -74,7 +74,7 @@
 ///     prefix: Vec::new(),
 ///     deadline: Moment::from_millis(5_000),
 ///     excluded: Vec::new(),
-///     work: Work::Plain,
+///     work: RequestKind::Plain,
 /// };
 /// let outputs = router.submit(Moment::ZERO, ask);
 /// let [Output::Dispatch(dispatch)] = outputs.as_slice() else {
@@ -83,7 +83,7 @@
 /// assert_eq!(dispatch.endpoints, ["salon-api-1".into()]);
 ///
 /// let finished = Progress::Finished(Usage::default());
-/// let _ = router.progress(Moment::from_millis(40), dispatch.attempt, finished);
+/// let _ = router.record_progress(Moment::from_millis(40), dispatch.attempt, finished);
 /// assert_eq!(router.in_flight(), 0);
 /// ```
 #[derive(Debug)]
@@ -138,14 +138,24 @@
 
     /// Takes in what membership holds of an endpoint.
     #[must_use]
-    pub fn health(&mut self, now: Moment, endpoint: &EndpointId, health: Health) -> Vec<Output> {
+    pub fn set_health(
+        &mut self,
+        now: Moment,
+        endpoint: &EndpointId,
+        health: Health,
+    ) -> Vec<Output> {
         self.fleet.health(endpoint, health);
         self.step(now)
     }
 
     /// Takes in a cache event; asks for a whole list where events were lost.
     #[must_use]
-    pub fn cache(&mut self, now: Moment, endpoint: &EndpointId, event: &CacheEvent) -> Vec<Output> {
+    pub fn apply_cache_event(
+        &mut self,
+        now: Moment,
+        endpoint: &EndpointId,
+        event: &CacheEvent,
+    ) -> Vec<Output> {
         let mut outputs = Vec::new();
         if self.fleet.cache(endpoint, event) {
             self.next_resync = self.next_resync.max(now + RESYNC);
@@ -156,7 +166,7 @@
 
     /// Takes in a request. It ends in exactly one dispatch or refusal, or in its withdrawal.
     #[must_use]
-    pub fn submit(&mut self, now: Moment, ask: Ask) -> Vec<Output> {
+    pub fn submit(&mut self, now: Moment, ask: Request) -> Vec<Output> {
         let memory = self.fleet.largest_memory();
         let size = Size::of(&self.fleet.settings, &ask, memory);
         let rates = &self.fleet.rates;
@@ -250,7 +260,12 @@
 
     /// Takes in how far an attempt has come; attempts that it doesn't know are ignored.
     #[must_use]
-    pub fn progress(&mut self, now: Moment, attempt: u64, progress: Progress) -> Vec<Output> {
+    pub fn record_progress(
+        &mut self,
+        now: Moment,
+        attempt: u64,
+        progress: Progress,
+    ) -> Vec<Output> {
         match progress {
             Progress::Started => {}
             Progress::FirstToken => self.first_token(now, attempt),
--- a/crates/kumquatdrum_routing/tests/conservation.rs
+++ b/crates/kumquatdrum_routing/tests/conservation.rs
@@ -85,7 +85,7 @@
                 if matches!(progress, Progress::Finished(_) | Progress::Failed(_)) {
                     ledger.open.remove(&attempt);
                 }
-                ledger.note(router.progress(now, attempt, progress));
+                ledger.note(router.record_progress(now, attempt, progress));
             }
         }
         7 => {
@@ -103,7 +103,7 @@
                 Health::Gone,
             ];
             let health = *u.choose(&states)?;
-            ledger.note(router.health(now, &endpoint(index), health));
+            ledger.note(router.set_health(now, &endpoint(index), health));
         }
         _ => ledger.note(router.tick(now)),
     }
@@ -128,7 +128,7 @@
             assert!(ledger.waiting.is_empty(), "{:?}", ledger.waiting);
             for attempt in std::mem::take(&mut ledger.open) {
                 let ended = Progress::Failed(Failure::Broken);
-                ledger.note(router.progress(now, attempt, ended));
+                ledger.note(router.record_progress(now, attempt, ended));
             }
             assert_eq!((router.queued(), router.in_flight()), (0, 0));
             for index in 0..6 {
--- a/crates/kumquatdrum_routing/tests/endpoints.rs
+++ b/crates/kumquatdrum_routing/tests/endpoints.rs
@@ -22,8 +22,8 @@
         sequence: 1,
         change: CacheChange::Stored(vec![BlockHash(1)]),
     };
-    let _ = router.cache(now, &endpoint(0), &event);
-    let _ = router.health(now, &endpoint(0), Health::Leaving);
+    let _ = router.apply_cache_event(now, &endpoint(0), &event);
+    let _ = router.set_health(now, &endpoint(0), Health::Leaving);
 
     let _ = router.announce(now, &announcement(0, 2, 1, None));
     let index = router.fleet().find(&endpoint(0)).expect("announced");
@@ -34,9 +34,9 @@
     assert!(slot.backlog_tokens(now, 1.0) < 1.0);
     assert!(router.fleet().prefixes.holders(&[BlockHash(1)]).is_empty());
     // Late news of the old life changes nothing of the new one.
-    let _ = router.cache(now, &endpoint(0), &event);
+    let _ = router.apply_cache_event(now, &endpoint(0), &event);
     let _ = router.announce(now, &announcement(0, 1, 9, Some(load(9, 300_000))));
-    let _ = router.progress(now, 1, Progress::Failed(Failure::Broken));
+    let _ = router.record_progress(now, 1, Progress::Failed(Failure::Broken));
     let slot = router.fleet().slot(index);
     assert_eq!(slot.boot, BootId(2));
     assert!(!slot.is_resting(now));
@@ -54,7 +54,7 @@
     let _ = router.announce(now, &leaving);
     // Neither a late renewal nor membership's word brings it back in the same life.
     let _ = router.announce(now, &announcement(0, 1, 4, None));
-    let _ = router.health(now, &endpoint(0), Health::Alive);
+    let _ = router.set_health(now, &endpoint(0), Health::Alive);
     for number in 0..50 {
         let sent = router.submit(now, ask(format!("r{number}"), 1_000, DEADLINE));
         for dispatch in dispatches(&sent) {
@@ -73,8 +73,8 @@
     let mut leaving = announcement(0, 1, 5, None);
     leaving.leaving = true;
     let _ = router.announce(now, &leaving);
-    let _ = router.health(now, &endpoint(0), Health::Gone);
-    let _ = router.health(now, &endpoint(1), Health::Gone);
+    let _ = router.set_health(now, &endpoint(0), Health::Gone);
+    let _ = router.set_health(now, &endpoint(1), Health::Gone);
     // Of the one that left, nothing of that life; of the other, nothing that is older.
     let _ = router.announce(now, &announcement(0, 1, 9, None));
     let _ = router.announce(now, &announcement(1, 1, 1, None));
@@ -88,10 +88,10 @@
 fn a_suspect_endpoint_gets_work_only_where_nothing_else_is_left() {
     let mut router = router("a", 2, 1);
     let now = seconds(1.0);
-    let _ = router.health(now, &endpoint(0), Health::Suspect);
+    let _ = router.set_health(now, &endpoint(0), Health::Suspect);
     let sent = router.submit(now, ask("r1", 1_000, DEADLINE));
     assert_eq!(dispatches(&sent)[0].endpoints, [endpoint(1)]);
-    let _ = router.health(now, &endpoint(1), Health::Gone);
+    let _ = router.set_health(now, &endpoint(1), Health::Gone);
     let sent = router.submit(now, ask("r2", 1_000, DEADLINE));
     assert_eq!(dispatches(&sent)[0].endpoints, [endpoint(0)]);
 }
@@ -215,7 +215,7 @@
             } else {
                 Progress::Finished(kumquatdrum_routing::Usage::default())
             };
-            let _ = router.progress(now, dispatch.attempt, progress);
+            let _ = router.record_progress(now, dispatch.attempt, progress);
         }
     }
     assert_eq!(at_broken, 1);
@@ -246,7 +246,7 @@
             sequence: 1,
             change: CacheChange::Stored(prefix.clone()),
         };
-        let _ = router.cache(Moment::ZERO, &endpoint(7), &event);
+        let _ = router.apply_cache_event(Moment::ZERO, &endpoint(7), &event);
         let mut request = ask("r", 24 * 256 + 100, DEADLINE);
         request.prefix.clone_from(&prefix);
         let sent = router.submit(seconds(1.0), request);
@@ -264,7 +264,7 @@
             sequence: 1,
             change: CacheChange::Stored(prefix.clone()),
         };
-        let _ = router.cache(Moment::ZERO, &endpoint(holder), &event);
+        let _ = router.apply_cache_event(Moment::ZERO, &endpoint(holder), &event);
         let mut request = ask("r", 400 * 256 + 100, DEADLINE);
         request.prefix.clone_from(&prefix);
         let sent = router.submit(seconds(1.0), request);
@@ -282,10 +282,10 @@
         change,
     };
     let stored = CacheChange::Stored(blocks.clone());
-    let first = router.cache(seconds(1.0), &endpoint(0), &event(1, stored));
+    let first = router.apply_cache_event(seconds(1.0), &endpoint(0), &event(1, stored));
     assert!(first.is_empty());
     let evicted = CacheChange::Evicted(vec![BlockHash(9)]);
-    let gap = router.cache(seconds(1.0), &endpoint(0), &event(3, evicted));
+    let gap = router.apply_cache_event(seconds(1.0), &endpoint(0), &event(3, evicted));
     assert_eq!(gap, [Output::Resync(endpoint(0))]);
     let index = router.fleet().find(&endpoint(0)).expect("announced");
     let held =
@@ -296,7 +296,7 @@
     let again = router.tick(router.next_wake());
     assert_eq!(again, [Output::Resync(endpoint(0))]);
     let snapshot = CacheChange::Snapshot(blocks[..4].to_vec());
-    let _ = router.cache(seconds(9.0), &endpoint(0), &event(3, snapshot));
+    let _ = router.apply_cache_event(seconds(9.0), &endpoint(0), &event(3, snapshot));
     assert!((held(&router) - 4.0).abs() < 1e-9);
     assert_eq!(router.next_wake(), Moment::NEVER);
 }
@@ -313,7 +313,7 @@
     let mut chosen: BTreeMap<_, usize> = BTreeMap::new();
     for number in 0..99 {
         let mut request = ask(format!("r{number}"), 0, DEADLINE);
-        request.work = kumquatdrum_routing::Work::Plain;
+        request.work = kumquatdrum_routing::RequestKind::Plain;
         let sent = router.submit(seconds(1.0), request);
         for dispatch in dispatches(&sent) {
             *chosen.entry(dispatch.endpoints.clone()).or_default() += 1;
--- a/crates/kumquatdrum_routing/tests/gang.rs
+++ b/crates/kumquatdrum_routing/tests/gang.rs
@@ -5,7 +5,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
-use kumquatdrum_routing::gang::{Answer, Output, Part, Table, split};
+use kumquatdrum_routing::gang::{Output, Reply, Reservation, Reservations, split};
 use kumquatdrum_types::{AttemptId, EndpointId, Moment};
 
 const MEMORY: u64 = 100;
@@ -19,8 +19,8 @@
     format!("engine-{index}").as_str().into()
 }
 
-fn parts(engines: &[usize], tokens: u64) -> Vec<Part> {
-    let part = |&index: &usize| Part {
+fn parts(engines: &[usize], tokens: u64) -> Vec<Reservation> {
+    let part = |&index: &usize| Reservation {
         engine: engine(index),
         tokens,
     };
@@ -34,27 +34,27 @@
 }
 
 impl Memory {
-    fn reserve(&mut self, now: Moment, attempt: &AttemptId, tokens: u64, life: Duration) -> Answer {
+    fn reserve(&mut self, now: Moment, attempt: &AttemptId, tokens: u64, life: Duration) -> Reply {
         self.held.retain(|_, (_, end)| now < *end);
         let others = self.held.iter().filter(|(other, _)| *other != attempt);
         let used: u64 = others.map(|(_, (tokens, _))| tokens).sum();
         if used + tokens > MEMORY {
-            return Answer::Busy;
+            return Reply::Busy;
         }
         self.held.insert(attempt.clone(), (tokens, now + life));
-        Answer::Granted
+        Reply::Granted
     }
 }
 
 enum Message {
     To(EndpointId, Output),
-    From(AttemptId, EndpointId, Answer),
+    From(AttemptId, EndpointId, Reply),
 }
 
 /// Owners' tables and engines, with a network that delays, loses and doubles messages.
 struct World {
     now: Moment,
-    tables: Vec<Table>,
+    tables: Vec<Reservations>,
     engines: BTreeMap<EndpointId, Memory>,
     flying: Vec<(Moment, usize, Message)>,
     ready: Vec<(usize, AttemptId)>,
@@ -66,7 +66,7 @@
     fn new(owners: usize, engines: usize) -> Self {
         Self {
             now: Moment::ZERO,
-            tables: (0..owners).map(|_| Table::default()).collect(),
+            tables: (0..owners).map(|_| Reservations::default()).collect(),
             engines: (0..engines)
                 .map(|index| (engine(index), Memory::default()))
                 .collect(),
@@ -80,7 +80,7 @@
     fn send(&mut self, owner: usize, outputs: Vec<Output>, mut delay: impl FnMut() -> Vec<u64>) {
         for output in outputs {
             let to = match &output {
-                Output::Reserve { part, .. } => part.engine.clone(),
+                Output::Reserve { reservation, .. } => reservation.engine.clone(),
                 Output::Release { engine, .. } => engine.clone(),
                 Output::Ready(attempt) => {
                     self.ready.push((owner, attempt.clone()));
@@ -110,16 +110,16 @@
                     let (attempt, answer) = match output {
                         Output::Reserve {
                             attempt,
-                            part,
+                            reservation,
                             time_to_live,
                         } => {
                             let life = if expires { time_to_live } else { FOR_EVER };
-                            let answer = memory.reserve(now, &attempt, part.tokens, life);
+                            let answer = memory.reserve(now, &attempt, reservation.tokens, life);
                             (attempt, answer)
                         }
                         Output::Release { attempt, .. } => {
                             memory.held.remove(&attempt);
-                            (attempt, Answer::Released)
+                            (attempt, Reply::Released)
                         }
                         Output::Ready(_) | Output::Failed(_) => continue,
                     };
@@ -130,7 +130,7 @@
                     }
                 }
                 Message::From(attempt, from, answer) => {
-                    let outputs = self.tables[owner].answer(now, &attempt, &from, answer);
+                    let outputs = self.tables[owner].handle_reply(now, &attempt, &from, answer);
                     self.send(owner, outputs, &mut delay);
                 }
             }
@@ -164,7 +164,7 @@
         }
     }
     assert_eq!(done, 2);
-    assert!(world.tables.iter().all(Table::is_empty));
+    assert!(world.tables.iter().all(Reservations::is_empty));
     assert!(world.engines.values().all(|memory| memory.held.is_empty()));
 }
 
@@ -270,13 +270,13 @@
                 let dead = engine(u.int_in_range(0..=engines - 1)?);
                 world.engines.insert(dead.clone(), Memory::default());
                 for owner in 0..owners {
-                    let outputs = world.tables[owner].gone(world.now, &dead);
+                    let outputs = world.tables[owner].remove_engine(world.now, &dead);
                     world.send(owner, outputs, &mut delay);
                 }
             }
             6 => {
                 // A daemon dies with its table; another one takes over what it may hold.
-                world.tables[owner] = Table::default();
+                world.tables[owner] = Reservations::default();
                 world
                     .flying
                     .retain(|(_, to, message)| *to != owner || matches!(message, Message::To(..)));
@@ -304,7 +304,7 @@
         world.deliver(|| vec![10]);
     }
     assert!(
-        world.tables.iter().all(Table::is_empty),
+        world.tables.iter().all(Reservations::is_empty),
         "{:?}",
         world.tables
     );
--- a/crates/kumquatdrum_routing/tests/limits.rs
+++ b/crates/kumquatdrum_routing/tests/limits.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use kumquatdrum_routing::limits::{BINDING, Demand, Grant, Holder, INTERVAL, Limit, Steward};
+use kumquatdrum_routing::limits::{
+    BINDING, Coordinator, DEMAND_INTERVAL, Demand, Grant, Limit, Limiter,
+};
 use kumquatdrum_types::{BootId, HostId, Moment, WorkspaceName};
 
 const HOSTS: usize = 9;
@@ -31,8 +33,8 @@
 }
 
 struct Host {
-    holder: Holder,
-    steward: Steward,
+    holder: Limiter,
+    steward: Coordinator,
     /// Its own clock's zero, in the world's time; it is set back with each start.
     zero: Moment,
     is_alive: bool,
@@ -82,9 +84,9 @@
 
     fn start(&mut self, index: usize) -> Host {
         self.boots += 1;
-        let mut holder = Holder::new(host(index), HOSTS, Moment::ZERO);
+        let mut holder = Limiter::new(host(index), HOSTS, Moment::ZERO);
         holder.set_limit(Moment::ZERO, workspace(), limit());
-        let mut steward = Steward::new(host(index), BootId(self.boots), HOSTS, LONGEST);
+        let mut steward = Coordinator::new(host(index), BootId(self.boots), HOSTS, LONGEST);
         steward.set_limit(workspace(), limit());
         Host {
             holder,
@@ -130,11 +132,11 @@
         let (now, local) = (self.now, self.local(index));
         let host = &mut self.hosts[index];
         for _ in host.running.extract_if(.., |end| *end <= now) {
-            host.holder.finished(local, &workspace(), 0, 0);
+            host.holder.finish(local, &workspace(), 0, 0);
         }
         // Each host is at another point of its interval.
         let count = local.micros / STEP.as_micros() as u64;
-        let every = (INTERVAL.as_micros() / STEP.as_micros()) as u64;
+        let every = (DEMAND_INTERVAL.as_micros() / STEP.as_micros()) as u64;
         let offered = self.offered[index] * STEP.as_secs_f64();
         let before = (count - 1) as f64 * offered;
         let offers = (count as f64 * offered) as u64 - before as u64;
@@ -154,7 +156,7 @@
             .filter(|&other| self.reaches(index, other))
             .map(host)
             .collect();
-        for (steward, demand) in self.hosts[index].holder.demands(local, &live) {
+        for (steward, demand) in self.hosts[index].holder.build_demands(local, &live) {
             let to = (0..HOSTS)
                 .find(|&other| host(other) == steward)
                 .expect("known");
@@ -170,14 +172,14 @@
             match message {
                 Message::Demand(from, to, demand) if self.reaches(from, to) => {
                     let local = self.local(to);
-                    if let Some(grant) = self.hosts[to].steward.demand(local, &demand) {
+                    if let Some(grant) = self.hosts[to].steward.handle_demand(local, &demand) {
                         self.flying
                             .push((now + self.delay, Message::Grant(from, grant)));
                     }
                 }
                 Message::Grant(to, grant) if self.hosts[to].is_alive => {
                     let local = self.local(to);
-                    self.hosts[to].holder.grant(local, &grant);
+                    self.hosts[to].holder.apply_grant(local, &grant);
                 }
                 _ => {}
             }
@@ -333,20 +335,20 @@
 
 #[test]
 fn a_restarted_host_binds_to_no_steward_before_its_old_binding_is_over() {
-    let mut holder = Holder::new(host(0), HOSTS, Moment::ZERO);
+    let mut holder = Limiter::new(host(0), HOSTS, Moment::ZERO);
     holder.set_limit(Moment::ZERO, workspace(), limit());
-    let mut steward = Steward::new(host(0), BootId(1), HOSTS, LONGEST);
+    let mut steward = Coordinator::new(host(0), BootId(1), HOSTS, LONGEST);
     steward.set_limit(workspace(), limit());
     let mut now = Moment::ZERO;
     while now < Moment::ZERO + BINDING {
-        for (_, demand) in holder.demands(now, &[host(0)]) {
+        for (_, demand) in holder.build_demands(now, &[host(0)]) {
             assert_eq!(demand.echo, None);
-            let grant = steward.demand(now, &demand).expect("limited");
-            holder.grant(now, &grant);
+            let grant = steward.handle_demand(now, &demand).expect("limited");
+            holder.apply_grant(now, &grant);
         }
-        now = now + INTERVAL;
+        now = now + DEMAND_INTERVAL;
     }
-    let (_, demand) = holder.demands(now, &[host(0)]).remove(0);
+    let (_, demand) = holder.build_demands(now, &[host(0)]).remove(0);
     assert!(demand.echo.is_some());
 }
 
--- a/crates/kumquatdrum_routing/tests/queue.rs
+++ b/crates/kumquatdrum_routing/tests/queue.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use kumquatdrum_routing::limits::{Holder, Limit};
+use kumquatdrum_routing::limits::{Limit, Limiter};
 use kumquatdrum_routing::{Progress, Usage};
 use kumquatdrum_types::{Moment, Refusal};
 use support::{Fleet, STEP, ask, dispatches, refusals, router, seconds};
@@ -127,9 +127,11 @@
         if tick % 20 == 0 {
             let oldest = 1 + u64::try_from(tick).expect("small") / 10;
             for attempt in oldest..oldest + 2 {
-                let _ = fleet
-                    .router
-                    .progress(now, attempt, Progress::Finished(Usage::default()));
+                let _ = fleet.router.record_progress(
+                    now,
+                    attempt,
+                    Progress::Finished(Usage::default()),
+                );
             }
         }
     }
@@ -167,7 +169,11 @@
         now = now + Duration::from_millis(500);
         let mut outputs = Vec::new();
         for attempt in std::mem::take(&mut open) {
-            outputs.extend(router.progress(now, attempt, Progress::Finished(Usage::default())));
+            outputs.extend(router.record_progress(
+                now,
+                attempt,
+                Progress::Finished(Usage::default()),
+            ));
         }
         outputs.extend(router.tick(now));
         for dispatch in dispatches(&outputs) {
@@ -198,7 +204,7 @@
         if round % 2 == 1 {
             for attempt in std::mem::take(&mut open) {
                 let ended = Progress::Finished(Usage::default());
-                outputs.extend(router.progress(now, attempt, ended));
+                outputs.extend(router.record_progress(now, attempt, ended));
             }
         }
         for dispatch in dispatches(&outputs) {
@@ -216,7 +222,7 @@
 /// First-token times of a light workspace beside a busy one, 95th percentile in seconds.
 fn light_beside(offered: u32, limit: f64) -> f64 {
     let mut fleet = Fleet::new(8);
-    let mut holder = Holder::new("a".into(), 1, Moment::ZERO);
+    let mut holder = Limiter::new("a".into(), 1, Moment::ZERO);
     let tokens = Limit {
         tokens_per_second: Some(limit / kumquatdrum_routing::limits::RESERVE),
         ..Limit::default()
@@ -294,7 +300,7 @@
     let mut attempt = 1;
     for round in 1..25 {
         let now = seconds(f64::from(round) * 20.0);
-        let outputs = router.progress(now, attempt, Progress::Finished(Usage::default()));
+        let outputs = router.record_progress(now, attempt, Progress::Finished(Usage::default()));
         for dispatch in dispatches(&outputs) {
             order.push(dispatch.request.as_str().to_owned());
             attempt = dispatch.attempt;
@@ -357,7 +363,7 @@
         let sent = router.submit(now, ask(format!("s{number}"), 2_000, seconds(600.0)));
         for dispatch in dispatches(&sent) {
             let first = now + Duration::from_millis(100);
-            let _ = router.progress(first, dispatch.attempt, Progress::FirstToken);
+            let _ = router.record_progress(first, dispatch.attempt, Progress::FirstToken);
         }
     }
     let after = router
--- a/crates/kumquatdrum_routing/tests/support/mod.rs
+++ b/crates/kumquatdrum_routing/tests/support/mod.rs
@@ -1,7 +1,9 @@
 //! What the tests share: announcements, requests, and a very small engine.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
-use kumquatdrum_routing::{Ask, Dispatch, Output, Priority, Progress, Refuse, Router, Usage, Work};
+use kumquatdrum_routing::{
+    Dispatch, Output, Priority, Progress, Refuse, Request, RequestKind, Router, Usage,
+};
 use kumquatdrum_types::endpoint::{Engine as Announced, Kind};
 use kumquatdrum_types::{Announcement, BootId, EndpointId, Load, Moment};
 
@@ -40,8 +42,8 @@
     }
 }
 
-pub fn ask(name: impl AsRef<str>, prompt_tokens: u64, deadline: Moment) -> Ask {
-    Ask {
+pub fn ask(name: impl AsRef<str>, prompt_tokens: u64, deadline: Moment) -> Request {
+    Request {
         request: name.as_ref().into(),
         workspace: "salon".into(),
         weight: 1,
@@ -51,7 +53,7 @@
         prefix: Vec::new(),
         deadline,
         excluded: Vec::new(),
-        work: Work::Model,
+        work: RequestKind::Model,
     }
 }
 
@@ -133,7 +135,7 @@
         }
     }
 
-    pub fn submit(&mut self, now: Moment, ask: Ask) {
+    pub fn submit(&mut self, now: Moment, ask: Request) {
         let name = ask.request.as_str().to_owned();
         self.prompts.insert(name, ask.prompt_tokens);
         let outputs = self.router.submit(now, ask);
@@ -144,10 +146,12 @@
         for index in 0..self.engines.len() {
             for (request, attempt) in self.engines[index].step() {
                 self.first_tokens.push((request, now));
-                let outputs = self.router.progress(now, attempt, Progress::FirstToken);
+                let outputs = self
+                    .router
+                    .record_progress(now, attempt, Progress::FirstToken);
                 self.obey(&outputs);
                 let ended = Progress::Finished(Usage::default());
-                let outputs = self.router.progress(now, attempt, ended);
+                let outputs = self.router.record_progress(now, attempt, ended);
                 self.obey(&outputs);
             }
         }
