--- a/crates/kumquatdrum_host/src/fleet.rs
+++ b/crates/kumquatdrum_host/src/fleet.rs
@@ -199,7 +199,7 @@
     pub fn submit(&self, name: &ServiceName, ask: Request) -> oneshot::Receiver<Decision> {
         let (sender, receiver) = oneshot::channel();
         self.with(name, |service, now| {
-            service.waiting.insert(ask.request.clone(), sender);
+            service.waiting.insert(ask.id.clone(), sender);
             let outputs = service.router.submit(now, ask);
             service.tell(outputs);
         });
@@ -224,12 +224,12 @@
 
     /// Notes a request in the service's retry budget.
     pub fn request(&self, name: &ServiceName) {
-        self.with(name, |service, _| service.budget.request());
+        self.with(name, |service, _| service.budget.record_request());
     }
 
     /// Takes a retry out of the service's budget; `false` where none is left.
     pub fn retry(&self, name: &ServiceName) -> bool {
-        self.with(name, |service, _| service.budget.take())
+        self.with(name, |service, _| service.budget.try_take())
     }
 
     /// The endpoints of a service that are not gone.
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -142,7 +142,7 @@
             }
         };
         Ok(routing::Request {
-            request: caller.request.clone(),
+            id: caller.request.clone(),
             workspace: workspace.name.clone(),
             weight: workspace.weight,
             priority,
@@ -151,7 +151,7 @@
             prefix: prefix(ask),
             deadline: self.shell.clock.now() + deadline,
             excluded: Vec::new(),
-            work: if ask.model {
+            kind: if ask.model {
                 routing::RequestKind::Model
             } else {
                 routing::RequestKind::Plain
--- a/crates/kumquatdrum_routing/benches/decision.rs
+++ b/crates/kumquatdrum_routing/benches/decision.rs
@@ -70,7 +70,7 @@
     let is_long = number.is_multiple_of(LONG_EVERY);
     let blocks = if is_long { 800 } else { 8 };
     Request {
-        request: number.to_string().as_str().into(),
+        id: number.to_string().as_str().into(),
         workspace: (number % 10).to_string().as_str().into(),
         weight: 1,
         priority: Priority::default(),
@@ -81,7 +81,7 @@
             .collect(),
         deadline: now + Duration::from_secs(600),
         excluded: Vec::new(),
-        work: RequestKind::Model,
+        kind: RequestKind::Model,
     }
 }
 
--- a/crates/kumquatdrum_routing/benches/policies/run.rs
+++ b/crates/kumquatdrum_routing/benches/policies/run.rs
@@ -182,7 +182,7 @@
     fn submit(&mut self, index: usize) {
         let arrival = &self.arrivals[index];
         let ask = Request {
-            request: index.to_string().as_str().into(),
+            id: index.to_string().as_str().into(),
             workspace: arrival.workspace.to_string().as_str().into(),
             weight: 1,
             priority: Priority::default(),
@@ -193,11 +193,11 @@
                 micros: (arrival.deadline * 1e6) as u64,
             },
             excluded: self.tries[index].clone(),
-            work: RequestKind::Model,
+            kind: RequestKind::Model,
         };
         let daemon = arrival.daemon;
         if self.tries[index].is_empty() {
-            self.budgets[daemon].request();
+            self.budgets[daemon].record_request();
         }
         let now = self.moment();
         let outputs = self.routers[daemon].submit(now, ask);
@@ -314,7 +314,7 @@
         let outputs = self.routers[daemon].record_progress(now, attempt, progress);
         self.obey(daemon, outputs);
         self.tries[index].push(name(engine));
-        if self.outcomes[index].end.is_none() && self.budgets[daemon].take() {
+        if self.outcomes[index].end.is_none() && self.budgets[daemon].try_take() {
             self.submit(index);
         }
     }
--- a/crates/kumquatdrum_routing/src/ask.rs
+++ b/crates/kumquatdrum_routing/src/ask.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone)]
 pub struct Request {
     /// Its name, unique among the requests that the router holds.
-    pub request: RequestId,
+    pub id: RequestId,
     /// Whose it is.
     pub workspace: WorkspaceName,
     /// The workspace's weight against the others; at least 1.
@@ -57,7 +57,7 @@
     /// Endpoints that must not get it, such as those where it failed before.
     pub excluded: Vec<EndpointId>,
     /// The kind of work.
-    pub work: RequestKind,
+    pub kind: RequestKind,
 }
 
 /// What membership holds of an endpoint.
--- a/crates/kumquatdrum_routing/src/job.rs
+++ b/crates/kumquatdrum_routing/src/job.rs
@@ -27,7 +27,7 @@
     /// The class of a request, given the memory of the largest engine in tokens.
     pub const fn of(settings: &Settings, ask: &Request, memory: u64) -> Self {
         let tokens = ask.prompt_tokens;
-        match ask.work {
+        match ask.kind {
             RequestKind::Plain => Self::Short,
             RequestKind::Model if tokens + ask.expected_output_tokens > memory => Self::Spanning,
             RequestKind::Model if tokens <= settings.short_tokens => Self::Short,
@@ -64,7 +64,7 @@
     /// Tokens that stand for the work until the first token of the answer. All plain calls of a
     /// service are taken as equal; how long they take is learnt like an engine's rate.
     pub fn prefill_tokens(&self) -> u64 {
-        match self.ask.work {
+        match self.ask.kind {
             RequestKind::Model => self.ask.prompt_tokens,
             RequestKind::Plain => PLAIN_WORK,
         }
--- a/crates/kumquatdrum_routing/src/limits/holder.rs
+++ b/crates/kumquatdrum_routing/src/limits/holder.rs
@@ -142,7 +142,7 @@
         entry.map_or(0, |entry| entry.in_flight)
     }
 
-    /// What to send to which steward, each [`INTERVAL`](super::INTERVAL). `live` are the hosts
+    /// What to send to which steward, each [`DEMAND_INTERVAL`](super::DEMAND_INTERVAL). `live` are the hosts
     /// known to be alive, this one included.
     pub fn build_demands(&mut self, now: Moment, live: &[HostId]) -> Vec<(HostId, Demand)> {
         self.round += 1;
--- a/crates/kumquatdrum_routing/src/policy/estimated.rs
+++ b/crates/kumquatdrum_routing/src/policy/estimated.rs
@@ -177,7 +177,7 @@
         let waited = (now - job.since).as_secs_f64();
         let depth = match job.size {
             // How many calls a plain service takes at once is its own affair.
-            _ if job.ask.work == RequestKind::Plain => return f64::INFINITY,
+            _ if job.ask.kind == RequestKind::Plain => return f64::INFINITY,
             Size::Short => fleet.settings.short_depth,
             Size::Medium => fleet.settings.medium_depth,
             Size::Long | Size::Spanning => fleet.settings.long_depth,
--- a/crates/kumquatdrum_routing/src/queue.rs
+++ b/crates/kumquatdrum_routing/src/queue.rs
@@ -90,7 +90,7 @@
         let ask = &job.ask;
         let place = (ask.deadline, self.counter);
         let entry = Entry {
-            request: ask.request.clone(),
+            request: ask.id.clone(),
             since: job.since,
             work: work(job),
             weight: u64::from(ask.weight.max(1)),
--- a/crates/kumquatdrum_routing/src/retry.rs
+++ b/crates/kumquatdrum_routing/src/retry.rs
@@ -14,11 +14,11 @@
 /// ```
 /// use kumquatdrum_routing::retry::Budget;
 /// let mut budget = Budget::default();
-/// assert!(budget.take());
-/// assert!(!budget.take());
-/// (0..7).for_each(|_| budget.request());
-/// assert!(budget.take());
-/// assert!(!budget.take());
+/// assert!(budget.try_take());
+/// assert!(!budget.try_take());
+/// (0..7).for_each(|_| budget.record_request());
+/// assert!(budget.try_take());
+/// assert!(!budget.try_take());
 /// ```
 #[derive(Debug)]
 pub struct Budget {
@@ -33,13 +33,13 @@
 
 impl Budget {
     /// Notes a request, at its first attempt.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.saved = (self.saved + EARNED).min(MOST);
     }
 
     /// Takes one retry out; `false` where none is left.
     #[must_use]
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         let rest = self.saved.checked_sub(COST);
         self.saved = rest.unwrap_or(self.saved);
         rest.is_some()
--- a/crates/kumquatdrum_routing/src/router.rs
+++ b/crates/kumquatdrum_routing/src/router.rs
@@ -65,7 +65,7 @@
 /// assert!(router.announce(Moment::ZERO, &announcement).is_empty());
 ///
 /// let ask = Request {
-///     request: "r-1".into(),
+///     id: "r-1".into(),
 ///     workspace: "salon".into(),
 ///     weight: 1,
 ///     priority: Priority::default(),
@@ -74,7 +74,7 @@
 ///     prefix: Vec::new(),
 ///     deadline: Moment::from_millis(5_000),
 ///     excluded: Vec::new(),
-///     work: RequestKind::Plain,
+///     kind: RequestKind::Plain,
 /// };
 /// let outputs = router.submit(Moment::ZERO, ask);
 /// let [Output::Dispatch(dispatch)] = outputs.as_slice() else {
@@ -192,7 +192,7 @@
 
     fn admit(&self, now: Moment, job: &Job) -> Result<(), Refuse> {
         let refuse = |reason: Refusal, retry_after: Option<Duration>| Refuse {
-            request: job.ask.request.clone(),
+            request: job.ask.id.clone(),
             reason,
             retry_after,
         };
@@ -208,7 +208,7 @@
             Size::Spanning if self.total_memory() < job.memory_tokens() => {
                 Err(refuse(Refusal::PromptTooLong, None))
             }
-            _ if self.waiting.contains_key(&ask.request) => Err(refuse(Refusal::BadRequest, None)),
+            _ if self.waiting.contains_key(&ask.id) => Err(refuse(Refusal::BadRequest, None)),
             _ if self.waiting.len() >= self.fleet.settings.queue_limit => Err(refuse(
                 Refusal::Overloaded,
                 Some(wait.max(NO_ENDPOINT_RETRY)),
@@ -236,7 +236,7 @@
         let class = job.size.index();
         let ticket = self.queues[class].push(&job);
         self.drains[class].busy(now);
-        let request = job.ask.request.clone();
+        let request = job.ask.id.clone();
         self.latest_starts
             .insert((job.latest_start, request.clone()));
         self.waiting.insert(request, Waiting { job, ticket });
--- a/crates/kumquatdrum_routing/tests/endpoints.rs
+++ b/crates/kumquatdrum_routing/tests/endpoints.rs
@@ -313,7 +313,7 @@
     let mut chosen: BTreeMap<_, usize> = BTreeMap::new();
     for number in 0..99 {
         let mut request = ask(format!("r{number}"), 0, DEADLINE);
-        request.work = kumquatdrum_routing::RequestKind::Plain;
+        request.kind = kumquatdrum_routing::RequestKind::Plain;
         let sent = router.submit(seconds(1.0), request);
         for dispatch in dispatches(&sent) {
             *chosen.entry(dispatch.endpoints.clone()).or_default() += 1;
--- a/crates/kumquatdrum_routing/tests/retry.rs
+++ b/crates/kumquatdrum_routing/tests/retry.rs
@@ -9,9 +9,9 @@
     for _ in 0..10_000 {
         requests += 1;
         attempts += 1;
-        budget.request();
+        budget.record_request();
         // Each fails at once, and is tried again as often as the budget lets it.
-        while budget.take() {
+        while budget.try_take() {
             attempts += 1;
         }
         assert!(
@@ -31,7 +31,7 @@
 #[test]
 fn a_quiet_time_saves_up_no_storm() {
     let mut budget = Budget::default();
-    (0..1_000_000).for_each(|_| budget.request());
-    let retries = (0..1_000).filter(|_| budget.take()).count();
+    (0..1_000_000).for_each(|_| budget.record_request());
+    let retries = (0..1_000).filter(|_| budget.try_take()).count();
     assert_eq!(retries, 20);
 }
--- a/crates/kumquatdrum_routing/tests/support/mod.rs
+++ b/crates/kumquatdrum_routing/tests/support/mod.rs
@@ -44,7 +44,7 @@
 
 pub fn ask(name: impl AsRef<str>, prompt_tokens: u64, deadline: Moment) -> Request {
     Request {
-        request: name.as_ref().into(),
+        id: name.as_ref().into(),
         workspace: "salon".into(),
         weight: 1,
         priority: Priority::default(),
@@ -53,7 +53,7 @@
         prefix: Vec::new(),
         deadline,
         excluded: Vec::new(),
-        work: RequestKind::Model,
+        kind: RequestKind::Model,
     }
 }
 
@@ -136,7 +136,7 @@
     }
 
     pub fn submit(&mut self, now: Moment, ask: Request) {
-        let name = ask.request.as_str().to_owned();
+        let name = ask.id.as_str().to_owned();
         self.prompts.insert(name, ask.prompt_tokens);
         let outputs = self.router.submit(now, ask);
         self.obey(&outputs);
