--- a/crates/kumquatdrum_placement/src/queue.rs
+++ b/crates/kumquatdrum_placement/src/queue.rs
@@ -33,11 +33,11 @@
 impl Queue {
     /// Adds or renews a waiting prompt.
     pub(crate) fn insert(&mut self, now: Moment, waiter: Waiter) {
-        let waited = Duration::from_millis(waiter.waited_ms.into()).as_micros() as u64;
+        let elapsed = Duration::from_millis(waiter.waited_ms.into()).as_micros() as u64;
         let entry = Entry {
             waiter,
             arrived: Moment {
-                micros: now.micros.saturating_sub(waited),
+                micros: now.micros.saturating_sub(elapsed),
             },
             due: now + Duration::from_millis(waiter.left_ms.into()),
             refreshed_at: now,
@@ -63,9 +63,9 @@
 
     /// Returns whether no other prompt is before this one.
     pub(crate) fn is_next(&self, now: Moment, waiter: Waiter) -> bool {
-        let left = Duration::from_millis(waiter.left_ms.into());
-        let waited = Duration::from_millis(waiter.waited_ms.into());
-        let own = score(&waiter, waited, left);
+        let remaining = Duration::from_millis(waiter.left_ms.into());
+        let elapsed = Duration::from_millis(waiter.waited_ms.into());
+        let own = score(&waiter, elapsed, remaining);
         let others = self.entries.values();
         let mut others =
             others.filter(|other| !other.waiter.blocked && other.waiter.job != waiter.job);
@@ -78,12 +78,12 @@
 
 /// Returns the priority of a prompt: its weight per millisecond of prefill, increased by the share
 /// of its time that it has waited and reduced if it is overdue.
-fn score(waiter: &Waiter, waited: Duration, left: Duration) -> f64 {
+fn score(waiter: &Waiter, elapsed: Duration, remaining: Duration) -> f64 {
     let weight = weight(waiter.prompt.into());
     let rate = weight / f64::from(waiter.read_ms).max(1.0);
-    let time = (waited + left).as_secs_f64().max(f64::MIN_POSITIVE);
-    let aged = rate * (1.0 + waited.as_secs_f64() / time);
-    if left.is_zero() {
+    let time = (elapsed + remaining).as_secs_f64().max(f64::MIN_POSITIVE);
+    let aged = rate * (1.0 + elapsed.as_secs_f64() / time);
+    if remaining.is_zero() {
         aged * LATE_FACTOR
     } else {
         aged
--- a/crates/kumquatdrum_placement/tests/model/simulation.rs
+++ b/crates/kumquatdrum_placement/tests/model/simulation.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    fn planner_of(&mut self, id: JobId) -> &mut Planner {
+    fn owner(&mut self, id: JobId) -> &mut Planner {
         &mut self.hosts[id.host as usize]
     }
 
@@ -220,7 +220,7 @@
         let (Notice::FirstToken(id) | Notice::Ended(id)) = notice else {
             return;
         };
-        let planner = self.planner_of(id);
+        let planner = self.owner(id);
         match &notice {
             Notice::FirstToken(id) => planner.record_first_token(now, *id),
             _ => planner.record_end(now, id),
@@ -293,9 +293,7 @@
         if arrival_at <= now || next_retry_at <= now {
             retry_at = now + RETRY_MS;
             waiting.retain(|(id, prompt)| {
-                let decision = planners
-                    .planner_of(*id)
-                    .place(moment(now), &job(*id, prompt));
+                let decision = planners.owner(*id).place(moment(now), &job(*id, prompt));
                 match decision {
                     Decision::Wait(waiter) if now < prompt.at_ms + 10_000.0 => {
                         planners.broadcast(now, id.host, Notice::Waiting(waiter));
@@ -311,7 +309,7 @@
                         false
                     }
                     _ => {
-                        planners.planner_of(*id).dequeue(*id);
+                        planners.owner(*id).dequeue(*id);
                         planners.broadcast(now, id.host, Notice::GivenUp(*id));
                         outcomes[prompt.class].refused += 1;
                         false
