--- a/crates/kumquatdrum_routing/benches/decision.rs
+++ b/crates/kumquatdrum_routing/benches/decision.rs
@@ -1,5 +1,5 @@
-//! The cost of one decision at several fleet sizes: a submit that ends in a dispatch, with its
-//! progress, on a fleet with reports and cached prefixes.
+//! Measures the cost of one decision at several fleet sizes: a submit that ends in a dispatch and
+//! its progress, with load reports and cached prefixes.
 //!
 //! `cargo bench -p kumquatdrum_routing --bench decision`
 
@@ -12,13 +12,13 @@
 use kumquatdrum_types::endpoint::{Engine, Kind};
 use kumquatdrum_types::{Announcement, BootId, EndpointId, Load, Moment};
 
-const SIZES: [usize; 3] = [25, 300, 7_600];
+const FLEET_SIZES: [usize; 3] = [25, 300, 7_600];
 const DECISIONS: u64 = 20_000;
 const RUNS: u64 = 5;
 const OWNERS: usize = 9;
 /// Requests in flight at any time.
-const OPEN: usize = 64;
-/// Every so many requests is a long one; the others are short.
+const MAX_IN_FLIGHT: usize = 64;
+/// The interval of long requests; all others are short.
 const LONG_EVERY: u64 = 50;
 
 fn endpoint(index: usize) -> EndpointId {
@@ -66,7 +66,7 @@
     router
 }
 
-fn ask(number: u64, now: Moment) -> Request {
+fn build_request(number: u64, now: Moment) -> Request {
     let is_long = number.is_multiple_of(LONG_EVERY);
     let blocks = if is_long { 800 } else { 8 };
     Request {
@@ -85,87 +85,87 @@
     }
 }
 
-/// Microseconds of one decision: submitting, and what its progress makes the router do.
+/// Returns the microseconds of a submit and of the progress of an attempt.
 fn measure(size: usize) -> (f64, f64) {
     let mut router = router(size);
-    let mut open = std::collections::VecDeque::new();
-    let (mut submits, mut progresses) = (Duration::ZERO, Duration::ZERO);
+    let mut in_flight = std::collections::VecDeque::new();
+    let (mut submit_time, mut progress_time) = (Duration::ZERO, Duration::ZERO);
     for number in 0..DECISIONS {
         let now = Moment::from_millis(1_000 + number);
-        // The fleet's reports come in all the while; they are not counted here.
+        // Load reports arrive continuously and are not measured.
         let _ = router.announce(now, &announcement(number as usize % size, 2 + number));
-        let ask = ask(number, now);
+        let request = build_request(number, now);
         let start = Instant::now();
-        let outputs = router.submit(now, ask);
+        let outputs = router.submit(now, request);
         std::hint::black_box(router.next_wake());
-        submits += start.elapsed();
-        open.extend(outputs.into_iter().filter_map(|output| match output {
+        submit_time += start.elapsed();
+        in_flight.extend(outputs.into_iter().filter_map(|output| match output {
             Output::Dispatch(dispatch) => Some(dispatch.attempt),
             _ => None,
         }));
         let start = Instant::now();
-        while open.len() > OPEN {
-            let Some(attempt) = open.pop_front() else {
+        while in_flight.len() > MAX_IN_FLIGHT {
+            let Some(attempt) = in_flight.pop_front() else {
                 break;
             };
             let _ = router.record_progress(now, attempt, Progress::FirstToken);
             let _ = router.record_progress(now, attempt, Progress::Finished(Usage::default()));
         }
-        progresses += start.elapsed();
+        progress_time += start.elapsed();
     }
-    let each = |taken: Duration| taken.as_secs_f64() * 1e6 / DECISIONS as f64;
-    (each(submits), each(progresses))
+    let per_decision = |duration: Duration| duration.as_secs_f64() * 1e6 / DECISIONS as f64;
+    (per_decision(submit_time), per_decision(progress_time))
 }
 
-/// Microseconds of a submit that has to wait, behind so many others.
+/// Returns the microseconds of a submit that waits behind `waiting` requests.
 fn measure_waiting(size: usize, waiting: u64) -> f64 {
     let mut router = router(size);
     let now = Moment::from_millis(1_000);
     for index in 0..size {
-        let mut busy = announcement(index, 2);
-        if let Kind::Engine(engine) = &mut busy.kind
+        let mut announcement = announcement(index, 2);
+        if let Kind::Engine(engine) = &mut announcement.kind
             && let Some(load) = &mut engine.load
         {
             load.prefill_tokens = 10_000_000;
         }
-        let _ = router.announce(now, &busy);
+        let _ = router.announce(now, &announcement);
     }
-    let mut taken = Duration::ZERO;
+    let mut duration = Duration::ZERO;
     for number in 0..2 * waiting {
-        let mut ask = ask(number, now);
-        ask.prompt_tokens = 20_000;
+        let mut request = build_request(number, now);
+        request.prompt_tokens = 20_000;
         let start = Instant::now();
-        std::hint::black_box(router.submit(now, ask));
+        std::hint::black_box(router.submit(now, request));
         std::hint::black_box(router.next_wake());
         if number >= waiting {
-            taken += start.elapsed();
+            duration += start.elapsed();
         }
     }
     assert_eq!(router.queued() as u64, 2 * waiting, "all wait");
-    taken.as_secs_f64() * 1e6 / waiting as f64
+    duration.as_secs_f64() * 1e6 / waiting as f64
 }
 
 fn main() {
     println!("| endpoints | submit, us: median of {RUNS} (lowest-highest) | progress, us |");
     println!("| --- | --- | --- |");
-    for size in SIZES {
+    for size in FLEET_SIZES {
         let mut runs: Vec<(f64, f64)> = (0..RUNS).map(|_| measure(size)).collect();
         runs.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let middle = runs[runs.len() / 2];
+        let median = runs[runs.len() / 2];
         println!(
             "| {size} | {:.1} ({:.1}-{:.1}) | {:.1} |",
-            middle.0,
+            median.0,
             runs[0].0,
             runs[runs.len() - 1].0,
-            middle.1
+            median.1
         );
     }
     println!("\n| endpoints | waiting | submit that waits, us |");
     println!("| --- | --- | --- |");
-    for size in SIZES {
+    for size in FLEET_SIZES {
         for waiting in [100, 4_000] {
-            let taken = measure_waiting(size, waiting);
-            println!("| {size} | {waiting}-{} | {taken:.1} |", 2 * waiting);
+            let duration = measure_waiting(size, waiting);
+            println!("| {size} | {waiting}-{} | {duration:.1} |", 2 * waiting);
         }
     }
 }
--- a/crates/kumquatdrum_routing/benches/policies/trace.rs
+++ b/crates/kumquatdrum_routing/benches/policies/trace.rs
@@ -1,16 +1,16 @@
-//! Seeded arrivals of both users' mixes.
+//! Seeded arrivals of two request mixes.
 
 use kumquatdrum_routing::BlockHash;
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
-pub const BLOCK: u64 = 256;
-/// Prompt tokens that an engine computes a second at the start of a prompt.
-pub const RATE: f64 = 20_000.0;
-/// Context at which a prompt token costs twice as much.
-pub const CONTEXT: f64 = 400_000.0;
+pub const BLOCK_TOKENS: u64 = 256;
+/// The prompt tokens that an engine computes per second at the start of a prompt.
+pub const PREFILL_TOKENS_PER_SECOND: f64 = 20_000.0;
+/// The context at which a prompt token costs twice as much.
+pub const CONTEXT_TOKENS: f64 = 400_000.0;
 
-/// A share of the requests: prompt lengths between two bounds, equally spread over their logarithm.
+/// A share of the requests, with prompt lengths distributed log-uniformly between two bounds.
 pub struct Band {
     pub share: f64,
     pub from: f64,
@@ -60,82 +60,84 @@
     pub at: f64,
     pub daemon: usize,
     pub workspace: u32,
-    pub prompt: u64,
-    pub output: u64,
+    pub prompt_tokens: u64,
+    pub output_tokens: u64,
     pub deadline: f64,
     pub prefix: Vec<BlockHash>,
 }
 
-fn unit(random: &mut Pcg32) -> f64 {
+fn uniform(random: &mut Pcg32) -> f64 {
     f64::from(random.next_u32()) / f64::from(u32::MAX)
 }
 
-fn between(random: &mut Pcg32, from: f64, to: f64) -> f64 {
-    from * (to / from).powf(unit(random))
+fn log_uniform(random: &mut Pcg32, from: f64, to: f64) -> f64 {
+    from * (to / from).powf(uniform(random))
 }
 
-/// Seconds of an engine that a request takes.
-fn work(prompt: f64, output: f64) -> f64 {
-    prompt / RATE * (1.0 + prompt / 2.0 / CONTEXT) + output * 0.000_5
+/// Returns the engine seconds that a request takes.
+fn engine_seconds(prompt_tokens: f64, output_tokens: f64) -> f64 {
+    prompt_tokens / PREFILL_TOKENS_PER_SECOND * (1.0 + prompt_tokens / 2.0 / CONTEXT_TOKENS)
+        + output_tokens * 0.000_5
 }
 
-fn mean_work(mix: &Mix) -> f64 {
+fn mean_engine_seconds(mix: &Mix) -> f64 {
     let mut random = Pcg32::new(1, 1);
-    let mut of = |band: &Band| {
-        let draws = (0..2_000).map(|_| work(between(&mut random, band.from, band.to), 150.0));
+    let mut band_seconds = |band: &Band| {
+        let draws =
+            (0..2_000).map(|_| engine_seconds(log_uniform(&mut random, band.from, band.to), 150.0));
         band.share * draws.sum::<f64>() / 2_000.0
     };
-    mix.bands.iter().map(&mut of).sum()
+    mix.bands.iter().map(&mut band_seconds).sum()
 }
 
-/// Arrivals over so many seconds, at `load` times the engines' capacity, with bursts.
-pub fn trace(mix: &Mix, load: f64, seconds: f64, seed: u64) -> Vec<Arrival> {
+/// Generates arrivals with bursts for `seconds` at `load` times the engines' capacity.
+pub fn generate(mix: &Mix, load: f64, seconds: f64, seed: u64) -> Vec<Arrival> {
     let mut random = Pcg32::new(seed, 7);
-    let rate = load * mix.engines as f64 / mean_work(mix);
+    let rate = load * mix.engines as f64 / mean_engine_seconds(mix);
     let mut arrivals = Vec::new();
     let (mut at, mut document) = (0.0, 0_u64);
     loop {
-        // Every half minute, five seconds at twice the rate; the mean stays.
+        // Five seconds of every thirty run at twice the rate; the mean is unchanged.
         let factor = if at % 30.0 < 5.0 { 2.0 } else { 0.8 };
-        at -= (1.0 - unit(&mut random)).max(1e-9).ln() / (rate * factor);
+        at -= (1.0 - uniform(&mut random)).max(1e-9).ln() / (rate * factor);
         if at >= seconds {
             return arrivals;
         }
-        let mut draw = unit(&mut random);
+        let mut draw = uniform(&mut random);
         let found = mix.bands.iter().find(|band| {
             draw -= band.share;
             draw <= 0.0
         });
         let band = found.unwrap_or(&mix.bands[0]);
-        let prompt = between(&mut random, band.from, band.to) as u64;
-        // Few large workspaces: half of the requests come from two of ten.
-        let workspace = match unit(&mut random) {
+        let prompt_tokens = log_uniform(&mut random, band.from, band.to) as u64;
+        // Half of the requests come from two of ten workspaces.
+        let workspace = match uniform(&mut random) {
             draw if draw < 0.5 => random.next_u32() % 2,
             _ => 2 + random.next_u32() % 8,
         };
-        // One document in ten is asked about again.
-        if unit(&mut random) > 0.1 {
+        // One request in ten reuses the previous document.
+        if uniform(&mut random) > 0.1 {
             document += 1;
         }
         arrivals.push(Arrival {
             at,
             daemon: random.next_u32() as usize % 9,
             workspace,
-            prompt,
-            output: between(&mut random, 30.0, 400.0) as u64,
+            prompt_tokens,
+            output_tokens: log_uniform(&mut random, 30.0, 400.0) as u64,
             deadline: at + band.deadline,
-            prefix: prefix(workspace, document, prompt),
+            prefix: prefix(workspace, document, prompt_tokens),
         });
     }
 }
 
-/// Two blocks of the workspace's own preamble, then the document's.
-fn prefix(workspace: u32, document: u64, prompt: u64) -> Vec<BlockHash> {
+/// Returns two blocks of the workspace's preamble, followed by the document's blocks.
+fn prefix(workspace: u32, document: u64, prompt_tokens: u64) -> Vec<BlockHash> {
     let hash = |index: u64| match index {
         0 | 1 => u64::from(workspace) << 8 | index,
         _ => (document << 20 | index) + (1 << 60),
     };
-    (0..prompt / BLOCK)
+    (0..prompt_tokens / BLOCK_TOKENS)
         .map(|index| BlockHash(hash(index)))
         .collect()
 }
--- a/crates/kumquatdrum_routing/src/fleet.rs
+++ b/crates/kumquatdrum_routing/src/fleet.rs
@@ -1,53 +1,53 @@
-//! The endpoints of one service, as one daemon knows them.
+//! The endpoints of one service.
 
 use indexmap::{IndexMap, IndexSet};
 use kumquatdrum_types::endpoint::Kind;
 use kumquatdrum_types::{Announcement, BootId, EndpointId, Moment, hash};
 
+use crate::endpoint::Endpoint;
 use crate::prefix::Index;
 use crate::rank;
 use crate::rate::Rates;
-use crate::slot::Slot;
 use crate::{CacheEvent, Health, Settings};
 
-/// The place of an endpoint in the fleet; it stays while the endpoint does.
+/// The index of an endpoint, valid until the endpoint is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SlotIndex(u32);
+pub struct EndpointIndex(u32);
 
-/// Endpoints that are gone and still remembered, so that late news brings none of them back.
-const REMEMBERED: usize = 1_024;
+/// Removed endpoints that are remembered, so that late announcements do not restore them.
+const MAX_TOMBSTONES: usize = 1_024;
 
-/// The last that was known of an endpoint that is gone.
+/// The last known state of a removed endpoint.
 #[derive(Debug)]
-struct Former {
+struct Tombstone {
     boot: BootId,
     sequence: u64,
     was_leaving: bool,
 }
 
-impl Former {
-    /// Whether an announcement is older than what was known, or of a life that has left.
-    fn outlives(&self, announcement: &Announcement) -> bool {
+impl Tombstone {
+    /// Returns whether an announcement is outdated, or of an incarnation that has left.
+    fn rejects(&self, announcement: &Announcement) -> bool {
         let is_same = announcement.boot == self.boot;
         let is_old = announcement.sequence <= self.sequence || self.was_leaving;
         announcement.boot < self.boot || (is_same && is_old)
     }
 }
 
-/// All endpoints of a service.
+/// The endpoints of a service.
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) settings: Settings,
-    /// Learnt rates.
+    /// Estimated service rates.
     pub rates: Rates,
-    /// Cached prefixes.
+    /// The index of cached prefixes.
     pub prefixes: Index,
-    slots: Vec<Option<Slot>>,
-    by_name: IndexMap<EndpointId, SlotIndex>,
-    former: IndexMap<EndpointId, Former>,
-    alive: Vec<SlotIndex>,
-    suspect: Vec<SlotIndex>,
-    doubtful: IndexSet<EndpointId>,
+    endpoints: Vec<Option<Endpoint>>,
+    by_id: IndexMap<EndpointId, EndpointIndex>,
+    tombstones: IndexMap<EndpointId, Tombstone>,
+    alive: Vec<EndpointIndex>,
+    suspect: Vec<EndpointIndex>,
+    out_of_sync: IndexSet<EndpointId>,
     largest_memory: u64,
     has_rate: bool,
 }
@@ -58,20 +58,20 @@
             rates: Rates::new(&settings),
             settings,
             prefixes: Index::default(),
-            slots: Vec::new(),
-            by_name: IndexMap::new(),
-            former: IndexMap::new(),
+            endpoints: Vec::new(),
+            by_id: IndexMap::new(),
+            tombstones: IndexMap::new(),
             alive: Vec::new(),
             suspect: Vec::new(),
-            doubtful: IndexSet::new(),
+            out_of_sync: IndexSet::new(),
             largest_memory: 0,
             has_rate: false,
         }
     }
 
-    /// Endpoints that take new work, in an order that all daemons share. Suspect ones are
-    /// listed only where no other is left.
-    pub fn candidates(&self) -> &[SlotIndex] {
+    /// Returns the endpoints that accept new requests, in an order common to all daemons. Suspect
+    /// ones are included only if there are no others.
+    pub fn candidates(&self) -> &[EndpointIndex] {
         if self.alive.is_empty() {
             &self.suspect
         } else {
@@ -79,68 +79,68 @@
         }
     }
 
-    /// The endpoint at a place taken from [`Fleet::candidates`] or the prefix index.
-    pub fn slot(&self, index: SlotIndex) -> &Slot {
-        self.slots[index.0 as usize]
+    /// Returns the endpoint at an index from [`Fleet::candidates`] or the prefix index.
+    pub fn endpoint(&self, index: EndpointIndex) -> &Endpoint {
+        self.endpoints[index.0 as usize]
             .as_ref()
             .expect("an index lives no longer than its endpoint")
     }
 
-    /// The place of an endpoint.
-    pub fn find(&self, endpoint: &EndpointId) -> Option<SlotIndex> {
-        self.by_name.get(endpoint).copied()
+    /// Returns the index of an endpoint.
+    pub fn find(&self, id: &EndpointId) -> Option<EndpointIndex> {
+        self.by_id.get(id).copied()
     }
 
-    /// Whether the endpoint takes new work.
-    pub fn is_candidate(&self, index: SlotIndex) -> bool {
-        match self.slot(index).health {
+    /// Returns whether the endpoint accepts new requests.
+    pub fn is_candidate(&self, index: EndpointIndex) -> bool {
+        match self.endpoint(index).health {
             Health::Alive => true,
             Health::Suspect => self.alive.is_empty(),
             Health::Leaving | Health::Gone => false,
         }
     }
 
-    /// Memory of the largest engine that takes new work, in tokens.
+    /// Returns the memory of the largest engine that accepts new requests, in tokens.
     pub const fn largest_memory(&self) -> u64 {
         self.largest_memory
     }
 
-    /// How many daemons share the endpoints.
+    /// Returns the number of daemons that share the endpoints.
     pub fn owners(&self) -> usize {
         self.settings.owners.len().max(1)
     }
 
-    pub(crate) fn slot_mut(&mut self, index: SlotIndex) -> &mut Slot {
-        self.slots[index.0 as usize]
+    pub(crate) fn endpoint_mut(&mut self, index: EndpointIndex) -> &mut Endpoint {
+        self.endpoints[index.0 as usize]
             .as_mut()
             .expect("an index lives no longer than its endpoint")
     }
 
     pub(crate) fn set_owners(&mut self, owners: Vec<String>) {
         self.settings.owners = owners;
-        for slot in self.slots.iter_mut().flatten() {
-            slot.rank = rank::of(&self.settings, &slot.endpoint);
+        for endpoint in self.endpoints.iter_mut().flatten() {
+            endpoint.rank = rank::compute(&self.settings, &endpoint.id);
         }
     }
 
     pub(crate) fn announce(&mut self, now: Moment, announcement: &Announcement) {
-        let former = self.former.get(&announcement.endpoint);
-        if former.is_some_and(|former| former.outlives(announcement)) {
+        let tombstone = self.tombstones.get(&announcement.endpoint);
+        if tombstone.is_some_and(|tombstone| tombstone.rejects(announcement)) {
             return;
         }
-        self.start_rates(announcement);
+        self.initialise_rates(announcement);
         let known = self.find(&announcement.endpoint);
-        let index = match known.map(|index| (index, self.slot(index))) {
-            Some((_, slot)) if announcement.boot < slot.boot => return,
-            Some((index, slot)) if announcement.boot == slot.boot => {
-                if announcement.sequence <= slot.sequence {
+        let index = match known.map(|index| (index, self.endpoint(index))) {
+            Some((_, endpoint)) if announcement.boot < endpoint.boot => return,
+            Some((index, endpoint)) if announcement.boot == endpoint.boot => {
+                if announcement.sequence <= endpoint.sequence {
                     return;
                 }
-                let before = (slot.health, slot.memory());
-                self.slot_mut(index).describe(announcement);
-                let slot = self.slot(index);
-                if before != (slot.health, slot.memory()) {
-                    self.list(index);
+                let before = (endpoint.health, endpoint.memory_tokens());
+                self.endpoint_mut(index).apply_announcement(announcement);
+                let endpoint = self.endpoint(index);
+                if before != (endpoint.health, endpoint.memory_tokens()) {
+                    self.update_lists(index);
                 }
                 index
             }
@@ -153,120 +153,127 @@
         if let Kind::Engine(engine) = &announcement.kind
             && let Some(load) = &engine.load
         {
-            let slot = self.slots[index.0 as usize].as_mut();
-            slot.expect("just found").report(now, load, &self.settings);
+            let endpoint = self.endpoints[index.0 as usize].as_mut();
+            endpoint
+                .expect("just found")
+                .apply_report(now, load, &self.settings);
         }
     }
 
-    fn start_rates(&mut self, announcement: &Announcement) {
+    fn initialise_rates(&mut self, announcement: &Announcement) {
         let Kind::Engine(engine) = &announcement.kind else {
             return;
         };
         if !self.has_rate && engine.prefill_tokens_per_second > 0 {
             self.has_rate = true;
             self.rates
-                .start_from(engine.prefill_tokens_per_second as f64);
+                .initialise(engine.prefill_tokens_per_second as f64);
         }
     }
 
-    fn insert(&mut self, announcement: &Announcement) -> SlotIndex {
-        let rank = rank::of(&self.settings, &announcement.endpoint);
-        let slot = Slot::new(announcement, hash::of(announcement.endpoint.as_str()), rank);
-        let free = self.slots.iter().position(Option::is_none);
-        let place = free.unwrap_or(self.slots.len());
-        if place == self.slots.len() {
-            self.slots.push(None);
+    fn insert(&mut self, announcement: &Announcement) -> EndpointIndex {
+        let rank = rank::compute(&self.settings, &announcement.endpoint);
+        let endpoint = Endpoint::new(announcement, hash::of(announcement.endpoint.as_str()), rank);
+        let vacant = self.endpoints.iter().position(Option::is_none);
+        let position = vacant.unwrap_or(self.endpoints.len());
+        if position == self.endpoints.len() {
+            self.endpoints.push(None);
         }
-        self.slots[place] = Some(slot);
-        let index = SlotIndex(place as u32);
-        self.by_name.insert(announcement.endpoint.clone(), index);
-        self.list(index);
+        self.endpoints[position] = Some(endpoint);
+        let index = EndpointIndex(position as u32);
+        self.by_id.insert(announcement.endpoint.clone(), index);
+        self.update_lists(index);
         index
     }
 
-    /// Sets what membership says; a leaving endpoint stays so for the rest of its life.
-    pub(crate) fn health(&mut self, endpoint: &EndpointId, health: Health) {
-        let Some(index) = self.find(endpoint) else {
+    /// Sets the health according to membership. A leaving endpoint remains leaving for the rest of
+    /// its incarnation.
+    pub(crate) fn set_health(&mut self, id: &EndpointId, health: Health) {
+        let Some(index) = self.find(id) else {
             return;
         };
-        match (self.slot(index).health, health) {
-            (_, Health::Gone) => self.remove(endpoint),
+        match (self.endpoint(index).health, health) {
+            (_, Health::Gone) => self.remove(id),
             (Health::Leaving, _) => {}
             (before, after) if before != after => {
-                self.slot_mut(index).health = after;
-                self.list(index);
+                self.endpoint_mut(index).health = after;
+                self.update_lists(index);
             }
             _ => {}
         }
     }
 
-    fn remove(&mut self, endpoint: &EndpointId) {
-        let Some(index) = self.by_name.swap_remove(endpoint) else {
+    fn remove(&mut self, id: &EndpointId) {
+        let Some(index) = self.by_id.swap_remove(id) else {
             return;
         };
-        self.doubtful.swap_remove(endpoint);
-        if let Some(mut slot) = self.slots[index.0 as usize].take() {
-            self.prefixes.clear(index, &mut slot.cache);
-            let former = Former {
-                boot: slot.boot,
-                sequence: slot.sequence,
-                was_leaving: slot.health == Health::Leaving,
+        self.out_of_sync.swap_remove(id);
+        if let Some(mut endpoint) = self.endpoints[index.0 as usize].take() {
+            self.prefixes.clear(index, &mut endpoint.cache);
+            let tombstone = Tombstone {
+                boot: endpoint.boot,
+                sequence: endpoint.sequence,
+                was_leaving: endpoint.health == Health::Leaving,
             };
-            self.former.insert(endpoint.clone(), former);
+            self.tombstones.insert(id.clone(), tombstone);
         }
-        if self.former.len() > REMEMBERED {
-            self.former.shift_remove_index(0);
+        if self.tombstones.len() > MAX_TOMBSTONES {
+            self.tombstones.shift_remove_index(0);
         }
         self.alive.retain(|&other| other != index);
         self.suspect.retain(|&other| other != index);
-        self.measure();
+        self.update_largest_memory();
     }
 
-    /// Puts an endpoint into the list that its health names, and takes it off the other.
-    fn list(&mut self, index: SlotIndex) {
+    /// Moves an endpoint to the list that matches its health.
+    fn update_lists(&mut self, index: EndpointIndex) {
         self.alive.retain(|&other| other != index);
         self.suspect.retain(|&other| other != index);
-        let (hash, health) = (self.slot(index).hash, self.slot(index).health);
+        let (hash, health) = (self.endpoint(index).hash, self.endpoint(index).health);
         let list = match health {
             Health::Alive => &self.alive,
             Health::Suspect => &self.suspect,
-            Health::Leaving | Health::Gone => return self.measure(),
+            Health::Leaving | Health::Gone => return self.update_largest_memory(),
         };
-        let place = list.partition_point(|&other| self.slot(other).hash < hash);
+        let position = list.partition_point(|&other| self.endpoint(other).hash < hash);
         match health {
-            Health::Alive => self.alive.insert(place, index),
-            _ => self.suspect.insert(place, index),
+            Health::Alive => self.alive.insert(position, index),
+            _ => self.suspect.insert(position, index),
         }
-        self.measure();
+        self.update_largest_memory();
     }
 
-    fn measure(&mut self) {
+    fn update_largest_memory(&mut self) {
         let memories = self.candidates().iter();
-        let largest = memories.map(|&index| self.slot(index).memory()).max();
+        let largest = memories
+            .map(|&index| self.endpoint(index).memory_tokens())
+            .max();
         self.largest_memory = largest.unwrap_or(0);
     }
 
-    /// Takes in a cache event; `true` where the endpoint should be asked for a whole list.
-    pub(crate) fn cache(&mut self, endpoint: &EndpointId, event: &CacheEvent) -> bool {
-        let Some(index) = self.find(endpoint) else {
+    /// Applies a cache event; returns whether a snapshot is needed from the endpoint.
+    pub(crate) fn apply_cache_event(&mut self, id: &EndpointId, event: &CacheEvent) -> bool {
+        let Some(index) = self.find(id) else {
             return false;
         };
         let limit = self.settings.blocks_per_endpoint;
-        let slot = self.slots[index.0 as usize].as_mut();
-        let Some(slot) = slot.filter(|slot| slot.boot == event.boot) else {
+        let endpoint = self.endpoints[index.0 as usize].as_mut();
+        let Some(endpoint) = endpoint.filter(|endpoint| endpoint.boot == event.boot) else {
             return false;
         };
-        let is_newly_doubtful = self.prefixes.apply(index, &mut slot.cache, event, limit);
-        if slot.cache.is_doubtful() {
-            self.doubtful.insert(endpoint.clone());
+        let is_newly_out_of_sync = self
+            .prefixes
+            .apply(index, &mut endpoint.cache, event, limit);
+        if endpoint.cache.is_out_of_sync() {
+            self.out_of_sync.insert(id.clone());
         } else {
-            self.doubtful.swap_remove(endpoint);
+            self.out_of_sync.swap_remove(id);
         }
-        is_newly_doubtful
+        is_newly_out_of_sync
     }
 
-    /// Doubtful endpoints, whose whole list is still wanted.
-    pub(crate) const fn doubtful(&self) -> &IndexSet<EndpointId> {
-        &self.doubtful
+    /// Returns the endpoints whose cache state is out of sync.
+    pub(crate) const fn out_of_sync(&self) -> &IndexSet<EndpointId> {
+        &self.out_of_sync
     }
 }
--- a/crates/kumquatdrum_routing/src/gang.rs
+++ b/crates/kumquatdrum_routing/src/gang.rs
@@ -1,93 +1,91 @@
-//! Reservation of several engines for a prompt that exceeds each of them: all or none.
+//! Reserves several engines for a prompt that exceeds the memory of each: all of them or none.
 //!
-//! Engines are asked one after the other in one order that all owners share, so that two sets
-//! never wait for each other in a circle. Whatever may have been reserved is released until the
-//! engine confirms it or is gone.
+//! Engines are reserved one by one in an order common to all owners, which prevents deadlocks. A
+//! reservation that may exist is released until the engine confirms the release or is gone.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 use kumquatdrum_types::{AttemptId, EndpointId, Moment};
 
-/// How often an unanswered message is sent again, and a busy engine is asked again.
-const RESEND: Duration = Duration::from_millis(500);
-/// How long an engine keeps a reservation that is not renewed.
+/// The interval for repeating unanswered messages and requests to busy engines.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
+/// How long an engine keeps a reservation without renewal.
 pub const TIME_TO_LIVE: Duration = Duration::from_secs(6);
-/// How often a reservation is renewed.
-const RENEWAL: Duration = Duration::from_secs(2);
+/// The interval for renewing reservations.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// An engine with the memory to reserve there.
+/// An engine and the memory to reserve on it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reservation {
     /// The engine.
     pub engine: EndpointId,
-    /// KV memory, in tokens.
+    /// The KV memory, in tokens.
     pub tokens: u64,
 }
 
-/// What to tell engines and the caller's side.
+/// Messages to engines and results for the dispatching side.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Reserve, or renew what is reserved; idempotent by attempt and engine.
+    /// Make or renew a reservation; idempotent by attempt and engine.
     Reserve {
         /// The attempt.
         attempt: AttemptId,
-        /// The engine with its part.
+        /// The engine and the memory to reserve.
         reservation: Reservation,
-        /// When the engine may drop it, if it is not renewed.
+        /// How long the engine keeps the reservation without renewal.
         time_to_live: Duration,
     },
-    /// Release what may be reserved; idempotent by attempt and engine.
+    /// Release a reservation that may exist; idempotent by attempt and engine.
     Release {
         /// The attempt.
         attempt: AttemptId,
         /// The engine.
         engine: EndpointId,
     },
-    /// All engines are reserved: the prompt may run.
+    /// All engines are reserved; the prompt can be dispatched.
     Ready(AttemptId),
-    /// The reservation failed or was lost; what was reserved is being released.
+    /// The reservation failed or was lost, and is being released.
     Failed(AttemptId),
 }
 
-/// An engine's answer.
+/// An engine's reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
-    /// Reserved or renewed.
+    /// The reservation was made or renewed.
     Granted,
-    /// No room now.
+    /// The engine has not enough free memory.
     Busy,
-    /// Nothing is reserved any more.
+    /// The engine holds no reservation for the attempt.
     Released,
 }
 
-/// How one engine stands to an attempt.
+/// The state of one engine's reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Hold {
-    /// Never asked.
+enum State {
+    /// Not requested yet, or released.
     Free,
-    /// Asked, not answered or busy.
-    Asked,
-    /// Reserved.
-    Held,
-    /// Possibly reserved, to be released.
+    /// Requested, and not granted so far.
+    Requested,
+    Reserved,
+    /// Possibly reserved, and being released.
     Releasing,
-    /// The engine is gone, and its memory with it.
+    /// The engine is gone, together with the reservation.
     Gone,
 }
 
 #[derive(Debug)]
 struct Member {
-    part: Reservation,
-    hold: Hold,
-    next: Moment,
+    reservation: Reservation,
+    state: State,
+    next_message: Moment,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Reserving,
     Ready,
-    Over,
+    Ended,
 }
 
 #[derive(Debug)]
@@ -97,8 +95,8 @@
     expires: Moment,
 }
 
-/// Splits a prompt over engines of the given memory, in their order and by their size. `None`
-/// where they can't hold it together.
+/// Splits a prompt over engines in proportion to their memory, in the given order. Returns `None`
+/// if they cannot hold it together.
 ///
 /// ```
 /// use kumquatdrum_routing::gang::split;
@@ -110,36 +108,38 @@
     if u128::from(tokens) > total {
         return None;
     }
-    let mut before = 0_u128;
-    let mut given = 0_u64;
+    let mut memory_before = 0_u128;
+    let mut assigned = 0_u64;
     let part = |&memory: &u64| {
-        before += u128::from(memory);
-        let until = (u128::from(tokens) * before).div_ceil(total.max(1)) as u64;
-        let part = until - given;
-        given = until;
+        memory_before += u128::from(memory);
+        let assigned_until = (u128::from(tokens) * memory_before).div_ceil(total.max(1)) as u64;
+        let part = assigned_until - assigned;
+        assigned = assigned_until;
         part
     };
     Some(memory.iter().map(part).collect())
 }
 
-/// All reservations of one owner.
+/// The reservations of one owner.
 ///
 /// ```
-/// use kumquatdrum_routing::gang::{Reply, Output, Reservation, Reservations};
+/// use kumquatdrum_routing::gang::{Output, Reply, Reservation, Reservations};
 /// use kumquatdrum_types::Moment;
 ///
 /// let now = Moment::ZERO;
-/// let mut table = Reservations::default();
-/// let part = Reservation { engine: "engine-1".into(), tokens: 600_000 };
-/// let asked = table.begin(now, "host-1:7".into(), [part], Moment::from_millis(9_000));
+/// let mut reservations = Reservations::default();
+/// let reservation = Reservation { engine: "engine-1".into(), tokens: 600_000 };
+/// let expires = Moment::from_millis(9_000);
+/// let asked = reservations.begin(now, "host-1:7".into(), [reservation], expires);
 /// assert!(matches!(asked[..], [Output::Reserve { .. }]));
-/// let ready = table.handle_reply(now, &"host-1:7".into(), &"engine-1".into(), Reply::Granted);
+/// let (attempt, engine) = ("host-1:7".into(), "engine-1".into());
+/// let ready = reservations.handle_reply(now, &attempt, &engine, Reply::Granted);
 /// assert_eq!(ready, [Output::Ready("host-1:7".into())]);
-/// let released = table.end(now, &"host-1:7".into());
+/// let released = reservations.end(now, &attempt);
 /// assert!(matches!(released[..], [Output::Release { .. }]));
-/// assert!(!table.is_empty());
-/// let _ = table.handle_reply(now, &"host-1:7".into(), &"engine-1".into(), Reply::Released);
-/// assert!(table.is_empty());
+/// assert!(!reservations.is_empty());
+/// let _ = reservations.handle_reply(now, &attempt, &engine, Reply::Released);
+/// assert!(reservations.is_empty());
 /// ```
 #[derive(Debug, Default)]
 pub struct Reservations {
@@ -147,18 +147,18 @@
 }
 
 impl Reservations {
-    /// Begins to reserve; the parts are asked in the order of the engines' names. Unless all are
-    /// reserved by `expires`, the attempt fails.
+    /// Starts to reserve engines, in the order of their names. The attempt fails unless all are
+    /// reserved by `expires`.
     #[must_use]
     pub fn begin(
         &mut self,
         now: Moment,
         attempt: AttemptId,
-        parts: impl IntoIterator<Item = Reservation>,
+        reservations: impl IntoIterator<Item = Reservation>,
         expires: Moment,
     ) -> Vec<Output> {
-        let mut members: Vec<Member> = parts.into_iter().map(Member::new).collect();
-        members.sort_by(|a, b| a.part.engine.cmp(&b.part.engine));
+        let mut members: Vec<Member> = reservations.into_iter().map(Member::new).collect();
+        members.sort_by(|a, b| a.reservation.engine.cmp(&b.reservation.engine));
         let gang = Gang {
             members,
             phase: Phase::Reserving,
@@ -168,62 +168,62 @@
         self.advance(now, &attempt)
     }
 
-    /// Takes in an engine's answer. A grant that nobody waits for is released.
+    /// Handles an engine's reply. An unexpected grant is released.
     #[must_use]
     pub fn handle_reply(
         &mut self,
         now: Moment,
         attempt: &AttemptId,
         engine: &EndpointId,
-        answer: Reply,
+        reply: Reply,
     ) -> Vec<Output> {
         let member = self
             .gangs
             .get_mut(attempt)
             .and_then(|gang| gang.member(engine));
-        match (member, answer) {
-            (Some(member), Reply::Granted) if member.hold == Hold::Asked => {
-                member.hold = Hold::Held;
-                member.next = now + RENEWAL;
+        match (member, reply) {
+            (Some(member), Reply::Granted) if member.state == State::Requested => {
+                member.state = State::Reserved;
+                member.next_message = now + RENEWAL_INTERVAL;
             }
-            (Some(member), Reply::Busy) if member.hold == Hold::Asked => {
-                member.next = now + RESEND;
+            (Some(member), Reply::Busy) if member.state == State::Requested => {
+                member.next_message = now + RESEND_INTERVAL;
             }
-            (Some(member), Reply::Released) if member.hold == Hold::Releasing => {
-                member.hold = Hold::Free;
+            (Some(member), Reply::Released) if member.state == State::Releasing => {
+                member.state = State::Free;
             }
-            // The engine has dropped what was reserved; without all parts there is nothing.
-            (Some(member), Reply::Busy | Reply::Released) if member.hold == Hold::Held => {
-                member.hold = Hold::Free;
+            // The engine dropped the reservation, and the prompt needs all of them.
+            (Some(member), Reply::Busy | Reply::Released) if member.state == State::Reserved => {
+                member.state = State::Free;
                 return self.fail(now, attempt);
             }
             (Some(member), Reply::Granted)
-                if matches!(member.hold, Hold::Free | Hold::Releasing | Hold::Gone) =>
+                if matches!(member.state, State::Free | State::Releasing | State::Gone) =>
             {
-                member.hold = Hold::Releasing;
-                member.next = now;
+                member.state = State::Releasing;
+                member.next_message = now;
             }
-            (None, Reply::Granted) => return self.release_unknown(now, attempt, engine),
+            (None, Reply::Granted) => return self.ensure_release(now, attempt, engine),
             _ => {}
         }
         self.advance(now, attempt)
     }
 
-    /// The engine is dead, and so is what it held. A new life holds nothing.
+    /// Drops the reservations of an engine that is gone. Its next incarnation starts without any.
     #[must_use]
     pub fn remove_engine(&mut self, now: Moment, engine: &EndpointId) -> Vec<Output> {
-        let mut touched = Vec::new();
+        let mut affected = Vec::new();
         for (attempt, gang) in &mut self.gangs {
             if let Some(member) = gang.member(engine) {
-                member.hold = Hold::Gone;
-                touched.push(attempt.clone());
+                member.state = State::Gone;
+                affected.push(attempt.clone());
             }
         }
         let fail = |attempt| self.fail(now, attempt);
-        touched.iter().flat_map(fail).collect()
+        affected.iter().flat_map(fail).collect()
     }
 
-    /// Ends an attempt, finished or given up: all is released.
+    /// Ends an attempt and releases its engines.
     #[must_use]
     pub fn end(&mut self, now: Moment, attempt: &AttemptId) -> Vec<Output> {
         if let Some(gang) = self.gangs.get_mut(attempt) {
@@ -232,18 +232,18 @@
         self.advance(now, attempt)
     }
 
-    /// Releases what a dead owner may have reserved at an engine.
+    /// Releases what the owner of an attempt may have reserved on an engine before it failed.
     #[must_use]
-    pub fn take_over(
+    pub fn release_orphan(
         &mut self,
         now: Moment,
         attempt: &AttemptId,
         engine: &EndpointId,
     ) -> Vec<Output> {
-        self.release_unknown(now, attempt, engine)
+        self.ensure_release(now, attempt, engine)
     }
 
-    /// Sends again what was not answered, renews, and gives up what has expired.
+    /// Repeats unanswered messages, renews reservations, and fails expired attempts.
     #[must_use]
     pub fn tick(&mut self, now: Moment) -> Vec<Output> {
         let attempts: Vec<AttemptId> = self.gangs.keys().cloned().collect();
@@ -259,18 +259,18 @@
         outputs
     }
 
-    /// When to call [`Reservations::tick`] at the latest.
+    /// Returns when to call [`Reservations::tick`] at the latest.
     pub fn next_wake(&self) -> Moment {
         let wakes = self.gangs.values().map(Gang::next_wake);
         wakes.min().unwrap_or(Moment::NEVER)
     }
 
-    /// Whether an attempt holds a reservation, or may hold one until its release is confirmed.
+    /// Returns whether an attempt has, or may have, a reservation.
     pub fn contains(&self, attempt: &AttemptId) -> bool {
         self.gangs.contains_key(attempt)
     }
 
-    /// Whether nothing is reserved and nothing is left to release.
+    /// Returns whether no reservation exists and no release is pending.
     pub fn is_empty(&self) -> bool {
         self.gangs.is_empty()
     }
@@ -278,7 +278,7 @@
     fn fail(&mut self, now: Moment, attempt: &AttemptId) -> Vec<Output> {
         let mut outputs = Vec::new();
         if let Some(gang) = self.gangs.get_mut(attempt) {
-            if gang.phase != Phase::Over {
+            if gang.phase != Phase::Ended {
                 outputs.push(Output::Failed(attempt.clone()));
             }
             gang.release(now);
@@ -287,7 +287,7 @@
         outputs
     }
 
-    fn release_unknown(
+    fn ensure_release(
         &mut self,
         now: Moment,
         attempt: &AttemptId,
@@ -295,14 +295,14 @@
     ) -> Vec<Output> {
         let gang = self.gangs.entry(attempt.clone()).or_insert(Gang {
             members: Vec::new(),
-            phase: Phase::Over,
+            phase: Phase::Ended,
             expires: now,
         });
         match gang.member(engine) {
-            // It was released before, and may have been granted since.
-            Some(member) if matches!(member.hold, Hold::Free | Hold::Gone) => {
-                member.hold = Hold::Releasing;
-                member.next = now;
+            // The engine may have granted a request after the release.
+            Some(member) if matches!(member.state, State::Free | State::Gone) => {
+                member.state = State::Releasing;
+                member.next_message = now;
             }
             Some(_) => {}
             None => gang.members.push(Member::releasing(engine)),
@@ -314,12 +314,12 @@
         let Some(gang) = self.gangs.get_mut(attempt) else {
             return Vec::new();
         };
-        let mut outputs = gang.messages(now, attempt);
-        if gang.phase == Phase::Reserving && gang.is_whole() {
+        let mut outputs = gang.due_messages(now, attempt);
+        if gang.phase == Phase::Reserving && gang.is_reserved() {
             gang.phase = Phase::Ready;
             outputs.push(Output::Ready(attempt.clone()));
         }
-        if gang.phase == Phase::Over && gang.is_released() {
+        if gang.phase == Phase::Ended && gang.is_released() {
             self.gangs.swap_remove(attempt);
         }
         outputs
@@ -327,17 +327,17 @@
 }
 
 impl Member {
-    const fn new(part: Reservation) -> Self {
+    const fn new(reservation: Reservation) -> Self {
         Self {
-            part,
-            hold: Hold::Free,
-            next: Moment::ZERO,
+            reservation,
+            state: State::Free,
+            next_message: Moment::ZERO,
         }
     }
 
     fn releasing(engine: &EndpointId) -> Self {
         Self {
-            hold: Hold::Releasing,
+            state: State::Releasing,
             ..Self::new(Reservation {
                 engine: engine.clone(),
                 tokens: 0,
@@ -349,71 +349,77 @@
 impl Gang {
     fn member(&mut self, engine: &EndpointId) -> Option<&mut Member> {
         let mut members = self.members.iter_mut();
-        members.find(|member| member.part.engine == *engine)
+        members.find(|member| member.reservation.engine == *engine)
     }
 
-    fn is_whole(&self) -> bool {
-        self.members.iter().all(|member| member.hold == Hold::Held)
+    fn is_reserved(&self) -> bool {
+        self.members
+            .iter()
+            .all(|member| member.state == State::Reserved)
     }
 
     fn is_released(&self) -> bool {
         let mut members = self.members.iter();
-        members.all(|member| matches!(member.hold, Hold::Free | Hold::Gone))
+        members.all(|member| matches!(member.state, State::Free | State::Gone))
     }
 
     fn release(&mut self, now: Moment) {
-        self.phase = Phase::Over;
+        self.phase = Phase::Ended;
         for member in &mut self.members {
-            if matches!(member.hold, Hold::Asked | Hold::Held) {
-                member.hold = Hold::Releasing;
-                member.next = now;
+            if matches!(member.state, State::Requested | State::Reserved) {
+                member.state = State::Releasing;
+                member.next_message = now;
             }
         }
     }
 
-    fn messages(&mut self, now: Moment, attempt: &AttemptId) -> Vec<Output> {
-        self.ask_next(now);
+    fn due_messages(&mut self, now: Moment, attempt: &AttemptId) -> Vec<Output> {
+        self.request_next(now);
         let mut outputs = Vec::new();
-        for member in self.members.iter_mut().filter(|member| member.next <= now) {
-            match member.hold {
-                Hold::Free | Hold::Gone => continue,
-                Hold::Asked | Hold::Held => outputs.push(Output::Reserve {
+        for member in self
+            .members
+            .iter_mut()
+            .filter(|member| member.next_message <= now)
+        {
+            match member.state {
+                State::Free | State::Gone => continue,
+                State::Requested | State::Reserved => outputs.push(Output::Reserve {
                     attempt: attempt.clone(),
-                    reservation: member.part.clone(),
+                    reservation: member.reservation.clone(),
                     time_to_live: TIME_TO_LIVE,
                 }),
-                Hold::Releasing => outputs.push(Output::Release {
+                State::Releasing => outputs.push(Output::Release {
                     attempt: attempt.clone(),
-                    engine: member.part.engine.clone(),
+                    engine: member.reservation.engine.clone(),
                 }),
             }
-            let pause = if member.hold == Hold::Held {
-                RENEWAL
+            let interval = if member.state == State::Reserved {
+                RENEWAL_INTERVAL
             } else {
-                RESEND
+                RESEND_INTERVAL
             };
-            member.next = now + pause;
+            member.next_message = now + interval;
         }
         outputs
     }
 
-    /// Asks the first engine that is not yet held, once all before it are.
-    fn ask_next(&mut self, now: Moment) {
-        let is_open = self.phase == Phase::Reserving;
+    /// Requests the next reservation, if all engines before it are reserved.
+    fn request_next(&mut self, now: Moment) {
+        let is_reserving = self.phase == Phase::Reserving;
         let mut members = self.members.iter_mut();
-        let next = members.find(|member| member.hold != Hold::Held);
-        if let Some(member) = next.filter(|member| is_open && member.hold == Hold::Free) {
-            member.hold = Hold::Asked;
-            member.next = now;
+        let next = members.find(|member| member.state != State::Reserved);
+        if let Some(member) = next.filter(|member| is_reserving && member.state == State::Free) {
+            member.state = State::Requested;
+            member.next_message = now;
         }
     }
 
     fn next_wake(&self) -> Moment {
-        let busy = self
+        let active = self
             .members
             .iter()
-            .filter(|member| !matches!(member.hold, Hold::Free | Hold::Gone));
-        let next = busy.map(|member| member.next).min();
+            .filter(|member| !matches!(member.state, State::Free | State::Gone));
+        let next = active.map(|member| member.next_message).min();
         let next = next.unwrap_or(Moment::NEVER);
         if self.phase == Phase::Reserving {
             next.min(self.expires)
--- a/crates/kumquatdrum_routing/src/job.rs
+++ b/crates/kumquatdrum_routing/src/job.rs
@@ -1,72 +1,74 @@
-//! A request in the queue, with what the router worked out about it.
+//! A queued request and its routing data.
 
 use kumquatdrum_types::Moment;
 
 use crate::{Request, RequestKind, Settings};
 
-/// What one call of a plain service counts, in tokens.
-const PLAIN_WORK: u64 = 1_000;
+/// The tokens that one request of a plain service counts as.
+const PLAIN_REQUEST_TOKENS: u64 = 1_000;
 
 /// The size class of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Size {
     /// Short prompts and calls of plain services.
     Short,
-    /// Prompts between short and long.
+    /// Prompts between the short and the long limit.
     Medium,
-    /// Long prompts that fit one engine.
+    /// Long prompts that fit on one engine.
     Long,
     /// Prompts that need several engines.
     Spanning,
 }
 
 impl Size {
-    /// All classes, in the order in which the router serves them.
+    /// All classes, in the order of dispatch.
     pub const ALL: [Self; 4] = [Self::Short, Self::Medium, Self::Long, Self::Spanning];
 
-    /// The class of a request, given the memory of the largest engine in tokens.
-    pub const fn of(settings: &Settings, ask: &Request, memory: u64) -> Self {
-        let tokens = ask.prompt_tokens;
-        match ask.kind {
+    /// Classifies a request, given the memory of the largest engine in tokens.
+    pub const fn classify(settings: &Settings, request: &Request, largest_memory: u64) -> Self {
+        let tokens = request.prompt_tokens;
+        match request.kind {
             RequestKind::Plain => Self::Short,
-            RequestKind::Model if tokens + ask.expected_output_tokens > memory => Self::Spanning,
+            RequestKind::Model if tokens + request.expected_output_tokens > largest_memory => {
+                Self::Spanning
+            }
             RequestKind::Model if tokens <= settings.short_tokens => Self::Short,
             RequestKind::Model if tokens < settings.long_tokens => Self::Medium,
             RequestKind::Model => Self::Long,
         }
     }
 
-    /// The class as an index.
+    /// Returns the class as an index.
     pub(crate) const fn index(self) -> usize {
         self as usize
     }
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// What was asked.
-    pub ask: Request,
-    /// Its size class.
+    /// The request.
+    pub request: Request,
+    /// The size class of the request.
     pub size: Size,
-    /// When it came.
-    pub since: Moment,
-    /// The latest moment at which a dispatch could still meet the deadline.
+    /// When the request arrived.
+    pub arrived: Moment,
+    /// The latest time of a dispatch that could still meet the deadline.
     pub latest_start: Moment,
 }
 
 impl Job {
-    /// KV memory that the whole request needs, in tokens.
+    /// Returns the KV memory that the request needs, in tokens.
     pub fn memory_tokens(&self) -> u64 {
-        self.ask.prompt_tokens + self.ask.expected_output_tokens
+        self.request.prompt_tokens + self.request.expected_output_tokens
     }
 
-    /// Tokens that stand for the work until the first token of the answer. All plain calls of a
-    /// service are taken as equal; how long they take is learnt like an engine's rate.
+    /// Returns the tokens to compute before the first token of the answer. All requests of a plain
+    /// service count alike; their run time is estimated like an engine's rate.
     pub fn prefill_tokens(&self) -> u64 {
-        match self.ask.kind {
-            RequestKind::Model => self.ask.prompt_tokens,
-            RequestKind::Plain => PLAIN_WORK,
+        match self.request.kind {
+            RequestKind::Model => self.request.prompt_tokens,
+            RequestKind::Plain => PLAIN_REQUEST_TOKENS,
         }
     }
 }
--- a/crates/kumquatdrum_routing/src/lib.rs
+++ b/crates/kumquatdrum_routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Core: admission, limits, queueing, placement and retries. Pure and without a clock.
+//! Routing: admission, rate limits, queueing, placement and retries, without clock or network.
 
-mod ask;
 mod drain;
+pub mod endpoint;
 pub mod fleet;
 pub mod gang;
 mod job;
@@ -12,16 +12,16 @@
 mod queue;
 mod rank;
 pub mod rate;
+mod request;
 pub mod retry;
 mod router;
 mod settings;
-pub mod slot;
 
-pub use ask::{
+pub use job::{Job, Size};
+pub use output::{Dispatch, Output, Refuse};
+pub use request::{
     BlockHash, CacheChange, CacheEvent, Failure, Health, Priority, Progress, Request, RequestKind,
     Usage,
 };
-pub use job::{Job, Size};
-pub use output::{Dispatch, Output, Refuse};
 pub use router::Router;
 pub use settings::Settings;
--- a/crates/kumquatdrum_routing/src/limits.rs
+++ b/crates/kumquatdrum_routing/src/limits.rs
@@ -1,49 +1,51 @@
-//! Limits of workspaces, shared out over the hosts so that their sum keeps to the limit.
+//! Enforces workspace limits over all hosts, so that the sum of their shares stays within the
+//! limit.
 //!
-//! Each host has a floor of every limit that no one can take from it. The rest is a pool, which
-//! one host, the workspace's steward, grants by demand as leases. A steward grants only while a
-//! majority of the declared hosts is bound to it, and a host is bound to one steward at a time,
-//! so two stewards never grant from the same pool. See `docs/design/routing.md`.
+//! Each host has a guaranteed floor of every limit. The rest is a pool that one host, the
+//! workspace's coordinator, grants on demand as leases. A coordinator grants only while a majority
+//! of the declared hosts is bound to it, and a host is bound to one coordinator at a time, so that
+//! two coordinators never grant from the same pool. See `docs/design/routing.md`.
 
 mod bucket;
-mod holder;
+mod coordinator;
+mod limiter;
 mod message;
-mod steward;
 
 use std::time::Duration;
 
 use kumquatdrum_types::{HostId, WorkspaceName, hash};
 
 pub use bucket::Bucket;
-pub use holder::{Limiter, Refused};
-pub use message::{Demand, Grant, Share, Stamp};
-pub use steward::Coordinator;
+pub use coordinator::Coordinator;
+pub use limiter::{Limiter, Refused};
+pub use message::{Demand, Grant, Share, Timestamp};
 
-/// The part of a limit that is given to all hosts as floors.
-pub const RESERVE: f64 = 0.3;
-/// How long a grant lasts, from the sending of the demand that it answers.
-pub const LEASE: Duration = Duration::from_secs(2);
-/// How long a host stays bound to a steward after it last echoed one of its stamps: a steward
-/// counts on it for a lease, and its last grant lasts one more. The rest is for clock drift.
-pub const BINDING: Duration = Duration::from_millis(4_200);
-/// How often a host should send its demands.
+/// The share of a limit that is guaranteed to the hosts as floors.
+pub const FLOOR_SHARE: f64 = 0.3;
+/// The duration of a grant, starting when its demand was sent.
+pub const LEASE_DURATION: Duration = Duration::from_secs(2);
+/// How long a host stays bound to a coordinator after it echoed one of its timestamps: a lease
+/// during which the coordinator counts on it, another for the last grant, and a margin for clock
+/// drift.
+pub const BINDING_DURATION: Duration = Duration::from_millis(4_200);
+/// The interval at which a host sends demands.
 pub const DEMAND_INTERVAL: Duration = Duration::from_millis(500);
-/// What a host may save up of its share, in time.
-pub const BURST: Duration = Duration::from_secs(1);
+/// The time over which unused rate accumulates.
+pub const BURST_DURATION: Duration = Duration::from_secs(1);
 
-/// The limits of one workspace over all hosts; `None` is without limit.
+/// The limits of one workspace over all hosts; `None` means unlimited.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Limit {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_second: Option<f64>,
-    /// Prompt and answer tokens a second.
+    /// Prompt and answer tokens per second.
     pub tokens_per_second: Option<f64>,
     /// Requests in flight.
     pub concurrency: Option<u32>,
 }
 
 impl Limit {
-    /// What each of `hosts` hosts may always use.
+    /// Returns the guaranteed share of each of `hosts` hosts.
     ///
     /// ```
     /// use kumquatdrum_routing::limits::Limit;
@@ -51,35 +53,36 @@
     /// assert_eq!(limit.floor(9).requests, 3.0);
     /// ```
     pub fn floor(&self, hosts: usize) -> Share {
-        let part = RESERVE / hosts.max(1) as f64;
+        let share = FLOOR_SHARE / hosts.max(1) as f64;
         Share {
-            requests: part * self.requests_per_second.unwrap_or(0.0),
-            tokens: part * self.tokens_per_second.unwrap_or(0.0),
-            concurrency: (part * f64::from(self.concurrency.unwrap_or(0))) as u32,
+            requests: share * self.requests_per_second.unwrap_or(0.0),
+            tokens: share * self.tokens_per_second.unwrap_or(0.0),
+            concurrency: (share * f64::from(self.concurrency.unwrap_or(0))) as u32,
         }
     }
 
-    /// What is left for the steward to grant.
+    /// Returns the share that the coordinator can grant.
     pub(crate) fn pool(&self, hosts: usize) -> Share {
         let floor = self.floor(hosts);
-        let count = hosts.max(1) as f64;
-        let whole = self.concurrency.unwrap_or(0);
+        let host_count = hosts.max(1) as f64;
+        let concurrency = self.concurrency.unwrap_or(0);
         Share {
-            requests: self.requests_per_second.unwrap_or(0.0) - count * floor.requests,
-            tokens: self.tokens_per_second.unwrap_or(0.0) - count * floor.tokens,
-            concurrency: whole.saturating_sub(floor.concurrency * hosts as u32),
+            requests: self.requests_per_second.unwrap_or(0.0) - host_count * floor.requests,
+            tokens: self.tokens_per_second.unwrap_or(0.0) - host_count * floor.tokens,
+            concurrency: concurrency.saturating_sub(floor.concurrency * hosts as u32),
         }
     }
 }
 
-/// The steward of a workspace among the live hosts: the same one on all that agree on these.
+/// Returns the coordinator of a workspace: the same one on all hosts with the same view of live
+/// hosts.
 ///
 /// ```
-/// use kumquatdrum_routing::limits::steward_of;
+/// use kumquatdrum_routing::limits::coordinator_of;
 /// let hosts = ["a".into(), "b".into()];
-/// assert!(steward_of(&"salon".into(), &hosts).is_some());
+/// assert!(coordinator_of(&"salon".into(), &hosts).is_some());
 /// ```
-pub fn steward_of<'a>(
+pub fn coordinator_of<'a>(
     workspace: &WorkspaceName,
     live: impl IntoIterator<Item = &'a HostId>,
 ) -> Option<&'a HostId> {
--- a/crates/kumquatdrum_routing/src/limits/bucket.rs
+++ b/crates/kumquatdrum_routing/src/limits/bucket.rs
@@ -1,15 +1,15 @@
-//! A token bucket that may go into debt for one large request.
+//! A token bucket that can go into debt for a single large request.
 
 use std::time::Duration;
 
 use kumquatdrum_types::Moment;
 
-use super::BURST;
+use super::BURST_DURATION;
 
-/// The least burst, so that a small share still lets single requests through.
-const LEAST_BURST: f64 = 1.0;
+/// The smallest burst, so that a small share still admits single requests.
+const MIN_BURST: f64 = 1.0;
 
-/// A token bucket. It starts empty, so that moving shares between hosts creates no burst.
+/// A token bucket. It starts empty, so that moving shares between hosts causes no burst.
 ///
 /// ```
 /// use kumquatdrum_routing::limits::Bucket;
@@ -22,39 +22,39 @@
 pub struct Bucket {
     rate: f64,
     level: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl Bucket {
-    /// An empty bucket that fills at `rate` a second.
+    /// Creates an empty bucket that fills at `rate` per second.
     pub const fn new(now: Moment, rate: f64) -> Self {
         Self {
             rate,
             level: 0.0,
-            at: now,
+            updated_at: now,
         }
     }
 
-    /// Changes the rate; what exceeds the new burst is lost, a debt stays.
+    /// Changes the rate. Tokens above the new burst are lost; a debt remains.
     pub fn set_rate(&mut self, now: Moment, rate: f64) {
         self.fill(now);
         self.rate = rate;
         self.level = self.level.min(self.burst());
     }
 
-    /// Takes an amount out, or says when it could be had. An amount above the burst needs a full
-    /// bucket and leaves a debt.
+    /// Takes an amount, or returns when it will be available. An amount above the burst needs a
+    /// full bucket and leaves a debt.
     pub fn take(&mut self, now: Moment, amount: f64) -> Result<(), Duration> {
         self.check(now, amount)?;
         self.level -= amount;
         Ok(())
     }
 
-    /// Whether an amount could be taken now, or when.
+    /// Returns whether an amount is available, or when it will be.
     pub fn check(&mut self, now: Moment, amount: f64) -> Result<(), Duration> {
         self.fill(now);
         let missing = amount.min(self.burst()) - self.level;
-        // A rounding error must not turn a full bucket into a nearly full one.
+        // Tolerates rounding errors in a full bucket.
         if missing <= 1e-6 {
             return Ok(());
         }
@@ -62,19 +62,19 @@
         Err(Duration::from_secs_f64(seconds.min(3_600.0)))
     }
 
-    /// Corrects what was taken, once the true amount is known.
-    pub fn correct(&mut self, now: Moment, more: f64) {
+    /// Takes the excess of the actual over the expected amount.
+    pub fn correct(&mut self, now: Moment, excess: f64) {
         self.fill(now);
-        self.level = (self.level - more).min(self.burst());
+        self.level = (self.level - excess).min(self.burst());
     }
 
     fn burst(&self) -> f64 {
-        (self.rate * BURST.as_secs_f64()).max(LEAST_BURST)
+        (self.rate * BURST_DURATION.as_secs_f64()).max(MIN_BURST)
     }
 
     fn fill(&mut self, now: Moment) {
-        let gained = self.rate * (now - self.at).as_secs_f64();
-        self.level = (self.level + gained).min(self.burst());
-        self.at = self.at.max(now);
+        let refill = self.rate * (now - self.updated_at).as_secs_f64();
+        self.level = (self.level + refill).min(self.burst());
+        self.updated_at = self.updated_at.max(now);
     }
 }
--- a/crates/kumquatdrum_routing/src/limits/message.rs
+++ b/crates/kumquatdrum_routing/src/limits/message.rs
@@ -1,58 +1,60 @@
-//! What hosts and stewards say to each other.
+//! Messages between hosts and coordinators.
 
 use std::time::Duration;
 
 use kumquatdrum_types::{BootId, HostId, Moment, load};
 use serde::{Deserialize, Serialize};
 
-/// A moment of a steward's clock, in one of its lives. Only the steward itself reads it.
+/// A time on a coordinator's clock, interpreted only by that incarnation of the coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
-    /// The steward's life.
+pub struct Timestamp {
+    /// The incarnation of the coordinator.
     pub boot: BootId,
-    /// Its clock.
+    /// The time on its clock.
     pub at: Moment,
 }
 
-/// What one host wants of one workspace's limits.
+/// A host's demand for a share of a workspace's limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Who wants it.
+    /// The host.
     pub host: HostId,
-    /// Grows with each demand of one life of the host.
+    /// Increases with each demand of one incarnation of the host.
     pub round: u64,
-    /// The last stamp that the steward sent; with it, the host binds itself to the steward.
-    pub echo: Option<Stamp>,
+    /// The last timestamp of the coordinator, to which the host binds itself by sending it back.
+    pub echo: Option<Timestamp>,
     /// The offered load.
     pub load: load::Demand,
-    /// Requests in flight and those lately refused for want of concurrency.
+    /// Requests in flight and those recently refused for lack of concurrency.
     pub wanted_concurrency: u32,
 }
 
-/// A part of a workspace's limits.
+/// A share of a workspace's limits.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Share {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: f64,
-    /// Tokens a second.
+    /// Tokens per second.
     pub tokens: f64,
     /// Requests in flight.
     pub concurrency: u32,
 }
 
-/// A steward's answer: a lease on a part of the pool, on top of the host's floor.
+/// A lease on a share of the pool, in addition to the host's floor.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The steward.
-    pub steward: HostId,
-    /// Whose limits.
+    /// The coordinator.
+    #[serde(rename = "steward")]
+    pub coordinator: HostId,
+    /// The workspace whose limits are shared.
     pub workspace: kumquatdrum_types::WorkspaceName,
-    /// The demand that it answers.
+    /// The round of the demand.
     pub round: u64,
-    /// To be echoed with the next demand.
-    pub stamp: Stamp,
-    /// How long it lasts, from the sending of the demand.
+    /// The timestamp to echo with the next demand.
+    #[serde(rename = "stamp")]
+    pub timestamp: Timestamp,
+    /// The duration of the lease, starting when the demand was sent.
     pub lease: Duration,
-    /// The granted part.
+    /// The granted share.
     pub share: Share,
 }
--- a/crates/kumquatdrum_routing/src/output.rs
+++ b/crates/kumquatdrum_routing/src/output.rs
@@ -1,41 +1,41 @@
-//! What the router tells the shell to do.
+//! Actions that the router requests.
 
 use std::time::Duration;
 
 use kumquatdrum_types::{EndpointId, Refusal, RequestId};
 
-/// One order of the router.
+/// An action that the router requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Send the request on.
+    /// Send the request to endpoints.
     Dispatch(Dispatch),
-    /// Answer the caller that the request was not run.
+    /// Reject the request, which was not run.
     Refuse(Refuse),
-    /// Ask the endpoint for a whole list of its cached blocks.
+    /// Ask the endpoint for a snapshot of its cached blocks.
     Resync(EndpointId),
 }
 
-/// A dispatch of one attempt.
+/// The dispatch of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dispatch {
     /// The request.
     pub request: RequestId,
-    /// Where it goes: one endpoint, or several for a prompt that exceeds each of them. Several
-    /// are first reserved with [`Gang`](crate::gang::Gang), in the given order.
+    /// One endpoint, or several for a prompt that exceeds the memory of each. Several must first be
+    /// reserved with [`Reservations`](crate::gang::Reservations), in the given order.
     pub endpoints: Vec<EndpointId>,
-    /// The attempt's counter, growing over all dispatches of this owner.
+    /// The number of the attempt, increasing over all dispatches of this owner.
     pub attempt: u64,
-    /// The priority to hand to the engine; higher goes first.
+    /// The priority for the engine; higher runs first.
     pub engine_priority: u8,
 }
 
-/// A refusal: nothing of the request was run.
+/// The rejection of a request that was not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refuse {
     /// The request.
     pub request: RequestId,
-    /// Why.
+    /// The reason.
     pub reason: Refusal,
-    /// When to come back, where that could help.
+    /// When to retry, if a retry can help.
     pub retry_after: Option<Duration>,
 }
--- a/crates/kumquatdrum_routing/src/policy/arrivals.rs
+++ b/crates/kumquatdrum_routing/src/policy/arrivals.rs
@@ -1,87 +1,91 @@
-//! What arrives: averaged rates of work, and which workspaces bring more than their share.
+//! Tracks arriving work, and workspaces that exceed their share of it.
 
 use indexmap::IndexMap;
 use kumquatdrum_types::{Moment, WorkspaceName};
 
 use crate::Job;
-use crate::queue::work;
+use crate::queue::work_tokens;
 
-/// Time over which arrivals are averaged, in seconds.
-const WINDOW: f64 = 20.0;
-/// Arrivals over less than this tell no rate, in seconds.
-const LEAST_SEEN: f64 = 2.0;
-/// How often the sum over all workspaces is taken anew, in seconds.
-const RENEWAL: f64 = 1.0;
-/// A workspace counts as active down to this part of the capacity.
-const ACTIVE: f64 = 0.001;
+/// The averaging time of arrivals, in seconds.
+const WINDOW_SECONDS: f64 = 20.0;
+/// The shortest observation that a rate is based on, in seconds.
+const MIN_OBSERVED_SECONDS: f64 = 2.0;
+/// The interval at which the weight of active workspaces is recomputed, in seconds.
+const REFRESH_SECONDS: f64 = 1.0;
+/// The share of the capacity above which a workspace counts as active.
+const MIN_ACTIVE_SHARE: f64 = 0.001;
 
-/// An average of work a second that fades with time.
+/// An exponential moving average of work per second.
 #[derive(Debug, Default)]
 pub(super) struct Rate {
     value: f64,
-    at: Moment,
-    first: Option<Moment>,
+    last_at: Moment,
+    first_at: Option<Moment>,
 }
 
 impl Rate {
     pub(super) fn add(&mut self, now: Moment, amount: f64) {
-        let first = *self.first.get_or_insert(now);
-        let past = (now - self.at.max(first)).as_secs_f64();
-        self.value = self.value * (-past / WINDOW).exp() + amount / WINDOW;
-        self.at = now;
+        let first_at = *self.first_at.get_or_insert(now);
+        let elapsed = (now - self.last_at.max(first_at)).as_secs_f64();
+        self.value = self.value * (-elapsed / WINDOW_SECONDS).exp() + amount / WINDOW_SECONDS;
+        self.last_at = now;
     }
 
-    /// The rate as of now. In the beginning, the average is over what was seen.
+    /// Returns the rate at `now`, averaged over the observed time only at the start.
     pub(super) fn per_second(&self, now: Moment) -> f64 {
-        let Some(first) = self.first else {
+        let Some(first_at) = self.first_at else {
             return 0.0;
         };
-        let faded = (-(now - self.at).as_secs_f64() / WINDOW).exp();
-        let seen = (now - first).as_secs_f64().max(LEAST_SEEN);
-        self.value * faded / (1.0 - (-seen / WINDOW).exp())
+        let decay = (-(now - self.last_at).as_secs_f64() / WINDOW_SECONDS).exp();
+        let observed = (now - first_at).as_secs_f64().max(MIN_OBSERVED_SECONDS);
+        self.value * decay / (1.0 - (-observed / WINDOW_SECONDS).exp())
     }
 }
 
 #[derive(Debug, Default)]
-struct Flow {
+struct Workspace {
     rate: Rate,
     weight: u32,
 }
 
-/// The short requests' work that each workspace brings.
+/// The work of each workspace's short requests.
 #[derive(Debug, Default)]
 pub(super) struct Shares {
-    flows: IndexMap<WorkspaceName, Flow>,
+    workspaces: IndexMap<WorkspaceName, Workspace>,
     active_weight: u64,
-    renewed: Moment,
+    refreshed_at: Moment,
 }
 
 impl Shares {
-    /// Notes a request; `capacity` is the work a second that this daemon may take as its own.
-    pub(super) fn arrived(&mut self, now: Moment, job: &Job, capacity: f64) {
-        if !self.flows.contains_key(&job.ask.workspace) {
-            self.flows
-                .insert(job.ask.workspace.clone(), Flow::default());
+    /// Records a request. `capacity` is this daemon's share of the work per second.
+    pub(super) fn record(&mut self, now: Moment, job: &Job, capacity: f64) {
+        if !self.workspaces.contains_key(&job.request.workspace) {
+            self.workspaces
+                .insert(job.request.workspace.clone(), Workspace::default());
         }
-        if let Some(flow) = self.flows.get_mut(&job.ask.workspace) {
-            flow.weight = job.ask.weight.max(1);
-            flow.rate.add(now, work(job) as f64);
+        if let Some(workspace) = self.workspaces.get_mut(&job.request.workspace) {
+            workspace.weight = job.request.weight.max(1);
+            workspace.rate.add(now, work_tokens(job) as f64);
         }
-        if (now - self.renewed).as_secs_f64() >= RENEWAL || self.active_weight == 0 {
-            self.renewed = now;
-            self.flows
-                .retain(|_, flow| flow.rate.per_second(now) > capacity * ACTIVE);
-            let weights = self.flows.values().map(|flow| u64::from(flow.weight));
+        if (now - self.refreshed_at).as_secs_f64() >= REFRESH_SECONDS || self.active_weight == 0 {
+            self.refreshed_at = now;
+            self.workspaces.retain(|_, workspace| {
+                workspace.rate.per_second(now) > capacity * MIN_ACTIVE_SHARE
+            });
+            let weights = self
+                .workspaces
+                .values()
+                .map(|workspace| u64::from(workspace.weight));
             self.active_weight = weights.sum();
         }
     }
 
-    /// Whether the request's workspace brings more short requests than its share of the capacity.
-    pub(super) fn is_over(&self, now: Moment, job: &Job, capacity: f64) -> bool {
-        let Some(flow) = self.flows.get(&job.ask.workspace) else {
+    /// Returns whether the workspace's short requests exceed its share of the capacity.
+    pub(super) fn is_above_share(&self, now: Moment, job: &Job, capacity: f64) -> bool {
+        let Some(workspace) = self.workspaces.get(&job.request.workspace) else {
             return false;
         };
-        let weight = f64::from(flow.weight) / self.active_weight.max(1) as f64;
-        flow.rate.per_second(now) > capacity * weight.min(1.0)
+        let weight = f64::from(workspace.weight) / self.active_weight.max(1) as f64;
+        workspace.rate.per_second(now) > capacity * weight.min(1.0)
     }
 }
--- a/crates/kumquatdrum_routing/src/policy/baseline.rs
+++ b/crates/kumquatdrum_routing/src/policy/baseline.rs
@@ -1,65 +1,65 @@
-//! Baselines: simple policies against which the chosen one is measured. They never wait.
+//! Simple policies that serve as a baseline for comparison. They never wait.
 
 use kumquatdrum_types::Moment;
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
-use super::{Placement, Policy, is_allowed, size_priority, span};
-use crate::fleet::{Fleet, SlotIndex};
+use super::{Placement, Policy, choose_spanning, is_allowed, size_priority};
+use crate::fleet::{EndpointIndex, Fleet};
 use crate::{Job, Size};
 
-/// Which baseline.
+/// The strategy of a baseline policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Choice {
-    /// Any endpoint, with equal chances.
+pub enum Strategy {
+    /// Any endpoint with equal probability.
     Random,
-    /// One after the other.
+    /// Each endpoint in turn.
     RoundRobin,
-    /// The one with the fewest requests, as reported and dispatched since.
+    /// The endpoint with the fewest requests, as reported and dispatched since.
     LeastOutstanding,
-    /// The one with the longest cached prefix, else any.
+    /// The endpoint with the longest cached prefix, otherwise any.
     PrefixOnly,
 }
 
 /// A baseline policy.
 #[derive(Debug)]
 pub struct Baseline {
-    choice: Choice,
+    strategy: Strategy,
     random: Pcg32,
     next: usize,
     has_priorities: bool,
 }
 
 impl Baseline {
-    /// A baseline with its own random numbers.
-    pub fn new(choice: Choice, seed: u64) -> Self {
+    /// Creates a baseline with its own random numbers.
+    pub fn new(strategy: Strategy, seed: u64) -> Self {
         let mut random = Pcg32::new(seed, 1);
         let next = random.next_u32() as usize;
         Self {
-            choice,
+            strategy,
             random,
             next,
             has_priorities: false,
         }
     }
 
-    /// Hands engines the same priorities as the chosen policy does.
+    /// Uses the engine priorities of the default policy.
     #[must_use]
     pub const fn with_priorities(mut self) -> Self {
         self.has_priorities = true;
         self
     }
 
-    fn key(&mut self, place: usize, count: usize, job: &Job, fleet: &Fleet) -> (u64, u32) {
-        let slot = fleet.slot(fleet.candidates()[place]);
-        let chance = self.random.next_u32();
-        match self.choice {
-            Choice::Random => (0, chance),
-            Choice::RoundRobin => (((place + count - self.next % count) % count) as u64, 0),
-            Choice::LeastOutstanding => (u64::from(slot.requests()), chance),
-            Choice::PrefixOnly => {
-                let cached = slot.cached_blocks(&job.ask.prefix) as u64;
-                (u64::MAX - cached, chance)
+    fn sort_key(&mut self, index: usize, count: usize, job: &Job, fleet: &Fleet) -> (u64, u32) {
+        let endpoint = fleet.endpoint(fleet.candidates()[index]);
+        let random = self.random.next_u32();
+        match self.strategy {
+            Strategy::Random => (0, random),
+            Strategy::RoundRobin => (((index + count - self.next % count) % count) as u64, 0),
+            Strategy::LeastOutstanding => (u64::from(endpoint.requests()), random),
+            Strategy::PrefixOnly => {
+                let cached = endpoint.cached_blocks(&job.request.prefix) as u64;
+                (u64::MAX - cached, random)
             }
         }
     }
@@ -68,15 +68,15 @@
 impl Policy for Baseline {
     fn place(&mut self, _now: Moment, job: &Job, fleet: &Fleet) -> Placement {
         let count = fleet.candidates().len();
-        let places: Vec<usize> = (0..count)
-            .filter(|&place| is_allowed(job, fleet, fleet.candidates()[place]))
+        let indices: Vec<usize> = (0..count)
+            .filter(|&index| is_allowed(job, fleet, fleet.candidates()[index]))
             .collect();
-        let mut ranked: Vec<((u64, u32), SlotIndex)> = places
+        let mut ranked: Vec<((u64, u32), EndpointIndex)> = indices
             .into_iter()
-            .map(|place| {
+            .map(|index| {
                 (
-                    self.key(place, count, job, fleet),
-                    fleet.candidates()[place],
+                    self.sort_key(index, count, job, fleet),
+                    fleet.candidates()[index],
                 )
             })
             .collect();
@@ -84,12 +84,12 @@
         ranked.sort_unstable();
         let ranked = ranked.into_iter().map(|(_, index)| index);
         if job.size == Size::Spanning {
-            return span(job, fleet, ranked);
+            return choose_spanning(job, fleet, ranked);
         }
         ranked
             .into_iter()
-            .find(|&index| fleet.slot(index).memory() >= job.memory_tokens())
-            .map_or(Placement::Nowhere, Placement::One)
+            .find(|&index| fleet.endpoint(index).memory_tokens() >= job.memory_tokens())
+            .map_or(Placement::Impossible, Placement::One)
     }
 
     fn engine_priority(&self, now: Moment, job: &Job, fleet: &Fleet) -> u8 {
--- a/crates/kumquatdrum_routing/src/prefix.rs
+++ b/crates/kumquatdrum_routing/src/prefix.rs
@@ -1,50 +1,50 @@
-//! The index of cached prompt prefixes, fed by late events with gaps.
+//! Indexes cached prompt prefixes from cache events, which may be late or lost.
 
 use indexmap::{IndexMap, IndexSet};
 
-use crate::fleet::SlotIndex;
+use crate::fleet::EndpointIndex;
 use crate::{BlockHash, CacheChange, CacheEvent};
 
-/// Holders that are remembered of one block; a sample is enough for a choice.
-const HOLDERS: usize = 8;
-/// What a block counts whose endpoint's events had a gap.
-const DOUBTFUL_SHARE: f64 = 0.5;
+/// The most holders kept for one block; a sample is enough for placement.
+const MAX_HOLDERS: usize = 8;
+/// The weight of cached blocks of an endpoint that is out of sync.
+const OUT_OF_SYNC_SHARE: f64 = 0.5;
 
-/// What one endpoint is thought to hold.
+/// The known cache content of one endpoint.
 #[derive(Debug, Default)]
 pub struct Cache {
     blocks: IndexSet<BlockHash>,
     next_sequence: Option<u64>,
-    doubtful: bool,
+    out_of_sync: bool,
 }
 
 impl Cache {
-    /// Whether events were lost since the last whole list.
-    pub const fn is_doubtful(&self) -> bool {
-        self.doubtful
+    /// Returns whether events were lost since the last snapshot.
+    pub const fn is_out_of_sync(&self) -> bool {
+        self.out_of_sync
     }
 
-    /// How many of a prompt's first blocks the endpoint holds, doubt taken off.
+    /// Returns the number of leading blocks of a prompt that are cached, reduced if out of sync.
     pub fn cached_blocks(&self, prefix: &[BlockHash]) -> f64 {
-        // Hashes are chained, so whoever holds a block held all before it.
-        let held = prefix.partition_point(|block| self.blocks.contains(block));
-        if self.doubtful {
-            held as f64 * DOUBTFUL_SHARE
+        // Hashes are chained, so a cached block implies that all blocks before it were cached.
+        let cached = prefix.partition_point(|block| self.blocks.contains(block));
+        if self.out_of_sync {
+            cached as f64 * OUT_OF_SYNC_SHARE
         } else {
-            held as f64
+            cached as f64
         }
     }
 }
 
-/// Which endpoints hold a block.
+/// The known holders of each block.
 #[derive(Debug, Default)]
 pub struct Index {
-    holders: IndexMap<BlockHash, Vec<SlotIndex>>,
+    holders: IndexMap<BlockHash, Vec<EndpointIndex>>,
 }
 
 impl Index {
-    /// Endpoints that hold the longest known part of a prefix; at most a few.
-    pub fn holders(&self, prefix: &[BlockHash]) -> &[SlotIndex] {
+    /// Returns some of the endpoints that hold the longest known part of a prefix.
+    pub fn holders(&self, prefix: &[BlockHash]) -> &[EndpointIndex] {
         let known = prefix.partition_point(|block| self.holders.contains_key(block));
         known
             .checked_sub(1)
@@ -52,10 +52,10 @@
             .map_or(&[], Vec::as_slice)
     }
 
-    /// Takes in an event; `true` where a gap makes the endpoint's cache newly doubtful.
+    /// Applies an event; returns whether the cache has become out of sync.
     pub(crate) fn apply(
         &mut self,
-        slot: SlotIndex,
+        endpoint: EndpointIndex,
         cache: &mut Cache,
         event: &CacheEvent,
         limit: usize,
@@ -65,60 +65,66 @@
         if event.sequence < expected && !is_snapshot {
             return false;
         }
-        let was_doubtful = cache.doubtful;
-        cache.doubtful = !is_snapshot && (was_doubtful || event.sequence > expected);
+        let was_out_of_sync = cache.out_of_sync;
+        cache.out_of_sync = !is_snapshot && (was_out_of_sync || event.sequence > expected);
         cache.next_sequence = Some(expected.max(event.sequence + 1));
         match &event.change {
-            CacheChange::Stored(blocks) => self.store(slot, cache, blocks, limit),
-            CacheChange::Evicted(blocks) => self.evict(slot, cache, blocks),
+            CacheChange::Stored(blocks) => self.store(endpoint, cache, blocks, limit),
+            CacheChange::Evicted(blocks) => self.evict(endpoint, cache, blocks),
             CacheChange::Snapshot(blocks) => {
-                self.clear(slot, cache);
-                self.store(slot, cache, blocks, limit);
-                // Events between the snapshot and what came since are not in it.
-                cache.doubtful = event.sequence + 1 < expected;
+                self.clear(endpoint, cache);
+                self.store(endpoint, cache, blocks, limit);
+                // The snapshot does not include later events that were already applied.
+                cache.out_of_sync = event.sequence + 1 < expected;
             }
         }
-        cache.doubtful && !was_doubtful
+        cache.out_of_sync && !was_out_of_sync
     }
 
-    /// Forgets all that an endpoint held.
-    pub(crate) fn clear(&mut self, slot: SlotIndex, cache: &mut Cache) {
+    /// Removes all blocks of an endpoint.
+    pub(crate) fn clear(&mut self, endpoint: EndpointIndex, cache: &mut Cache) {
         let blocks = std::mem::take(&mut cache.blocks);
         for block in blocks {
-            self.forget(slot, block);
+            self.remove_holder(endpoint, block);
         }
     }
 
-    fn store(&mut self, slot: SlotIndex, cache: &mut Cache, blocks: &[BlockHash], limit: usize) {
+    fn store(
+        &mut self,
+        endpoint: EndpointIndex,
+        cache: &mut Cache,
+        blocks: &[BlockHash],
+        limit: usize,
+    ) {
         for &block in blocks {
             if !cache.blocks.insert(block) {
                 continue;
             }
             let holders = self.holders.entry(block).or_default();
-            if holders.len() < HOLDERS {
-                holders.push(slot);
+            if holders.len() < MAX_HOLDERS {
+                holders.push(endpoint);
             }
             if cache.blocks.len() > limit {
                 let Some(oldest) = cache.blocks.swap_remove_index(0) else {
                     continue;
                 };
-                self.forget(slot, oldest);
+                self.remove_holder(endpoint, oldest);
             }
         }
     }
 
-    fn evict(&mut self, slot: SlotIndex, cache: &mut Cache, blocks: &[BlockHash]) {
+    fn evict(&mut self, endpoint: EndpointIndex, cache: &mut Cache, blocks: &[BlockHash]) {
         for &block in blocks {
             cache.blocks.swap_remove(&block);
-            self.forget(slot, block);
+            self.remove_holder(endpoint, block);
         }
     }
 
-    fn forget(&mut self, slot: SlotIndex, block: BlockHash) {
+    fn remove_holder(&mut self, endpoint: EndpointIndex, block: BlockHash) {
         let Some(holders) = self.holders.get_mut(&block) else {
             return;
         };
-        holders.retain(|&holder| holder != slot);
+        holders.retain(|&holder| holder != endpoint);
         if holders.is_empty() {
             self.holders.swap_remove(&block);
         }
--- a/crates/kumquatdrum_routing/src/queue.rs
+++ b/crates/kumquatdrum_routing/src/queue.rs
@@ -1,5 +1,5 @@
-//! The queue of one size class: priority levels with aging, fair shares of workspaces inside a
-//! level, earliest deadline first inside a workspace.
+//! The queue of one size class: priority levels with aging, weighted fair queueing of workspaces
+//! within a level, earliest deadline first within a workspace.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,31 +9,32 @@
 
 use crate::Job;
 
-/// Work that every request stands for, whatever its length, in tokens.
+/// The work that every request counts for in addition to its tokens.
 const BASE_WORK: u64 = 256;
 
-/// Work of a request, in tokens.
-pub(crate) fn work(job: &Job) -> u64 {
-    BASE_WORK + job.prefill_tokens() + job.ask.expected_output_tokens
+/// Returns the work of a request, in tokens.
+pub(crate) fn work_tokens(job: &Job) -> u64 {
+    BASE_WORK + job.prefill_tokens() + job.request.expected_output_tokens
 }
 
-/// The place of a request inside its workspace.
-type Place = (Moment, u64);
+/// The position of a request within its workspace.
+type Position = (Moment, u64);
 
 #[derive(Debug)]
 struct Entry {
     request: RequestId,
-    since: Moment,
-    work: u64,
+    arrived: Moment,
+    work_tokens: u64,
     weight: u64,
 }
 
-/// One workspace's requests of a level. The tag is the virtual time at which its next one is due.
+/// The requests of one workspace at one level. The start tag is the virtual time at which the next
+/// one is due.
 #[derive(Debug, Default)]
 struct Flow {
-    tag: u64,
-    entries: BTreeMap<Place, Entry>,
-    work: u64,
+    start_tag: u64,
+    entries: BTreeMap<Position, Entry>,
+    work_tokens: u64,
     weight: u64,
 }
 
@@ -41,18 +42,18 @@
 struct Level {
     virtual_time: u64,
     flows: IndexMap<WorkspaceName, Flow>,
-    due: BTreeSet<(u64, WorkspaceName)>,
+    by_start_tag: BTreeSet<(u64, WorkspaceName)>,
     arrivals: BTreeSet<(Moment, u64)>,
     aging: Duration,
-    work: u64,
+    work_tokens: u64,
     weight: u64,
 }
 
-/// Where a queued request stands, needed to take it out.
+/// The position of a queued request, needed to remove it.
 #[derive(Debug, Clone)]
 pub(crate) struct Ticket {
     level: u8,
-    place: Place,
+    position: Position,
 }
 
 /// The queue of one size class.
@@ -68,108 +69,118 @@
         self.len
     }
 
-    /// Work that stands before a new request of a workspace, in tokens.
-    pub(crate) fn ahead(&self, level: u8, workspace: &WorkspaceName, weight: u32) -> u64 {
+    /// Returns the work queued before a new request of a workspace, in tokens.
+    pub(crate) fn work_ahead(&self, level: u8, workspace: &WorkspaceName, weight: u32) -> u64 {
         let above = self.levels.range(level.saturating_add(1)..);
-        let above: u64 = above.map(|(_, level)| level.work).sum();
-        let Some(own) = self.levels.get(&level) else {
+        let above: u64 = above.map(|(_, level)| level.work_tokens).sum();
+        let Some(same_level) = self.levels.get(&level) else {
             return above;
         };
         let weight = u64::from(weight.max(1));
-        let flow = own.flows.get(workspace);
-        let (flow_work, flow_weight) = flow.map_or((0, 0), |flow| (flow.work, flow.weight));
-        let rivals = own.weight - flow_weight;
-        // While this workspace's work is done, each rival gets as much for its weight.
-        let rival_work = (flow_work + BASE_WORK) * rivals / weight;
-        above + flow_work + rival_work.min(own.work - flow_work)
+        let flow = same_level.flows.get(workspace);
+        let (flow_work, flow_weight) = flow.map_or((0, 0), |flow| (flow.work_tokens, flow.weight));
+        let competitors = same_level.weight - flow_weight;
+        // While this workspace's work is served, competitors are served in proportion to their
+        // weight.
+        let competing_work = (flow_work + BASE_WORK) * competitors / weight;
+        above + flow_work + competing_work.min(same_level.work_tokens - flow_work)
     }
 
     pub(crate) fn push(&mut self, job: &Job) -> Ticket {
         self.counter += 1;
         self.len += 1;
-        let ask = &job.ask;
-        let place = (ask.deadline, self.counter);
+        let request = &job.request;
+        let position = (request.deadline, self.counter);
         let entry = Entry {
-            request: ask.id.clone(),
-            since: job.since,
-            work: work(job),
-            weight: u64::from(ask.weight.max(1)),
+            request: request.id.clone(),
+            arrived: job.arrived,
+            work_tokens: work_tokens(job),
+            weight: u64::from(request.weight.max(1)),
         };
-        let level = self.levels.entry(ask.priority.level).or_default();
-        level.aging = ask.priority.aging;
-        level.push(&ask.workspace, place, entry);
+        let level = self.levels.entry(request.priority.level).or_default();
+        level.aging = request.priority.aging;
+        level.push(&request.workspace, position, entry);
         Ticket {
-            level: ask.priority.level,
-            place,
+            level: request.priority.level,
+            position,
         }
     }
 
-    /// The request that goes next.
+    /// Returns the next request to dispatch.
     pub(crate) fn head(&self) -> Option<&RequestId> {
-        let busy = self.levels.iter().filter(|(_, level)| level.work > 0);
-        // A level counts as many agings earlier as it stands high; the earliest goes first.
+        let busy = self
+            .levels
+            .iter()
+            .filter(|(_, level)| level.work_tokens > 0);
+        // Each level counts as one aging interval of waiting time; the earliest request is first.
         let first = busy.min_by_key(|(number, level)| {
-            let since = level.arrivals.first().map_or(0, |(since, _)| since.micros);
-            let lead = level.aging.as_micros() as i128 * i128::from(**number);
-            i128::from(since) - lead
+            let arrived = level
+                .arrivals
+                .first()
+                .map_or(0, |(arrived, _)| arrived.micros);
+            let advance = level.aging.as_micros() as i128 * i128::from(**number);
+            i128::from(arrived) - advance
         });
         first.and_then(|(_, level)| level.head())
     }
 
-    /// Takes a request out; `served` charges its work to its workspace.
-    pub(crate) fn take(&mut self, workspace: &WorkspaceName, ticket: &Ticket, served: bool) {
+    /// Removes a request; if it was served, its work is charged to its workspace.
+    pub(crate) fn remove(&mut self, workspace: &WorkspaceName, ticket: &Ticket, is_served: bool) {
         if let Some(level) = self.levels.get_mut(&ticket.level) {
             self.len -= 1;
-            level.take(workspace, ticket.place, served);
+            level.remove(workspace, ticket.position, is_served);
         }
     }
 }
 
 impl Level {
-    fn push(&mut self, workspace: &WorkspaceName, place: Place, entry: Entry) {
+    fn push(&mut self, workspace: &WorkspaceName, position: Position, entry: Entry) {
         let flow = self.flows.entry(workspace.clone()).or_default();
         if flow.entries.is_empty() {
-            flow.tag = flow.tag.max(self.virtual_time);
-            self.due.insert((flow.tag, workspace.clone()));
+            flow.start_tag = flow.start_tag.max(self.virtual_time);
+            self.by_start_tag
+                .insert((flow.start_tag, workspace.clone()));
         }
         self.weight = self.weight - flow.weight + entry.weight;
         flow.weight = entry.weight;
-        flow.work += entry.work;
-        self.work += entry.work;
-        self.arrivals.insert((entry.since, place.1));
-        flow.entries.insert(place, entry);
+        flow.work_tokens += entry.work_tokens;
+        self.work_tokens += entry.work_tokens;
+        self.arrivals.insert((entry.arrived, position.1));
+        flow.entries.insert(position, entry);
     }
 
     fn head(&self) -> Option<&RequestId> {
-        let (_, workspace) = self.due.first()?;
+        let (_, workspace) = self.by_start_tag.first()?;
         let (_, entry) = self.flows.get(workspace)?.entries.first_key_value()?;
         Some(&entry.request)
     }
 
-    fn take(&mut self, workspace: &WorkspaceName, place: Place, served: bool) {
+    fn remove(&mut self, workspace: &WorkspaceName, position: Position, is_served: bool) {
         let Some(flow) = self.flows.get_mut(workspace) else {
             return;
         };
-        let Some(entry) = flow.entries.remove(&place) else {
+        let Some(entry) = flow.entries.remove(&position) else {
             return;
         };
-        self.due.remove(&(flow.tag, workspace.clone()));
-        flow.work -= entry.work;
-        self.work -= entry.work;
-        self.arrivals.remove(&(entry.since, place.1));
-        if served {
-            self.virtual_time = self.virtual_time.max(flow.tag);
-            flow.tag += entry.work / entry.weight;
+        self.by_start_tag
+            .remove(&(flow.start_tag, workspace.clone()));
+        flow.work_tokens -= entry.work_tokens;
+        self.work_tokens -= entry.work_tokens;
+        self.arrivals.remove(&(entry.arrived, position.1));
+        if is_served {
+            self.virtual_time = self.virtual_time.max(flow.start_tag);
+            flow.start_tag += entry.work_tokens / entry.weight;
         }
         if flow.entries.is_empty() {
             self.weight -= flow.weight;
             flow.weight = 0;
         } else {
-            self.due.insert((flow.tag, workspace.clone()));
+            self.by_start_tag
+                .insert((flow.start_tag, workspace.clone()));
         }
         let virtual_time = self.virtual_time;
-        if self.work == 0 {
-            self.flows.retain(|_, flow| flow.tag > virtual_time);
+        if self.work_tokens == 0 {
+            self.flows.retain(|_, flow| flow.start_tag > virtual_time);
         }
     }
 }
--- a/crates/kumquatdrum_routing/src/rank.rs
+++ b/crates/kumquatdrum_routing/src/rank.rs
@@ -1,13 +1,13 @@
-//! The order of owners before an endpoint.
+//! Ranks the owners at each endpoint, so that daemons prefer different endpoints.
 
 use kumquatdrum_types::{EndpointId, hash};
 
 use crate::Settings;
 
-/// How many other owners come before this one at an endpoint.
-pub(crate) fn of(settings: &Settings, endpoint: &EndpointId) -> u32 {
-    let mine = hash::pair(&settings.owner, endpoint.as_str());
+/// Returns the number of owners with precedence over this one at an endpoint.
+pub(crate) fn compute(settings: &Settings, endpoint: &EndpointId) -> u32 {
+    let own_hash = hash::pair(&settings.owner, endpoint.as_str());
     let others = settings.owners.iter();
-    let before = others.filter(|owner| hash::pair(owner, endpoint.as_str()) > mine);
-    before.count() as u32
+    let preceding = others.filter(|owner| hash::pair(owner, endpoint.as_str()) > own_hash);
+    preceding.count() as u32
 }
--- a/crates/kumquatdrum_routing/src/retry.rs
+++ b/crates/kumquatdrum_routing/src/retry.rs
@@ -1,15 +1,15 @@
-//! The retry budget: attempts stay a bounded multiple of requests, so that a fault makes no storm.
+//! The retry budget: keeps attempts within a bounded multiple of requests, which prevents retry
+//! storms.
 
-/// Retries earned by one request, in hundredths.
-const EARNED: u64 = 15;
-/// What one retry costs, in hundredths.
-const COST: u64 = 100;
-/// The most that is saved up, in hundredths: a burst of twenty retries.
-const MOST: u64 = 20 * COST;
+/// The budget earned by one request, in hundredths of a retry.
+const EARNED_PER_REQUEST: u64 = 15;
+/// The cost of one retry, in hundredths.
+const RETRY_COST: u64 = 100;
+/// The largest budget, in hundredths: a burst of twenty retries.
+const MAX_SAVED: u64 = 20 * RETRY_COST;
 
-/// The retry budget of one service. One retry is saved up from the start, so that a lone
-/// request survives its endpoint. Attempts stay below 1.2 times the requests from the 21st request
-/// on.
+/// The retry budget of one service. It starts with one retry, so that a single request survives the
+/// failure of its endpoint. Attempts stay below 1.2 times the requests from the 21st request on.
 ///
 /// ```
 /// use kumquatdrum_routing::retry::Budget;
@@ -27,20 +27,20 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Self { saved: COST }
+        Self { saved: RETRY_COST }
     }
 }
 
 impl Budget {
-    /// Notes a request, at its first attempt.
+    /// Records the first attempt of a request.
     pub fn record_request(&mut self) {
-        self.saved = (self.saved + EARNED).min(MOST);
+        self.saved = (self.saved + EARNED_PER_REQUEST).min(MAX_SAVED);
     }
 
-    /// Takes one retry out; `false` where none is left.
+    /// Takes one retry; returns `false` if none is left.
     #[must_use]
     pub fn try_take(&mut self) -> bool {
-        let rest = self.saved.checked_sub(COST);
+        let rest = self.saved.checked_sub(RETRY_COST);
         self.saved = rest.unwrap_or(self.saved);
         rest.is_some()
     }
--- a/crates/kumquatdrum_routing/src/router.rs
+++ b/crates/kumquatdrum_routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router of one service: the queue, the dispatches and what is known of the endpoints.
+//! Routes the requests of one service: queue, dispatches and endpoint state.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,30 +6,30 @@
 use indexmap::IndexMap;
 use kumquatdrum_types::{Announcement, BootId, EndpointId, Moment, Refusal, RequestId, hash};
 
-use crate::drain::Drain;
-use crate::fleet::{Fleet, SlotIndex};
-use crate::policy::{Estimated, FIRST_PRIORITY, Placement, Policy};
-use crate::queue::{Queue, Ticket, work};
-use crate::slot::Load;
+use crate::drain;
+use crate::endpoint;
+use crate::fleet::{EndpointIndex, Fleet};
+use crate::policy::{FIRST_PRIORITY, Latency, Placement, Policy};
+use crate::queue::{Queue, Ticket, work_tokens};
 use crate::{
     CacheEvent, Dispatch, Failure, Health, Job, Output, Progress, Refuse, Request, Settings, Size,
 };
 
-/// How often a request that found no place is tried again, where nothing else happens.
-const RETRY: Duration = Duration::from_millis(50);
-/// How often an endpoint with a doubtful cache is asked for a whole list.
-const RESYNC: Duration = Duration::from_secs(5);
-/// When to come back where no endpoint is known.
-const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(1);
-/// The shortest wait that a refused caller is told.
-const SHORTEST_RETRY: Duration = Duration::from_millis(100);
-/// Steps between two priority levels in the priority that engines get.
+/// The interval at which waiting requests are placed again without other events.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// The interval at which out-of-sync endpoints are asked for a cache snapshot.
+const RESYNC_INTERVAL: Duration = Duration::from_secs(5);
+/// The advised retry time while no endpoint is known.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The shortest advised retry time.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// The distance of two priority levels in the engine's priorities.
 const LEVEL_STEP: u8 = 4;
-/// The highest level that engines tell apart.
-const HIGHEST_LEVEL: u8 = 60;
+/// The highest level that engine priorities distinguish.
+const MAX_LEVEL: u8 = 60;
 
 #[derive(Debug)]
-struct Waiting {
+struct Entry {
     job: Job,
     ticket: Ticket,
 }
@@ -40,14 +40,16 @@
     first_token: Option<Moment>,
     tokens: u64,
     size: Size,
-    /// Where it went and in which life, with the work that stood before it, in tokens.
-    places: Vec<(EndpointId, BootId, f64)>,
+    /// Endpoints, each with its incarnation and the backlog before the attempt, in tokens.
+    endpoints: Vec<(EndpointId, BootId, f64)>,
 }
 
 /// The router of one service.
 ///
 /// ```
-/// use kumquatdrum_routing::{Request, Output, Priority, Progress, Router, Settings, Usage, RequestKind};
+/// use kumquatdrum_routing::{
+///     Output, Priority, Progress, Request, RequestKind, Router, Settings, Usage,
+/// };
 /// use kumquatdrum_types::endpoint::Kind;
 /// use kumquatdrum_types::{Announcement, BootId, Moment};
 ///
@@ -64,7 +66,7 @@
 /// };
 /// assert!(router.announce(Moment::ZERO, &announcement).is_empty());
 ///
-/// let ask = Request {
+/// let request = Request {
 ///     id: "r-1".into(),
 ///     workspace: "salon".into(),
 ///     weight: 1,
@@ -76,7 +78,7 @@
 ///     excluded: Vec::new(),
 ///     kind: RequestKind::Plain,
 /// };
-/// let outputs = router.submit(Moment::ZERO, ask);
+/// let outputs = router.submit(Moment::ZERO, request);
 /// let [Output::Dispatch(dispatch)] = outputs.as_slice() else {
 ///     panic!("dispatched at once");
 /// };
@@ -91,8 +93,8 @@
     fleet: Fleet,
     policy: Box<dyn Policy>,
     queues: [Queue; 4],
-    drains: [Drain; 4],
-    waiting: IndexMap<RequestId, Waiting>,
+    drain_rates: [drain::Rate; 4],
+    waiting: IndexMap<RequestId, Entry>,
     latest_starts: BTreeSet<(Moment, RequestId)>,
     attempts: IndexMap<u64, Attempt>,
     last_attempt: u64,
@@ -101,19 +103,19 @@
 }
 
 impl Router {
-    /// A router with the chosen policy. The seed should differ from daemon to daemon.
+    /// Creates a router with the default policy. The seed should differ between daemons.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let seed = seed ^ hash::of(&settings.owner);
-        Self::with_policy(settings, Box::new(Estimated::new(seed)))
+        Self::with_policy(settings, Box::new(Latency::new(seed)))
     }
 
-    /// A router with another policy.
+    /// Creates a router with the given policy.
     pub fn with_policy(settings: Settings, policy: Box<dyn Policy>) -> Self {
         Self {
             fleet: Fleet::new(settings),
             policy,
             queues: Default::default(),
-            drains: Default::default(),
+            drain_rates: Default::default(),
             waiting: IndexMap::new(),
             latest_starts: BTreeSet::new(),
             attempts: IndexMap::new(),
@@ -123,66 +125,63 @@
         }
     }
 
-    /// Sets the owners of all daemons that share the endpoints, this one included.
+    /// Sets the owners that share the endpoints, including this one.
     pub fn set_owners(&mut self, owners: impl IntoIterator<Item = impl Into<String>>) {
         let owners = owners.into_iter().map(Into::into).collect();
         self.fleet.set_owners(owners);
     }
 
-    /// Takes in an announcement or its renewal, with the load report in it.
+    /// Applies an announcement, including its load report.
     #[must_use]
     pub fn announce(&mut self, now: Moment, announcement: &Announcement) -> Vec<Output> {
         self.fleet.announce(now, announcement);
         self.step(now)
     }
 
-    /// Takes in what membership holds of an endpoint.
+    /// Sets the health of an endpoint according to membership.
     #[must_use]
-    pub fn set_health(
-        &mut self,
-        now: Moment,
-        endpoint: &EndpointId,
-        health: Health,
-    ) -> Vec<Output> {
-        self.fleet.health(endpoint, health);
+    pub fn set_health(&mut self, now: Moment, id: &EndpointId, health: Health) -> Vec<Output> {
+        self.fleet.set_health(id, health);
         self.step(now)
     }
 
-    /// Takes in a cache event; asks for a whole list where events were lost.
+    /// Applies a cache event; requests a snapshot if events were lost.
     #[must_use]
     pub fn apply_cache_event(
         &mut self,
         now: Moment,
-        endpoint: &EndpointId,
+        id: &EndpointId,
         event: &CacheEvent,
     ) -> Vec<Output> {
         let mut outputs = Vec::new();
-        if self.fleet.cache(endpoint, event) {
-            self.next_resync = self.next_resync.max(now + RESYNC);
-            outputs.push(Output::Resync(endpoint.clone()));
+        if self.fleet.apply_cache_event(id, event) {
+            self.next_resync = self.next_resync.max(now + RESYNC_INTERVAL);
+            outputs.push(Output::Resync(id.clone()));
         }
         outputs
     }
 
-    /// Takes in a request. It ends in exactly one dispatch or refusal, or in its withdrawal.
+    /// Submits a request. It ends in exactly one dispatch or refusal, unless it is withdrawn.
     #[must_use]
-    pub fn submit(&mut self, now: Moment, ask: Request) -> Vec<Output> {
-        let memory = self.fleet.largest_memory();
-        let size = Size::of(&self.fleet.settings, &ask, memory);
+    pub fn submit(&mut self, now: Moment, request: Request) -> Vec<Output> {
+        let largest_memory = self.fleet.largest_memory();
+        let size = Size::classify(&self.fleet.settings, &request, largest_memory);
         let rates = &self.fleet.rates;
-        let service = rates.service_time(size, ask.prompt_tokens, ask.expected_output_tokens);
-        // Estimates err; only what would need twice the usual speed is beyond hope.
-        let need = u64::try_from(service.as_micros()).unwrap_or(u64::MAX) / 2;
+        let service_time =
+            rates.service_time(size, request.prompt_tokens, request.expected_output_tokens);
+        // Service times are estimates; refuse only requests that would need twice the estimated
+        // speed.
+        let min_service_time = u64::try_from(service_time.as_micros()).unwrap_or(u64::MAX) / 2;
         let latest_start = Moment {
-            micros: ask.deadline.micros.saturating_sub(need),
+            micros: request.deadline.micros.saturating_sub(min_service_time),
         };
         let job = Job {
-            ask,
+            request,
             size,
-            since: now,
+            arrived: now,
             latest_start,
         };
-        self.policy.arrived(now, &job, &self.fleet);
+        self.policy.record_arrival(now, &job, &self.fleet);
         if let Err(refuse) = self.admit(now, &job) {
             return vec![Output::Refuse(refuse)];
         }
@@ -192,34 +191,34 @@
 
     fn admit(&self, now: Moment, job: &Job) -> Result<(), Refuse> {
         let refuse = |reason: Refusal, retry_after: Option<Duration>| Refuse {
-            request: job.ask.id.clone(),
+            request: job.request.id.clone(),
             reason,
             retry_after,
         };
         let queue = &self.queues[job.size.index()];
-        let ask = &job.ask;
-        let ahead = queue.ahead(ask.priority.level, &ask.workspace, ask.weight);
-        let wait = self.drains[job.size.index()].time_for(now, ahead);
+        let request = &job.request;
+        let ahead = queue.work_ahead(request.priority.level, &request.workspace, request.weight);
+        let wait = self.drain_rates[job.size.index()].estimate_time(now, ahead);
         let wait = wait.unwrap_or_default();
         match job.size {
             _ if self.fleet.candidates().is_empty() => {
-                Err(refuse(Refusal::NoEndpoint, Some(NO_ENDPOINT_RETRY)))
+                Err(refuse(Refusal::NoEndpoint, Some(NO_ENDPOINT_RETRY_AFTER)))
             }
             Size::Spanning if self.total_memory() < job.memory_tokens() => {
                 Err(refuse(Refusal::PromptTooLong, None))
             }
-            _ if self.waiting.contains_key(&ask.id) => Err(refuse(Refusal::BadRequest, None)),
+            _ if self.waiting.contains_key(&request.id) => Err(refuse(Refusal::BadRequest, None)),
             _ if self.waiting.len() >= self.fleet.settings.queue_limit => Err(refuse(
                 Refusal::Overloaded,
-                Some(wait.max(NO_ENDPOINT_RETRY)),
+                Some(wait.max(NO_ENDPOINT_RETRY_AFTER)),
             )),
             _ if now >= job.latest_start => Err(refuse(
                 Refusal::DeadlineBeforeDispatch,
-                Some(SHORTEST_RETRY.max(wait)),
+                Some(MIN_RETRY_AFTER.max(wait)),
             )),
             _ if now + wait > job.latest_start => {
                 let late = (now + wait) - job.latest_start;
-                Err(refuse(Refusal::Overloaded, Some(late.max(SHORTEST_RETRY))))
+                Err(refuse(Refusal::Overloaded, Some(late.max(MIN_RETRY_AFTER))))
             }
             _ => Ok(()),
         }
@@ -228,37 +227,39 @@
     fn total_memory(&self) -> u64 {
         let candidates = self.fleet.candidates().iter();
         candidates.fold(0, |sum, &index| {
-            sum.saturating_add(self.fleet.slot(index).memory())
+            sum.saturating_add(self.fleet.endpoint(index).memory_tokens())
         })
     }
 
     fn enqueue(&mut self, now: Moment, job: Job) {
         let class = job.size.index();
         let ticket = self.queues[class].push(&job);
-        self.drains[class].busy(now);
-        let request = job.ask.id.clone();
-        self.latest_starts
-            .insert((job.latest_start, request.clone()));
-        self.waiting.insert(request, Waiting { job, ticket });
+        self.drain_rates[class].mark_busy(now);
+        let id = job.request.id.clone();
+        self.latest_starts.insert((job.latest_start, id.clone()));
+        self.waiting.insert(id, Entry { job, ticket });
     }
 
-    /// Takes a request back that still waits; `false` where it does not wait any more.
-    pub fn withdraw(&mut self, now: Moment, request: &RequestId) -> bool {
-        self.dequeue(now, request, false).is_some()
+    /// Withdraws a waiting request; returns `false` if it is not waiting.
+    pub fn withdraw(&mut self, now: Moment, id: &RequestId) -> bool {
+        self.dequeue(now, id, false).is_some()
     }
 
-    fn dequeue(&mut self, now: Moment, request: &RequestId, served: bool) -> Option<Job> {
-        let Waiting { job, ticket } = self.waiting.swap_remove(request)?;
-        self.latest_starts
-            .remove(&(job.latest_start, request.clone()));
+    fn dequeue(&mut self, now: Moment, id: &RequestId, is_served: bool) -> Option<Job> {
+        let Entry { job, ticket } = self.waiting.swap_remove(id)?;
+        self.latest_starts.remove(&(job.latest_start, id.clone()));
         let class = job.size.index();
-        self.queues[class].take(&job.ask.workspace, &ticket, served);
+        self.queues[class].remove(&job.request.workspace, &ticket, is_served);
         let is_empty = self.queues[class].len() == 0;
-        self.drains[class].left(now, if served { work(&job) } else { 0 }, is_empty);
+        self.drain_rates[class].record_departure(
+            now,
+            if is_served { work_tokens(&job) } else { 0 },
+            is_empty,
+        );
         Some(job)
     }
 
-    /// Takes in how far an attempt has come; attempts that it doesn't know are ignored.
+    /// Records the progress of an attempt; unknown attempts are ignored.
     #[must_use]
     pub fn record_progress(
         &mut self,
@@ -268,17 +269,17 @@
     ) -> Vec<Output> {
         match progress {
             Progress::Started => {}
-            Progress::FirstToken => self.first_token(now, attempt),
+            Progress::FirstToken => self.record_first_token(now, attempt),
             Progress::Finished(usage) => {
-                self.first_token(now, attempt);
-                self.ended(now, attempt, usage.output_tokens, None);
+                self.record_first_token(now, attempt);
+                self.end_attempt(now, attempt, usage.output_tokens, None);
             }
-            Progress::Failed(failure) => self.ended(now, attempt, 0, Some(failure)),
+            Progress::Failed(failure) => self.end_attempt(now, attempt, 0, Some(failure)),
         }
         self.step(now)
     }
 
-    fn first_token(&mut self, now: Moment, number: u64) {
+    fn record_first_token(&mut self, now: Moment, number: u64) {
         let Some(attempt) = self.attempts.get_mut(&number) else {
             return;
         };
@@ -286,64 +287,64 @@
             return;
         }
         attempt.first_token = Some(now);
-        let taken = (now - attempt.sent).as_secs_f64().max(1e-6);
-        for (endpoint, boot, ahead) in &attempt.places {
-            let Some(index) = life(&self.fleet, endpoint, *boot) else {
+        let duration = (now - attempt.sent).as_secs_f64().max(1e-6);
+        for (id, boot, ahead) in &attempt.endpoints {
+            let Some(index) = find_incarnation(&self.fleet, id, *boot) else {
                 continue;
             };
-            self.fleet.slot_mut(index).first_token(number);
-            // A prompt may have passed much of what stood before it: that tells no rate.
+            self.fleet.endpoint_mut(index).record_first_token(number);
+            // The prompt may have overtaken part of the backlog, so its time gives no valid rate.
             if *ahead > attempt.tokens as f64 {
                 continue;
             }
-            let sample = (attempt.tokens as f64 + ahead) / taken;
+            let sample = (attempt.tokens as f64 + ahead) / duration;
             let usual = self.fleet.rates.prefill(attempt.size);
-            let slot = self.fleet.slot_mut(index);
-            crate::rate::learn_factor(&mut slot.factor, sample / usual);
-            self.fleet.rates.learn_prefill(attempt.size, sample);
+            let endpoint = self.fleet.endpoint_mut(index);
+            crate::rate::update_speed_factor(&mut endpoint.speed_factor, sample / usual);
+            self.fleet.rates.record_prefill(attempt.size, sample);
         }
     }
 
-    fn ended(&mut self, now: Moment, number: u64, output: u64, failure: Option<Failure>) {
+    fn end_attempt(&mut self, now: Moment, number: u64, output: u64, failure: Option<Failure>) {
         let Some(attempt) = self.attempts.swap_remove(&number) else {
             return;
         };
         if let Some(first) = attempt.first_token {
-            self.fleet.rates.learn_output(now - first, output);
+            self.fleet.rates.record_output(now - first, output);
         }
-        // Of several engines, it is not known which one failed.
-        let is_single = attempt.places.len() == 1;
+        // With several engines, it is unknown which one failed.
+        let is_single = attempt.endpoints.len() == 1;
         let is_fault = is_single && !matches!(failure, None | Some(Failure::Cancelled));
-        for (endpoint, boot, _) in &attempt.places {
-            let Some(index) = life(&self.fleet, endpoint, *boot) else {
+        for (id, boot, _) in &attempt.endpoints {
+            let Some(index) = find_incarnation(&self.fleet, id, *boot) else {
                 continue;
             };
-            let slot = self.fleet.slot_mut(index);
-            slot.ended(number);
+            let endpoint = self.fleet.endpoint_mut(index);
+            endpoint.record_end(number);
             if is_fault {
-                slot.failed(now);
+                endpoint.record_failure(now);
             }
         }
     }
 
-    /// Does what is due by now. Call it at [`Router::next_wake`].
+    /// Performs all actions that are due. Call it at [`Router::next_wake`].
     #[must_use]
     pub fn tick(&mut self, now: Moment) -> Vec<Output> {
         let mut outputs = self.step(now);
         if now >= self.next_resync {
-            self.next_resync = now + RESYNC;
-            outputs.extend(self.fleet.doubtful().iter().cloned().map(Output::Resync));
+            self.next_resync = now + RESYNC_INTERVAL;
+            outputs.extend(self.fleet.out_of_sync().iter().cloned().map(Output::Resync));
         }
         outputs
     }
 
-    /// When to call [`Router::tick`] at the latest.
+    /// Returns when to call [`Router::tick`] at the latest.
     pub fn next_wake(&self) -> Moment {
         let deadline = self
             .latest_starts
             .first()
             .map_or(Moment::NEVER, |(at, _)| *at);
-        let resync = if self.fleet.doubtful().is_empty() {
+        let resync = if self.fleet.out_of_sync().is_empty() {
             Moment::NEVER
         } else {
             self.next_resync
@@ -351,74 +352,72 @@
         deadline.min(self.next_retry).min(resync)
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Attempts that were dispatched and have not ended.
+    /// Returns the number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// The endpoints, as this router knows them.
+    /// Returns the endpoints known to this router.
     pub const fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
     fn step(&mut self, now: Moment) -> Vec<Output> {
         let mut outputs = Vec::new();
-        self.give_up(now, &mut outputs);
+        self.refuse_expired(now, &mut outputs);
         for size in Size::ALL {
             self.dispatch_all(now, size, &mut outputs);
         }
         self.next_retry = if self.waiting.is_empty() {
             Moment::NEVER
         } else {
-            now + RETRY
+            now + RETRY_INTERVAL
         };
         outputs
     }
 
-    /// Refuses what can't meet its deadline any more.
-    fn give_up(&mut self, now: Moment, outputs: &mut Vec<Output>) {
-        while let Some((_, request)) = self.latest_starts.first().filter(|(at, _)| *at <= now) {
-            let request = request.clone();
-            self.refuse(now, &request, Refusal::DeadlineBeforeDispatch, outputs);
+    /// Refuses requests that can no longer meet their deadline.
+    fn refuse_expired(&mut self, now: Moment, outputs: &mut Vec<Output>) {
+        while let Some((_, id)) = self.latest_starts.first().filter(|(at, _)| *at <= now) {
+            let id = id.clone();
+            self.refuse(now, &id, Refusal::DeadlineBeforeDispatch, outputs);
         }
     }
 
-    fn refuse(
-        &mut self,
-        now: Moment,
-        request: &RequestId,
-        reason: Refusal,
-        outputs: &mut Vec<Output>,
-    ) {
-        let Some(job) = self.dequeue(now, request, false) else {
+    fn refuse(&mut self, now: Moment, id: &RequestId, reason: Refusal, outputs: &mut Vec<Output>) {
+        let Some(job) = self.dequeue(now, id, false) else {
             return;
         };
         let class = job.size.index();
-        let ask = &job.ask;
-        let ahead = self.queues[class].ahead(ask.priority.level, &ask.workspace, ask.weight);
-        let wait = self.drains[class].time_for(now, ahead);
-        let retry_after = wait.unwrap_or(NO_ENDPOINT_RETRY).max(SHORTEST_RETRY);
+        let request = &job.request;
+        let ahead = self.queues[class].work_ahead(
+            request.priority.level,
+            &request.workspace,
+            request.weight,
+        );
+        let wait = self.drain_rates[class].estimate_time(now, ahead);
+        let retry_after = wait.unwrap_or(NO_ENDPOINT_RETRY_AFTER).max(MIN_RETRY_AFTER);
         outputs.push(Output::Refuse(Refuse {
-            request: request.clone(),
+            request: id.clone(),
             reason,
             retry_after: Some(retry_after),
         }));
     }
 
     fn dispatch_all(&mut self, now: Moment, size: Size, outputs: &mut Vec<Output>) {
-        while let Some(request) = self.queues[size.index()].head().cloned() {
-            let Some(waiting) = self.waiting.get(&request) else {
+        while let Some(id) = self.queues[size.index()].head().cloned() {
+            let Some(waiting) = self.waiting.get(&id) else {
                 return;
             };
             match self.policy.place(now, &waiting.job, &self.fleet) {
-                Placement::One(index) => self.dispatch(now, &request, &[index], outputs),
-                Placement::Several(indices) => self.dispatch(now, &request, &indices, outputs),
-                Placement::Nowhere => self.refuse(now, &request, Refusal::NoEndpoint, outputs),
+                Placement::One(index) => self.dispatch(now, &id, &[index], outputs),
+                Placement::Several(indices) => self.dispatch(now, &id, &indices, outputs),
+                Placement::Impossible => self.refuse(now, &id, Refusal::NoEndpoint, outputs),
                 Placement::Wait => return,
             }
         }
@@ -427,45 +426,49 @@
     fn dispatch(
         &mut self,
         now: Moment,
-        request: &RequestId,
-        places: &[SlotIndex],
+        id: &RequestId,
+        endpoints: &[EndpointIndex],
         outputs: &mut Vec<Output>,
     ) {
-        let Some(job) = self.dequeue(now, request, true) else {
+        let Some(job) = self.dequeue(now, id, true) else {
             return;
         };
         self.last_attempt += 1;
         let number = self.last_attempt;
         let base = self.policy.engine_priority(now, &job, &self.fleet);
-        let level = job.ask.priority.level.min(HIGHEST_LEVEL);
-        let share = places.len().max(1) as u64;
+        let level = job.request.priority.level.min(MAX_LEVEL);
+        let endpoint_count = endpoints.len().max(1) as u64;
         let mut attempt = Attempt {
             sent: now,
             first_token: None,
-            tokens: job.prefill_tokens() / share,
+            tokens: job.prefill_tokens() / endpoint_count,
             size: job.size,
-            places: Vec::with_capacity(places.len()),
+            endpoints: Vec::with_capacity(endpoints.len()),
         };
-        for &index in places {
-            let rate = self.fleet.rates.bulk();
-            let slot = self.fleet.slot_mut(index);
-            let ahead = slot.backlog_tokens(now, rate);
+        for &index in endpoints {
+            let rate = self.fleet.rates.backlog_rate();
+            let endpoint = self.fleet.endpoint_mut(index);
+            let ahead = endpoint.backlog_tokens(now, rate);
             attempt
-                .places
-                .push((slot.endpoint.clone(), slot.boot, ahead));
-            let memory = job.memory_tokens() / share;
-            let load = Load {
+                .endpoints
+                .push((endpoint.id.clone(), endpoint.boot, ahead));
+            let memory_tokens = job.memory_tokens() / endpoint_count;
+            let load = endpoint::Load {
                 attempt: number,
                 tokens: attempt.tokens,
-                memory,
+                memory_tokens,
                 size: job.size,
-                goes_first: base == FIRST_PRIORITY,
+                has_first_priority: base == FIRST_PRIORITY,
             };
-            slot.dispatched(now, load);
+            endpoint.record_dispatch(now, load);
         }
         outputs.push(Output::Dispatch(Dispatch {
-            request: request.clone(),
-            endpoints: attempt.places.iter().map(|place| place.0.clone()).collect(),
+            request: id.clone(),
+            endpoints: attempt
+                .endpoints
+                .iter()
+                .map(|(id, ..)| id.clone())
+                .collect(),
             attempt: number,
             engine_priority: level * LEVEL_STEP + base,
         }));
@@ -473,8 +476,8 @@
     }
 }
 
-/// The place of an endpoint, if it still lives the same life.
-fn life(fleet: &Fleet, endpoint: &EndpointId, boot: BootId) -> Option<SlotIndex> {
-    let index = fleet.find(endpoint)?;
-    (fleet.slot(index).boot == boot).then_some(index)
+/// Returns the index of an endpoint if it is still in this incarnation.
+fn find_incarnation(fleet: &Fleet, id: &EndpointId, boot: BootId) -> Option<EndpointIndex> {
+    let index = fleet.find(id)?;
+    (fleet.endpoint(index).boot == boot).then_some(index)
 }
--- a/crates/kumquatdrum_routing/src/settings.rs
+++ b/crates/kumquatdrum_routing/src/settings.rs
@@ -2,41 +2,42 @@
 
 use std::time::Duration;
 
-/// Settings of a router; all routers of one service should have equal ones, but for `owner`.
+/// Settings of a router; all routers of one service should have the same, except for `owner`.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The name under which engines report the attempts they have seen.
+    /// The name under which engines report this daemon's attempts.
     pub owner: String,
-    /// The owners of all daemons that share the endpoints, this one included.
+    /// The owners that share the endpoints, including this one.
     pub owners: Vec<String>,
-    /// Prompts up to this length are short, in tokens.
+    /// The longest prompt that is short, in tokens.
     pub short_tokens: u64,
-    /// Prompts from this length on are long, in tokens.
+    /// The shortest prompt that is long, in tokens.
     pub long_tokens: u64,
-    /// Tokens of one block of the prefix cache.
+    /// The tokens of one block of the prefix cache.
     pub block_tokens: u64,
-    /// The most blocks that are remembered of one endpoint.
+    /// The most cached blocks that are tracked per endpoint.
     pub blocks_per_endpoint: usize,
-    /// Prompt tokens a second assumed of an engine that never said or showed its rate.
+    /// The prompt tokens per second assumed for an engine without announced or observed rate.
     pub default_rate: f64,
-    /// How old a report may be when it arrives.
+    /// The largest age of a load report on arrival.
     pub report_lag: Duration,
-    /// The most requests that wait in the queue.
+    /// The most waiting requests.
     pub queue_limit: usize,
-    /// Engines as a multiple of the short requests' load that are kept clear of long prefills.
+    /// Engines kept clear of long prefills, as a multiple of those that short requests need.
     pub short_headroom: f64,
-    /// Estimated work before a short request, up to which an engine gets another one.
+    /// The estimated backlog up to which an engine gets another short request.
     pub short_depth: Duration,
-    /// The same for a request between short and long; deep, as engines let it pass the long.
+    /// The estimated backlog up to which an engine gets another medium request; larger, because
+    /// engines run it before long ones.
     pub medium_depth: Duration,
-    /// Estimated work before a long request, up to which an engine gets another one.
+    /// The estimated backlog up to which an engine gets another long request.
     pub long_depth: Duration,
-    /// Added to an engine's estimate for each owner that comes before this one there.
+    /// The time added to an engine's estimate for each owner with precedence there.
     pub rank_step: Duration,
 }
 
 impl Settings {
-    /// The usual settings for one daemon among several.
+    /// Returns the default settings of one of several daemons.
     ///
     /// ```
     /// use kumquatdrum_routing::Settings;
--- a/crates/kumquatdrum_routing/tests/conservation.rs
+++ b/crates/kumquatdrum_routing/tests/conservation.rs
@@ -1,4 +1,4 @@
-//! No request is lost: each ends in exactly one dispatch, refusal or withdrawal.
+//! Every request ends in exactly one dispatch, refusal or withdrawal.
 
 mod support;
 
@@ -9,20 +9,20 @@
 use arbtest::arbtest;
 use kumquatdrum_routing::{Failure, Health, Output, Progress, Router, Usage};
 use kumquatdrum_types::Moment;
-use support::{announcement, ask, endpoint, load, router};
+use support::{announcement, build_request, endpoint, load, router};
 
-/// Bytes of entropy of one case.
-const SIZE: u64 = 8_192;
+/// The entropy of one case, in bytes.
+const ENTROPY_BYTES: u64 = 8_192;
 const CASES: u64 = 150;
 
 #[derive(Default)]
-struct Ledger {
+struct Tracker {
     waiting: BTreeSet<String>,
-    open: BTreeSet<u64>,
+    in_flight: BTreeSet<u64>,
 }
 
-impl Ledger {
-    fn note(&mut self, outputs: Vec<Output>) {
+impl Tracker {
+    fn record(&mut self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Dispatch(dispatch) => {
@@ -30,7 +30,7 @@
                         self.waiting.remove(dispatch.request.as_str()),
                         "{dispatch:?}"
                     );
-                    assert!(self.open.insert(dispatch.attempt), "{dispatch:?}");
+                    assert!(self.in_flight.insert(dispatch.attempt), "{dispatch:?}");
                 }
                 Output::Refuse(refuse) => {
                     assert!(self.waiting.remove(refuse.request.as_str()), "{refuse:?}");
@@ -41,10 +41,10 @@
     }
 }
 
-fn one_step(
+fn random_step(
     u: &mut Unstructured<'_>,
     router: &mut Router,
-    ledger: &mut Ledger,
+    tracker: &mut Tracker,
     now: Moment,
     step: u64,
 ) -> Result<()> {
@@ -53,27 +53,31 @@
         0..=3 => {
             let name = format!("r{step}");
             let tokens = *u.choose(&[500, 4_000, 30_000, 200_000, 900_000, 5_000_000])?;
-            let due = now + Duration::from_millis(u.int_in_range(0..=60_000)?);
-            let mut request = ask(&name, tokens, due);
+            let deadline = now + Duration::from_millis(u.int_in_range(0..=60_000)?);
+            let mut request = build_request(&name, tokens, deadline);
             request.priority.level = u.int_in_range(0..=3)?;
             request.weight = u.int_in_range(0..=3)?;
             request.workspace = (*u.choose(&["x", "y", "z"])?).into();
             if u.ratio(1, 8)? {
                 request.excluded.push(endpoint(index));
             }
-            ledger.waiting.insert(name);
+            tracker.waiting.insert(name);
             let outputs = router.submit(now, request);
-            ledger.note(outputs);
+            tracker.record(outputs);
         }
         4 => {
-            let named = ledger.waiting.iter().nth(u.int_in_range(0..=3)?).cloned();
-            if let Some(name) = named {
+            let name = tracker.waiting.iter().nth(u.int_in_range(0..=3)?).cloned();
+            if let Some(name) = name {
                 assert!(router.withdraw(now, &name.as_str().into()));
-                ledger.waiting.remove(&name);
+                tracker.waiting.remove(&name);
             }
         }
         5 | 6 => {
-            let attempt = ledger.open.iter().nth(u.int_in_range(0..=3)?).copied();
+            let attempt = tracker
+                .in_flight
+                .iter()
+                .nth(u.int_in_range(0..=3)?)
+                .copied();
             let progress = *u.choose(&[
                 Progress::Started,
                 Progress::FirstToken,
@@ -83,17 +87,17 @@
             ])?;
             if let Some(attempt) = attempt {
                 if matches!(progress, Progress::Finished(_) | Progress::Failed(_)) {
-                    ledger.open.remove(&attempt);
+                    tracker.in_flight.remove(&attempt);
                 }
-                ledger.note(router.record_progress(now, attempt, progress));
+                tracker.record(router.record_progress(now, attempt, progress));
             }
         }
         7 => {
             let boot = u.int_in_range(1..=4)?;
             let report = load(step, u.int_in_range(0..=100_000)?);
-            let mut news = announcement(index, boot, step, Some(report));
-            news.leaving = u.ratio(1, 6)?;
-            ledger.note(router.announce(now, &news));
+            let mut announced = announcement(index, boot, step, Some(report));
+            announced.leaving = u.ratio(1, 6)?;
+            tracker.record(router.announce(now, &announced));
         }
         8 => {
             let states = [
@@ -103,9 +107,9 @@
                 Health::Gone,
             ];
             let health = *u.choose(&states)?;
-            ledger.note(router.set_health(now, &endpoint(index), health));
+            tracker.record(router.set_health(now, &endpoint(index), health));
         }
-        _ => ledger.note(router.tick(now)),
+        _ => tracker.record(router.tick(now)),
     }
     Ok(())
 }
@@ -115,29 +119,29 @@
     for case in 0..CASES {
         let property = |u: &mut Unstructured<'_>| {
             let mut router = router("a", 4, 1);
-            let mut ledger = Ledger::default();
+            let mut tracker = Tracker::default();
             let mut now = Moment::ZERO;
             for step in 2..400 {
                 now = now + Duration::from_millis(u.int_in_range(0..=2_000)?);
-                one_step(u, &mut router, &mut ledger, now, step)?;
-                assert_eq!(router.queued(), ledger.waiting.len());
-                assert_eq!(router.in_flight(), ledger.open.len());
+                random_step(u, &mut router, &mut tracker, now, step)?;
+                assert_eq!(router.queued(), tracker.waiting.len());
+                assert_eq!(router.in_flight(), tracker.in_flight.len());
             }
-            // At the end of all deadlines nothing waits, and all attempts end.
-            ledger.note(router.tick(now + Duration::from_secs(120)));
-            assert!(ledger.waiting.is_empty(), "{:?}", ledger.waiting);
-            for attempt in std::mem::take(&mut ledger.open) {
-                let ended = Progress::Failed(Failure::Broken);
-                ledger.note(router.record_progress(now, attempt, ended));
+            // After all deadlines, no request waits and every attempt ends.
+            tracker.record(router.tick(now + Duration::from_secs(120)));
+            assert!(tracker.waiting.is_empty(), "{:?}", tracker.waiting);
+            for attempt in std::mem::take(&mut tracker.in_flight) {
+                let failed = Progress::Failed(Failure::Broken);
+                tracker.record(router.record_progress(now, attempt, failed));
             }
             assert_eq!((router.queued(), router.in_flight()), (0, 0));
             for index in 0..6 {
-                let place = router.fleet().find(&endpoint(index));
-                let left = place.map_or(0, |place| router.fleet().slot(place).in_flight());
-                assert_eq!(left, 0);
+                let index = router.fleet().find(&endpoint(index));
+                let in_flight = index.map_or(0, |index| router.fleet().endpoint(index).in_flight());
+                assert_eq!(in_flight, 0);
             }
             Ok(())
         };
-        arbtest(property).seed(SIZE | case << 32).run();
+        arbtest(property).seed(ENTROPY_BYTES | case << 32).run();
     }
 }
--- a/crates/kumquatdrum_routing/tests/limits.rs
+++ b/crates/kumquatdrum_routing/tests/limits.rs
@@ -1,10 +1,10 @@
-//! Limits over nine hosts: the sum stays within the limit, whatever fails.
+//! Workspace limits over nine hosts: the sum stays within the limit despite failures.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use kumquatdrum_routing::limits::{
-    BINDING, Coordinator, DEMAND_INTERVAL, Demand, Grant, Limit, Limiter,
+    BINDING_DURATION, Coordinator, DEMAND_INTERVAL, Demand, Grant, Limit, Limiter,
 };
 use kumquatdrum_types::{BootId, HostId, Moment, WorkspaceName};
 
@@ -12,9 +12,9 @@
 const STEP: Duration = Duration::from_millis(20);
 const LIMIT: f64 = 900.0;
 const CONCURRENCY: u32 = 180;
-/// Slack of the rate: what may be saved up in one second.
+/// The burst that hosts may accumulate, in seconds of the rate.
 const SLACK_SECONDS: f64 = 1.0;
-const LONGEST: Duration = Duration::from_secs(10);
+const LONGEST_REQUEST: Duration = Duration::from_secs(10);
 
 fn host(index: usize) -> HostId {
     format!("host-{index}").as_str().into()
@@ -33,10 +33,10 @@
 }
 
 struct Host {
-    holder: Limiter,
-    steward: Coordinator,
-    /// Its own clock's zero, in the world's time; it is set back with each start.
-    zero: Moment,
+    limiter: Limiter,
+    coordinator: Coordinator,
+    /// When the host started; the zero of its local clock.
+    started_at: Moment,
     is_alive: bool,
     running: Vec<Moment>,
 }
@@ -46,52 +46,53 @@
     Grant(usize, Grant),
 }
 
-struct World {
+struct Cluster {
     now: Moment,
     boots: u64,
     hosts: Vec<Host>,
-    /// Hosts with different numbers can't reach each other.
-    side: Vec<usize>,
-    flying: Vec<(Moment, Message)>,
+    /// The partition of each host; hosts in different partitions cannot reach each other.
+    partition: Vec<usize>,
+    in_transit: Vec<(Moment, Message)>,
     delay: Duration,
-    /// Requests that each host is offered in a step, and how long they run.
+    /// Requests per second offered to each host.
     offered: Vec<f64>,
-    lasting: Duration,
+    request_duration: Duration,
     admitted: BTreeMap<u64, u64>,
-    most_running: usize,
+    max_running: usize,
 }
 
-impl World {
+impl Cluster {
     fn new(offered: &[f64]) -> Self {
-        let mut world = Self {
+        let mut cluster = Self {
             now: Moment::from_millis(1_000_000),
             boots: 0,
             hosts: Vec::new(),
-            side: vec![0; HOSTS],
-            flying: Vec::new(),
+            partition: vec![0; HOSTS],
+            in_transit: Vec::new(),
             delay: Duration::from_millis(30),
             offered: offered.to_vec(),
-            lasting: Duration::from_millis(100),
+            request_duration: Duration::from_millis(100),
             admitted: BTreeMap::new(),
-            most_running: 0,
+            max_running: 0,
         };
         for index in 0..HOSTS {
-            let started = world.start(index);
-            world.hosts.push(started);
+            let started = cluster.start(index);
+            cluster.hosts.push(started);
         }
-        world
+        cluster
     }
 
     fn start(&mut self, index: usize) -> Host {
         self.boots += 1;
-        let mut holder = Limiter::new(host(index), HOSTS, Moment::ZERO);
-        holder.set_limit(Moment::ZERO, workspace(), limit());
-        let mut steward = Coordinator::new(host(index), BootId(self.boots), HOSTS, LONGEST);
-        steward.set_limit(workspace(), limit());
+        let mut limiter = Limiter::new(host(index), HOSTS, Moment::ZERO);
+        limiter.set_limit(Moment::ZERO, workspace(), limit());
+        let mut coordinator =
+            Coordinator::new(host(index), BootId(self.boots), HOSTS, LONGEST_REQUEST);
+        coordinator.set_limit(workspace(), limit());
         Host {
-            holder,
-            steward,
-            zero: self.now,
+            limiter,
+            coordinator,
+            started_at: self.now,
             is_alive: true,
             running: Vec::new(),
         }
@@ -101,12 +102,14 @@
         self.hosts[index] = self.start(index);
     }
 
-    fn local(&self, index: usize) -> Moment {
-        Moment::ZERO + (self.now - self.hosts[index].zero)
+    fn local_time(&self, index: usize) -> Moment {
+        Moment::ZERO + (self.now - self.hosts[index].started_at)
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        self.hosts[from].is_alive && self.hosts[to].is_alive && self.side[from] == self.side[to]
+        self.hosts[from].is_alive
+            && self.hosts[to].is_alive
+            && self.partition[from] == self.partition[to]
     }
 
     fn run(&mut self, seconds: u64) {
@@ -125,92 +128,98 @@
             }
         }
         let running = self.hosts.iter().map(|host| host.running.len()).sum();
-        self.most_running = self.most_running.max(running);
+        self.max_running = self.max_running.max(running);
     }
 
     fn host_step(&mut self, index: usize) {
-        let (now, local) = (self.now, self.local(index));
+        let (now, local_time) = (self.now, self.local_time(index));
         let host = &mut self.hosts[index];
         for _ in host.running.extract_if(.., |end| *end <= now) {
-            host.holder.finish(local, &workspace(), 0, 0);
+            host.limiter.finish(local_time, &workspace(), 0, 0);
         }
-        // Each host is at another point of its interval.
-        let count = local.micros / STEP.as_micros() as u64;
-        let every = (DEMAND_INTERVAL.as_micros() / STEP.as_micros()) as u64;
+        // Hosts send their demands at different times.
+        let count = local_time.micros / STEP.as_micros() as u64;
+        let steps_per_demand = (DEMAND_INTERVAL.as_micros() / STEP.as_micros()) as u64;
         let offered = self.offered[index] * STEP.as_secs_f64();
-        let before = (count - 1) as f64 * offered;
-        let offers = (count as f64 * offered) as u64 - before as u64;
-        for _ in 0..offers {
-            if host.holder.admit(local, &workspace(), 0).is_ok() {
-                host.running.push(now + self.lasting);
+        let previous_total = (count - 1) as f64 * offered;
+        let requests = (count as f64 * offered) as u64 - previous_total as u64;
+        for _ in 0..requests {
+            if host.limiter.admit(local_time, &workspace(), 0).is_ok() {
+                host.running.push(now + self.request_duration);
                 *self.admitted.entry(now.micros).or_default() += 1;
             }
         }
-        if (count + index as u64).is_multiple_of(every) {
-            self.demand(index, local);
+        if (count + index as u64).is_multiple_of(steps_per_demand) {
+            self.send_demands(index, local_time);
         }
     }
 
-    fn demand(&mut self, index: usize, local: Moment) {
+    fn send_demands(&mut self, index: usize, local_time: Moment) {
         let live: Vec<HostId> = (0..HOSTS)
             .filter(|&other| self.reaches(index, other))
             .map(host)
             .collect();
-        for (steward, demand) in self.hosts[index].holder.build_demands(local, &live) {
+        for (coordinator, demand) in self.hosts[index].limiter.build_demands(local_time, &live) {
             let to = (0..HOSTS)
-                .find(|&other| host(other) == steward)
+                .find(|&other| host(other) == coordinator)
                 .expect("known");
             let message = Message::Demand(index, to, demand);
-            self.flying.push((self.now + self.delay, message));
+            self.in_transit.push((self.now + self.delay, message));
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let due: Vec<_> = self.flying.extract_if(.., |(at, _)| *at <= now).collect();
+        let due: Vec<_> = self
+            .in_transit
+            .extract_if(.., |(at, _)| *at <= now)
+            .collect();
         for (_, message) in due {
             match message {
                 Message::Demand(from, to, demand) if self.reaches(from, to) => {
-                    let local = self.local(to);
-                    if let Some(grant) = self.hosts[to].steward.handle_demand(local, &demand) {
-                        self.flying
+                    let local_time = self.local_time(to);
+                    if let Some(grant) = self.hosts[to]
+                        .coordinator
+                        .handle_demand(local_time, &demand)
+                    {
+                        self.in_transit
                             .push((now + self.delay, Message::Grant(from, grant)));
                     }
                 }
                 Message::Grant(to, grant) if self.hosts[to].is_alive => {
-                    let local = self.local(to);
-                    self.hosts[to].holder.apply_grant(local, &grant);
+                    let local_time = self.local_time(to);
+                    self.hosts[to].limiter.apply_grant(local_time, &grant);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Admitted requests a second since a moment.
+    /// Returns the requests per second admitted since `since`.
     fn rate_since(&self, since: Moment) -> f64 {
         let admitted = self.admitted.range(since.micros + 1..);
         let count: u64 = admitted.map(|(_, count)| count).sum();
         count as f64 / (self.now - since).as_secs_f64()
     }
 
-    /// No window of one, three or ten seconds holds more than the limit and the slack.
-    fn check(&self) {
+    /// Checks that no window of one, three or ten seconds exceeds the limit plus the burst.
+    fn assert_within_limit(&self) {
         for window in [1.0, 3.0, 10.0] {
             let mut sum = 0;
-            let mut inside = std::collections::VecDeque::new();
+            let mut in_window = std::collections::VecDeque::new();
             for (&at, &count) in &self.admitted {
                 sum += count;
-                inside.push_back((at, count));
-                while inside
+                in_window.push_back((at, count));
+                while in_window
                     .front()
                     .is_some_and(|(first, _)| (at - first) as f64 > window * 1e6)
                 {
-                    sum -= inside.pop_front().map_or(0, |(_, count)| count);
+                    sum -= in_window.pop_front().map_or(0, |(_, count)| count);
                 }
-                let most = LIMIT * (window + SLACK_SECONDS);
+                let max_count = LIMIT * (window + SLACK_SECONDS);
                 assert!(
-                    sum as f64 <= most,
-                    "{sum} in {window} s up to {at}, {most} allowed"
+                    sum as f64 <= max_count,
+                    "{sum} in {window} s up to {at}, {max_count} allowed"
                 );
             }
         }
@@ -218,152 +227,152 @@
 }
 
 #[test]
-fn all_hosts_flooded_get_the_whole_limit_and_no_more() {
-    let mut world = World::new(&[400.0; HOSTS]);
-    world.run(20);
-    let since = world.now;
-    world.run(20);
-    world.check();
-    let rate = world.rate_since(since);
+fn flooded_hosts_together_admit_the_full_limit_and_no_more() {
+    let mut cluster = Cluster::new(&[400.0; HOSTS]);
+    cluster.run(20);
+    let since = cluster.now;
+    cluster.run(20);
+    cluster.assert_within_limit();
+    let rate = cluster.rate_since(since);
     assert!(rate > LIMIT * 0.9, "{rate} of {LIMIT}");
 }
 
 #[test]
-fn one_hot_host_gets_its_floor_and_most_of_the_pool() {
+fn a_single_loaded_host_gets_its_floor_and_most_of_the_pool() {
     let mut offered = [0.0; HOSTS];
     offered[4] = 2_000.0;
-    let mut world = World::new(&offered);
-    world.run(20);
-    let since = world.now;
-    world.run(20);
-    world.check();
-    let rate = world.rate_since(since);
-    // The floors of the other eight are not lent.
+    let mut cluster = Cluster::new(&offered);
+    cluster.run(20);
+    let since = cluster.now;
+    cluster.run(20);
+    cluster.assert_within_limit();
+    let rate = cluster.rate_since(since);
+    // The floors of the other eight hosts stay unused.
     assert!(rate > LIMIT * 0.65, "{rate} of {LIMIT}");
 }
 
 #[test]
-fn a_partition_keeps_the_sum_within_the_limit_and_each_side_serves() {
-    for side in [
+fn a_partition_keeps_the_sum_within_the_limit_and_each_side_admits_requests() {
+    for partition in [
         [0, 0, 0, 1, 1, 1, 2, 2, 2],
         [0, 0, 0, 0, 0, 0, 1, 1, 1],
         [0, 1, 1, 1, 1, 1, 1, 1, 1],
     ] {
-        let mut world = World::new(&[400.0; HOSTS]);
-        world.run(15);
-        world.side = side.to_vec();
-        let cut = world.now;
-        world.run(20);
+        let mut cluster = Cluster::new(&[400.0; HOSTS]);
+        cluster.run(15);
+        cluster.partition = partition.to_vec();
+        let partitioned_at = cluster.now;
+        cluster.run(20);
         assert!(
-            world.rate_since(cut) > LIMIT * 0.28,
+            cluster.rate_since(partitioned_at) > LIMIT * 0.28,
             "{}",
-            world.rate_since(cut)
+            cluster.rate_since(partitioned_at)
         );
-        world.side = vec![0; HOSTS];
-        world.run(8);
-        let healed = world.now;
-        world.run(15);
-        world.check();
+        cluster.partition = vec![0; HOSTS];
+        cluster.run(8);
+        let healed_at = cluster.now;
+        cluster.run(15);
+        cluster.assert_within_limit();
         assert!(
-            world.rate_since(healed) > LIMIT * 0.9,
+            cluster.rate_since(healed_at) > LIMIT * 0.9,
             "{}",
-            world.rate_since(healed)
+            cluster.rate_since(healed_at)
         );
     }
 }
 
 #[test]
-fn deaths_and_restarts_of_every_host_in_turn_keep_the_sum_within_the_limit() {
+fn crashes_and_restarts_of_each_host_keep_the_sum_within_the_limit() {
     for delay in [30, 400, 1_500] {
-        let mut world = World::new(&[400.0; HOSTS]);
-        world.delay = Duration::from_millis(delay);
-        world.run(12);
+        let mut cluster = Cluster::new(&[400.0; HOSTS]);
+        cluster.delay = Duration::from_millis(delay);
+        cluster.run(12);
         for index in 0..HOSTS {
-            world.hosts[index].is_alive = false;
-            world.run(3);
-            world.restart(index);
-            world.run(2);
+            cluster.hosts[index].is_alive = false;
+            cluster.run(3);
+            cluster.restart(index);
+            cluster.run(2);
         }
-        world.check();
+        cluster.assert_within_limit();
     }
 }
 
 #[test]
-fn flapping_partitions_never_let_two_stewards_grant() {
-    let mut world = World::new(&[400.0; HOSTS]);
-    world.run(10);
+fn flapping_partitions_never_let_two_coordinators_grant() {
+    let mut cluster = Cluster::new(&[400.0; HOSTS]);
+    cluster.run(10);
     for round in 0..40 {
-        // Two majorities that overlap in one host, and take turns.
-        world.side = (0..HOSTS)
+        // Alternates between two majorities that share one host.
+        cluster.partition = (0..HOSTS)
             .map(|index| usize::from((index + round) % HOSTS < 4))
             .collect();
-        world.run(1 + round as u64 % 3);
+        cluster.run(1 + round as u64 % 3);
     }
-    world.check();
+    cluster.assert_within_limit();
 }
 
 #[test]
-fn concurrency_over_all_hosts_keeps_to_the_limit() {
-    let mut world = World::new(&[400.0; HOSTS]);
-    world.lasting = Duration::from_secs(4);
-    world.run(30);
+fn concurrency_over_all_hosts_stays_within_the_limit() {
+    let mut cluster = Cluster::new(&[400.0; HOSTS]);
+    cluster.request_duration = Duration::from_secs(4);
+    cluster.run(30);
     assert!(
-        world.most_running as u32 <= CONCURRENCY,
+        cluster.max_running as u32 <= CONCURRENCY,
         "{}",
-        world.most_running
+        cluster.max_running
     );
     assert!(
-        world.most_running as u32 > CONCURRENCY * 8 / 10,
+        cluster.max_running as u32 > CONCURRENCY * 8 / 10,
         "{}",
-        world.most_running
+        cluster.max_running
     );
-    // The load moves to three hosts, which get the others' part only as that comes back.
-    world.offered = (0..HOSTS)
+    // The load moves to three hosts, which get the other hosts' shares as they are returned.
+    cluster.offered = (0..HOSTS)
         .map(|index| if index < 3 { 400.0 } else { 0.0 })
         .collect();
-    world.run(20);
-    // These three are cut off; what they admitted still runs when the others get the pool.
-    world.side = [1, 1, 1, 0, 0, 0, 0, 0, 0].to_vec();
-    world.offered = vec![400.0; HOSTS];
-    world.run(20);
+    cluster.run(20);
+    // The three hosts are partitioned; their requests still run when others get the pool.
+    cluster.partition = [1, 1, 1, 0, 0, 0, 0, 0, 0].to_vec();
+    cluster.offered = vec![400.0; HOSTS];
+    cluster.run(20);
     assert!(
-        world.most_running as u32 <= CONCURRENCY,
+        cluster.max_running as u32 <= CONCURRENCY,
         "{}",
-        world.most_running
+        cluster.max_running
     );
 }
 
 #[test]
-fn a_restarted_host_binds_to_no_steward_before_its_old_binding_is_over() {
-    let mut holder = Limiter::new(host(0), HOSTS, Moment::ZERO);
-    holder.set_limit(Moment::ZERO, workspace(), limit());
-    let mut steward = Coordinator::new(host(0), BootId(1), HOSTS, LONGEST);
-    steward.set_limit(workspace(), limit());
+fn a_restarted_host_binds_to_no_coordinator_before_its_old_binding_expires() {
+    let mut limiter = Limiter::new(host(0), HOSTS, Moment::ZERO);
+    limiter.set_limit(Moment::ZERO, workspace(), limit());
+    let mut coordinator = Coordinator::new(host(0), BootId(1), HOSTS, LONGEST_REQUEST);
+    coordinator.set_limit(workspace(), limit());
     let mut now = Moment::ZERO;
-    while now < Moment::ZERO + BINDING {
-        for (_, demand) in holder.build_demands(now, &[host(0)]) {
+    while now < Moment::ZERO + BINDING_DURATION {
+        for (_, demand) in limiter.build_demands(now, &[host(0)]) {
             assert_eq!(demand.echo, None);
-            let grant = steward.handle_demand(now, &demand).expect("limited");
-            holder.apply_grant(now, &grant);
+            let grant = coordinator.handle_demand(now, &demand).expect("limited");
+            limiter.apply_grant(now, &grant);
         }
         now = now + DEMAND_INTERVAL;
     }
-    let (_, demand) = holder.build_demands(now, &[host(0)]).remove(0);
+    let (_, demand) = limiter.build_demands(now, &[host(0)]).remove(0);
     assert!(demand.echo.is_some());
 }
 
 #[test]
-fn a_host_that_hears_nothing_falls_back_to_its_floor() {
+fn a_host_without_grants_falls_back_to_its_floor() {
     let mut offered = [0.0; HOSTS];
     offered[4] = 2_000.0;
-    let mut world = World::new(&offered);
-    world.run(15);
-    // The answers stop, though the host thinks the others alive.
-    world.delay = Duration::from_secs(3_600);
-    world.run(3);
-    let since = world.now;
-    world.run(10);
+    let mut cluster = Cluster::new(&offered);
+    cluster.run(15);
+    // Grants no longer arrive, while the host considers the others alive.
+    cluster.delay = Duration::from_secs(3_600);
+    cluster.run(3);
+    let since = cluster.now;
+    cluster.run(10);
     let floor = limit().floor(HOSTS).requests;
-    let rate = world.rate_since(since);
+    let rate = cluster.rate_since(since);
     assert!((rate - floor).abs() < floor * 0.1, "{rate} against {floor}");
 }
--- a/crates/kumquatdrum_routing/tests/retry.rs
+++ b/crates/kumquatdrum_routing/tests/retry.rs
@@ -3,14 +3,14 @@
 use kumquatdrum_routing::retry::Budget;
 
 #[test]
-fn attempts_stay_below_a_fifth_more_than_requests_but_for_the_first_retry() {
+fn attempts_stay_within_the_budget_when_all_endpoints_fail() {
     let mut budget = Budget::default();
     let (mut requests, mut attempts) = (0_u64, 0_u64);
     for _ in 0..10_000 {
         requests += 1;
         attempts += 1;
         budget.record_request();
-        // Each fails at once, and is tried again as often as the budget lets it.
+        // Every attempt fails at once and is retried as long as the budget allows.
         while budget.try_take() {
             attempts += 1;
         }
@@ -18,18 +18,18 @@
             (attempts - 1) * 10 < requests * 12,
             "{attempts} of {requests}"
         );
-        let settled = requests > 20;
+        let is_settled = requests > 20;
         assert!(
-            !settled || attempts * 10 < requests * 12,
+            !is_settled || attempts * 10 < requests * 12,
             "{attempts} of {requests}"
         );
     }
-    // Most of what is allowed can be used.
+    // Most of the budget can be used.
     assert!(attempts * 100 > requests * 114, "{attempts} of {requests}");
 }
 
 #[test]
-fn a_quiet_time_saves_up_no_storm() {
+fn a_long_time_without_retries_accumulates_a_bounded_burst() {
     let mut budget = Budget::default();
     (0..1_000_000).for_each(|_| budget.record_request());
     let retries = (0..1_000).filter(|_| budget.try_take()).count();
--- a/crates/kumquatdrum_routing/tests/support/mod.rs
+++ b/crates/kumquatdrum_routing/tests/support/mod.rs
@@ -1,13 +1,13 @@
-//! What the tests share: announcements, requests, and a very small engine.
+//! Shared test helpers: announcements, requests, and a small model of an engine.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use kumquatdrum_routing::{
     Dispatch, Output, Priority, Progress, Refuse, Request, RequestKind, Router, Usage,
 };
-use kumquatdrum_types::endpoint::{Engine as Announced, Kind};
+use kumquatdrum_types::endpoint::{self, Kind};
 use kumquatdrum_types::{Announcement, BootId, EndpointId, Load, Moment};
 
-pub const MEMORY: u64 = 400_000;
+pub const MEMORY_TOKENS: u64 = 400_000;
 pub const OWNERS: [&str; 9] = ["a", "b", "c", "d", "e", "f", "g", "h", "i"];
 
 pub fn endpoint(index: usize) -> EndpointId {
@@ -22,9 +22,9 @@
         service: "formula-llm".into(),
         address: ([127, 0, 0, 1], 1).into(),
         data_centre: "hall-raatuse".into(),
-        kind: Kind::Engine(Announced {
+        kind: Kind::Engine(endpoint::Engine {
             model: "formula".into(),
-            memory_tokens: MEMORY,
+            memory_tokens: MEMORY_TOKENS,
             batch_limit: 64,
             prefill_tokens_per_second: 20_000,
             load,
@@ -33,7 +33,7 @@
     }
 }
 
-/// A report of that much waiting prompt work that has seen nothing of any owner's.
+/// Returns a report with this backlog, which includes no attempt of any owner.
 pub fn load(sequence: u64, prefill_tokens: u64) -> Load {
     Load {
         sequence,
@@ -42,7 +42,7 @@
     }
 }
 
-pub fn ask(name: impl AsRef<str>, prompt_tokens: u64, deadline: Moment) -> Request {
+pub fn build_request(name: impl AsRef<str>, prompt_tokens: u64, deadline: Moment) -> Request {
     Request {
         id: name.as_ref().into(),
         workspace: "salon".into(),
@@ -63,7 +63,7 @@
     }
 }
 
-/// A router that knows `count` idle engines.
+/// Returns a router with `count` idle engines.
 pub fn router(owner: &str, count: usize, seed: u64) -> Router {
     let settings = kumquatdrum_routing::Settings::new(owner, OWNERS);
     let mut router = Router::new(settings, seed);
@@ -89,12 +89,12 @@
     found.collect()
 }
 
-/// An engine that computes prompts one by one, the highest priority first, in small steps.
+/// An engine that computes prompts one by one, highest priority first, in small steps.
 #[derive(Debug, Default)]
 pub struct Engine {
     queue: Vec<Prompt>,
     reports: u64,
-    highest: u64,
+    last_attempt: u64,
 }
 
 #[derive(Debug)]
@@ -102,24 +102,24 @@
     request: String,
     attempt: u64,
     priority: u8,
-    left: f64,
+    remaining: f64,
 }
 
-/// One engine after the other behind one router, moved on in steps.
+/// A router and its engines, simulated in steps.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct Simulation {
     pub router: Router,
     pub engines: Vec<Engine>,
-    /// Requests with the time of their first token.
+    /// Requests and the time of their first token.
     pub first_tokens: Vec<(String, Moment)>,
     pub refused: Vec<String>,
-    prompts: std::collections::HashMap<String, u64>,
+    prompt_tokens: std::collections::HashMap<String, u64>,
 }
 
-pub const STEP: f64 = 0.02;
-pub const RATE: f64 = 20_000.0;
+pub const STEP_SECONDS: f64 = 0.02;
+pub const TOKENS_PER_SECOND: f64 = 20_000.0;
 
-impl Fleet {
+impl Simulation {
     pub fn new(count: usize) -> Self {
         let settings = kumquatdrum_routing::Settings::new("a", ["a"]);
         let mut router = Router::new(settings, 1);
@@ -131,15 +131,15 @@
             engines: (0..count).map(|_| Engine::default()).collect(),
             first_tokens: Vec::new(),
             refused: Vec::new(),
-            prompts: std::collections::HashMap::new(),
+            prompt_tokens: std::collections::HashMap::new(),
         }
     }
 
-    pub fn submit(&mut self, now: Moment, ask: Request) {
-        let name = ask.id.as_str().to_owned();
-        self.prompts.insert(name, ask.prompt_tokens);
-        let outputs = self.router.submit(now, ask);
-        self.obey(&outputs);
+    pub fn submit(&mut self, now: Moment, request: Request) {
+        let name = request.id.as_str().to_owned();
+        self.prompt_tokens.insert(name, request.prompt_tokens);
+        let outputs = self.router.submit(now, request);
+        self.apply(&outputs);
     }
 
     pub fn step(&mut self, now: Moment) {
@@ -149,14 +149,14 @@
                 let outputs = self
                     .router
                     .record_progress(now, attempt, Progress::FirstToken);
-                self.obey(&outputs);
+                self.apply(&outputs);
                 let ended = Progress::Finished(Usage::default());
                 let outputs = self.router.record_progress(now, attempt, ended);
-                self.obey(&outputs);
+                self.apply(&outputs);
             }
         }
         let outputs = self.router.tick(now);
-        self.obey(&outputs);
+        self.apply(&outputs);
     }
 
     pub fn report(&mut self, now: Moment) {
@@ -164,21 +164,21 @@
             let load = self.engines[index].report();
             let announcement = announcement(index, 1, load.sequence + 1, Some(load));
             let outputs = self.router.announce(now, &announcement);
-            self.obey(&outputs);
+            self.apply(&outputs);
         }
     }
 
-    fn obey(&mut self, outputs: &[Output]) {
+    fn apply(&mut self, outputs: &[Output]) {
         for refuse in refusals(outputs) {
             self.refused.push(refuse.request.as_str().to_owned());
         }
         for dispatch in dispatches(outputs) {
             let request = dispatch.request.as_str().to_owned();
-            let place = (0..self.engines.len()).find(|i| endpoint(*i) == dispatch.endpoints[0]);
-            let engine = &mut self.engines[place.expect("a known engine")];
-            engine.highest = dispatch.attempt;
+            let index = (0..self.engines.len()).find(|i| endpoint(*i) == dispatch.endpoints[0]);
+            let engine = &mut self.engines[index.expect("a known engine")];
+            engine.last_attempt = dispatch.attempt;
             engine.queue.push(Prompt {
-                left: self.prompts[&request] as f64,
+                remaining: self.prompt_tokens[&request] as f64,
                 request,
                 attempt: dispatch.attempt,
                 priority: dispatch.engine_priority,
@@ -190,13 +190,13 @@
 impl Engine {
     fn step(&mut self) -> Vec<(String, u64)> {
         self.queue.sort_by_key(|prompt| u8::MAX - prompt.priority);
-        let mut room = STEP * RATE;
+        let mut budget = STEP_SECONDS * TOKENS_PER_SECOND;
         for prompt in &mut self.queue {
-            let done = prompt.left.min(room);
-            prompt.left -= done;
-            room -= done;
+            let completed = prompt.remaining.min(budget);
+            prompt.remaining -= completed;
+            budget -= completed;
         }
-        let ended = self.queue.extract_if(.., |prompt| prompt.left <= 0.0);
+        let ended = self.queue.extract_if(.., |prompt| prompt.remaining <= 0.0);
         ended
             .map(|prompt| (prompt.request, prompt.attempt))
             .collect()
@@ -204,12 +204,12 @@
 
     fn report(&mut self) -> Load {
         self.reports += 1;
-        let left: f64 = self.queue.iter().map(|prompt| prompt.left).sum();
+        let remaining: f64 = self.queue.iter().map(|prompt| prompt.remaining).sum();
         Load {
             sequence: self.reports,
             running: self.queue.len() as u32,
-            prefill_tokens: left as u64,
-            seen: vec![("a".to_owned(), self.highest)],
+            prefill_tokens: remaining as u64,
+            seen: vec![("a".to_owned(), self.last_attempt)],
             ..Load::default()
         }
     }
