--- a/crates/kumquatdrum_routing/src/router.rs
+++ b/crates/kumquatdrum_routing/src/router.rs
@@ -467,7 +467,7 @@
             endpoints: attempt
                 .endpoints
                 .iter()
-                .map(|(id, ..)| id.clone())
+                .map(|endpoint| endpoint.0.clone())
                 .collect(),
             attempt: number,
             engine_priority: level * LEVEL_STEP + base,
