--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -126,7 +126,7 @@
         workspace: &Workspace,
         prompt_tokens: u64,
         deadline: Duration,
-    ) -> Result<routing::Ask, Problem> {
+    ) -> Result<routing::Request, Problem> {
         let named = ask.priority.as_deref().or(workspace.priority.as_deref());
         let priority = match named.map(|name| index.priority(name)) {
             None => routing::Priority::default(),
@@ -141,8 +141,8 @@
                     .with_message("header x-priority names no declared priority"));
             }
         };
-        Ok(routing::Ask {
-            request: caller.request.clone(),
+        Ok(routing::Request {
+            id: caller.request.clone(),
             workspace: workspace.name.clone(),
             weight: workspace.weight,
             priority,
@@ -151,10 +151,10 @@
             prefix: prefix(ask),
             deadline: self.shell.clock.now() + deadline,
             excluded: Vec::new(),
-            work: if ask.model {
-                routing::Work::Model
+            kind: if ask.model {
+                routing::RequestKind::Model
             } else {
-                routing::Work::Plain
+                routing::RequestKind::Plain
             },
         })
     }
