--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -7,7 +7,7 @@
 use kumquatdrum_caller::admission::Problem;
 use kumquatdrum_daemon::flight::Ending;
 use kumquatdrum_setup::claim::Holder;
-use kumquatdrum_setup::{Claim, ClaimAnswer, Failure, AttemptStatus, Settlement};
+use kumquatdrum_setup::{AttemptStatus, Claim, ClaimAnswer, Failure, Settlement};
 use kumquatdrum_types::exchange::{Stage, Target};
 use kumquatdrum_types::{
     AttemptId, FailureClass, IdempotencyKey, Moment, Refusal, RequestId, ServiceName, WorkspaceName,
