--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -10,7 +10,7 @@
 use kumquatdrum_disk::{Report, Store as _, Writer};
 use kumquatdrum_membership::Member;
 use kumquatdrum_operator::{Context, Operators};
-use kumquatdrum_peer::{Client, Counters, Local};
+use kumquatdrum_peer::{Client, Counters, LocalDaemon};
 use kumquatdrum_process::{Metrics, face};
 use kumquatdrum_setup::Control;
 use kumquatdrum_types::{BootId, HostId};
@@ -397,7 +397,7 @@
 async fn serve_peers(
     listener: TcpListener,
     inbox: Arc<Inbox>,
-    local: Local,
+    local: LocalDaemon,
     mut stop: watch::Receiver<bool>,
 ) {
     let logger = local.logger.clone();
@@ -433,7 +433,7 @@
         data_centre: settings.data_centre.clone(),
     };
     let mut node = kumquatdrum_consensus::Settings::new(member);
-    node.initial.clone_from(&settings.replicas);
+    node.initial_hosts.clone_from(&settings.replicas);
     let (handle, events, received) = Handle::new();
     let report: Report = Box::new(move |written| events.send(Event::from(written)).is_ok());
     let parts = Parts {
--- a/crates/kumquatdrum_membership/src/backlog.rs
+++ b/crates/kumquatdrum_membership/src/backlog.rs
@@ -1,37 +1,37 @@
-//! What one peer still has to be told, in the order of its weight.
+//! Updates that remain to be sent to a peer.
 
 use indexmap::IndexMap;
 use kumquatdrum_types::{DataCentre, EndpointId};
 
-/// How often a leaving notice is told, in case one telling is lost.
-pub(crate) const LEAVING_TELLINGS: u8 = 2;
+/// Number of pushes that carry a leaving notice, in case one is lost.
+pub(crate) const LEAVING_TRANSMISSIONS: u8 = 2;
 
-/// What a peer has to be told of an endpoint; the greater covers the lesser.
+/// Update about an endpoint; a greater one includes the lesser ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Need {
-    /// That it renewed its announcement.
+pub(crate) enum Update {
+    /// Renewal without load.
     Renewal,
-    /// Its load too.
+    /// Renewal with load.
     Load,
-    /// Its whole record.
+    /// Full record.
     Record,
-    /// That it is leaving, this many times.
+    /// Leaving notice, with the number of pushes that still have to carry it.
     Leaving(u8),
 }
 
-/// The needs of one peer; one for each endpoint at most, so that its size is bounded.
+/// Pending updates for one peer, at most one for each endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
-    pub(crate) endpoints: IndexMap<EndpointId, Need>,
+    pub(crate) endpoints: IndexMap<EndpointId, Update>,
     pub(crate) summaries: Vec<DataCentre>,
 }
 
 impl Backlog {
-    pub(crate) fn add(&mut self, id: &EndpointId, need: Need) {
+    pub(crate) fn add(&mut self, id: &EndpointId, update: Update) {
         match self.endpoints.get_mut(id) {
-            Some(known) => *known = need.max(*known),
+            Some(known) => *known = update.max(*known),
             None => {
-                self.endpoints.insert(id.clone(), need);
+                self.endpoints.insert(id.clone(), update);
             }
         }
     }
--- a/crates/kumquatdrum_types/src/lib.rs
+++ b/crates/kumquatdrum_types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, time and messages that every package shares.
+//! Shared identifiers, clock types and messages.
 
 pub mod digest;
 pub mod endpoint;
@@ -17,5 +17,5 @@
     ServiceName, Version, WorkspaceName,
 };
 pub use load::Load;
-pub use outcome::{Class, Refusal};
+pub use outcome::{FailureClass, Refusal};
 pub use time::Moment;
