--- a/crates/kumquatdrum_engine/src/order.rs
+++ b/crates/kumquatdrum_engine/src/order.rs
@@ -41,7 +41,7 @@
 struct TooLate;
 
 fn flight() -> Duration {
-    Settings::default().flight
+    Settings::default().delivery_timeout
 }
 
 /// A client whose connections, kernel buffers included, give up within an order's flight.
@@ -99,7 +99,7 @@
         Err(error) => return lost(&error),
     };
     match serde_json::from_slice::<Refused>(&body) {
-        Ok(Refused { error }) if error.code == "old_fencing" => Answer::OldFencing {
+        Ok(Refused { error }) if error.code == "old_fencing" => Answer::Fenced {
             current: error.current,
         },
         Ok(Refused { error }) => refused(format!("{}: {}", error.code, error.message)),
--- a/crates/kumquatdrum_host/src/orders.rs
+++ b/crates/kumquatdrum_host/src/orders.rs
@@ -116,7 +116,7 @@
         for output in self.core.step(self.shell.clock.now(), input) {
             match output {
                 Output::Send(order) => self.send(order),
-                Output::Ask(endpoint) => self.ask(endpoint),
+                Output::Probe(endpoint) => self.ask(endpoint),
                 Output::Audit(record) => self.log(&record),
                 // Leadership is told every round, which is soon enough.
                 Output::Wake(_) => {}
@@ -134,7 +134,7 @@
         let clock = self.shell.clock;
         let id = order.id;
         let checked = order.clone();
-        let check = Box::new(move || checked.may_be_sent(clock.now()));
+        let check = Box::new(move || checked.can_be_sent(clock.now()));
         let answer = self.shell.engine.order(target, &order, check);
         self.under_way
             .spawn(async move { Input::Answered(id, answer.await) });
--- a/crates/kumquatdrum_host/tests/orders.rs
+++ b/crates/kumquatdrum_host/tests/orders.rs
@@ -120,7 +120,7 @@
     let answer = client.order(&target, &fence, Box::new(|| true));
     assert_eq!(answer.await, Answer::Accepted);
     let answer = client.order(&target, &load(&target, 7), Box::new(|| true));
-    assert_eq!(answer.await, Answer::OldFencing { current: 8 });
+    assert_eq!(answer.await, Answer::Fenced { current: 8 });
     let report = client.order_report(&target).await.expect("a report");
     assert_eq!(report.version.as_deref(), Some("1"));
     engine.shutdown().await;
--- a/crates/kumquatdrum_orders/src/input.rs
+++ b/crates/kumquatdrum_orders/src/input.rs
@@ -27,7 +27,7 @@
         reason: String,
     },
     /// The engine has had an order with a higher fencing number.
-    OldFencing {
+    Fenced {
         /// That number.
         current: u64,
     },
--- a/crates/kumquatdrum_orders/src/order.rs
+++ b/crates/kumquatdrum_orders/src/order.rs
@@ -106,10 +106,10 @@
     ///     action: Action::Fence,
     ///     send_until: Moment::from_millis(500),
     /// };
-    /// assert!(order.may_be_sent(Moment::from_millis(500)));
-    /// assert!(!order.may_be_sent(Moment::from_millis(501)));
+    /// assert!(order.can_be_sent(Moment::from_millis(500)));
+    /// assert!(!order.can_be_sent(Moment::from_millis(501)));
     /// ```
-    pub fn may_be_sent(&self, now: Moment) -> bool {
+    pub fn can_be_sent(&self, now: Moment) -> bool {
         now <= self.send_until
     }
 }
--- a/crates/kumquatdrum_orders/src/output.rs
+++ b/crates/kumquatdrum_orders/src/output.rs
@@ -9,10 +9,10 @@
 /// What the shell is to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Send an order, once, if [`Order::may_be_sent`] right before, and tell how it went.
+    /// Send an order, once, if [`Order::can_be_sent`] right before, and tell how it went.
     Send(Order),
     /// Ask an engine for its report.
-    Ask(EndpointId),
+    Probe(EndpointId),
     /// Write down what happened.
     Audit(Record),
     /// Tick at this moment at the latest.
--- a/crates/kumquatdrum_orders/src/reconciler.rs
+++ b/crates/kumquatdrum_orders/src/reconciler.rs
@@ -40,7 +40,7 @@
 /// Compares the declaration with what engines report and gives orders for the difference.
 ///
 /// It decides on a tick, on an answer and where leadership is told, which must be several times
-/// within a lease. Each [`Output::Send`] must be answered by one [`Input::Answered`], and each [`Output::Ask`] by
+/// within a lease. Each [`Output::Send`] must be answered by one [`Input::Answered`], and each [`Output::Probe`] by
 /// one [`Input::Reported`], within bounded time.
 #[derive(Debug)]
 pub struct Reconciler {
@@ -214,14 +214,14 @@
             }
             Answer::Lost { reason } => {
                 // It may still arrive; a report that is asked for before then proves nothing.
-                endpoint.ask_at = now + self.settings.flight;
+                endpoint.ask_at = now + self.settings.delivery_timeout;
                 outputs.push(record(Event::Lost(reason)));
             }
             Answer::NotSent => {
                 endpoint.is_away = false;
                 outputs.push(record(Event::NotSent));
             }
-            Answer::OldFencing { current } => {
+            Answer::Fenced { current } => {
                 endpoint.is_away = false;
                 self.deposed = self.deposed.max(Some(id.fencing));
                 outputs.push(record(Event::SteppedDown(current)));
@@ -306,7 +306,7 @@
                 asked_at: now,
                 is_void: false,
             });
-            outputs.push(Output::Ask(id));
+            outputs.push(Output::Probe(id));
         }
     }
 
--- a/crates/kumquatdrum_orders/src/settings.rs
+++ b/crates/kumquatdrum_orders/src/settings.rs
@@ -8,7 +8,7 @@
     /// Loads a minute that the weight store takes.
     pub loads_per_minute: u32,
     /// The longest time from an order's last check to its taking effect.
-    pub flight: Duration,
+    pub delivery_timeout: Duration,
     /// The longest lease that a leader can hold, by its own clock.
     pub longest_lease: Duration,
     /// How far clocks may run apart, in percent.
@@ -31,7 +31,7 @@
     fn default() -> Self {
         Self {
             loads_per_minute: 12,
-            flight: Duration::from_millis(300),
+            delivery_timeout: Duration::from_millis(300),
             longest_lease: Duration::from_secs(1),
             drift_percent: 10,
             first_retry: Duration::from_secs(1),
@@ -64,7 +64,7 @@
     /// assert_eq!(settings.takeover_wait(), Duration::from_millis(1_400));
     /// ```
     pub fn takeover_wait(&self) -> Duration {
-        self.longest_lease + self.drift_margin() + self.flight
+        self.longest_lease + self.drift_margin() + self.delivery_timeout
     }
 
     /// The wait after an order was given `attempts` times in vain.
--- a/crates/kumquatdrum_orders/src/view.rs
+++ b/crates/kumquatdrum_orders/src/view.rs
@@ -92,7 +92,7 @@
         if rule::checks_fencing(index, id) {
             return Moment::NEVER;
         }
-        let reserve = self.settings.flight + self.settings.drift_margin();
+        let reserve = self.settings.delivery_timeout + self.settings.drift_margin();
         let lease = leading.lease_until.unwrap_or(Moment::ZERO);
         Moment::ZERO + (lease - (Moment::ZERO + reserve))
     }
--- a/crates/kumquatdrum_orders/tests/support/mod.rs
+++ b/crates/kumquatdrum_orders/tests/support/mod.rs
@@ -87,7 +87,7 @@
         }
         if self.checks && order.id.fencing < self.known_fencing {
             let current = self.known_fencing;
-            return Answer::OldFencing { current };
+            return Answer::Fenced { current };
         }
         self.known_fencing = self.known_fencing.max(order.id.fencing);
         match &order.action {
@@ -296,7 +296,7 @@
         for output in self.leaders[place].core.step(own, input) {
             match output {
                 Output::Send(order) => self.hand_over(place, order),
-                Output::Ask(id) => self.later(0, Packet::Ask(place, id)),
+                Output::Probe(id) => self.later(0, Packet::Ask(place, id)),
                 Output::Audit(record) => self.records.push(record),
                 Output::Wake(_) => {}
             }
@@ -348,7 +348,7 @@
 
     /// The shell's last check, then the flight.
     fn send(&mut self, place: usize, order: Order) {
-        if !order.may_be_sent(self.leaders[place].now(self.now)) {
+        if !order.can_be_sent(self.leaders[place].now(self.now)) {
             return self.input(place, Input::Answered(order.id, Answer::NotSent));
         }
         self.sent.push((self.now, order.clone()));
