--- a/crates/kumquatdrum_orders/src/bucket.rs
+++ b/crates/kumquatdrum_orders/src/bucket.rs
@@ -1,34 +1,34 @@
-//! The weight store's rate: a token bucket with room for one load.
+//! Rate limit of the weight store: a token bucket that holds one token.
 
 use std::time::Duration;
 
 use kumquatdrum_types::Moment;
 
-/// Lets one load through every so often. It starts empty, as the leader before may just have
-/// used the store.
+/// A token bucket that permits one load per interval. It starts empty, because the previous
+/// leader may just have taken a token.
 #[derive(Debug)]
 pub struct Bucket {
     interval: Duration,
-    free_at: Moment,
+    next_token_at: Moment,
 }
 
 impl Bucket {
-    /// A bucket that lets the first load through one interval after `now`.
+    /// Creates a bucket that permits the first load one interval after `now`.
     pub fn new(now: Moment, loads_per_minute: u32) -> Self {
         let interval = Duration::from_secs(60) / loads_per_minute.max(1);
         Self {
             interval,
-            free_at: now + interval,
+            next_token_at: now + interval,
         }
     }
 
-    /// Whether a load may go now.
-    pub fn is_free(&self, now: Moment) -> bool {
-        now >= self.free_at
+    /// Whether a load is permitted now.
+    pub fn has_token(&self, now: Moment) -> bool {
+        now >= self.next_token_at
     }
 
-    /// Takes a load out.
-    pub fn take(&mut self, now: Moment) {
-        self.free_at = now + self.interval;
+    /// Takes the token.
+    pub fn take_token(&mut self, now: Moment) {
+        self.next_token_at = now + self.interval;
     }
 }
--- a/crates/kumquatdrum_orders/src/endpoint.rs
+++ b/crates/kumquatdrum_orders/src/endpoint.rs
@@ -1,10 +1,10 @@
-//! What the reconciler knows of one engine.
+//! The reconciler's state of one engine.
 
 use kumquatdrum_types::{BootId, Moment, ServiceName};
 
 use crate::{Action, Order, Report, Role};
 
-/// An order that was given, and how often in a row.
+/// The latest order to an engine and the number of consecutive attempts at it.
 #[derive(Debug)]
 pub struct Attempt {
     pub order: Order,
@@ -13,34 +13,34 @@
     pub is_done: bool,
 }
 
-/// A question for a report that is under way.
+/// A request for a report that is in flight.
 #[derive(Debug)]
-pub struct Question {
-    pub asked_at: Moment,
-    /// It was asked before this leader led, so that its answer proves nothing.
-    pub is_void: bool,
+pub struct Probe {
+    pub sent_at: Moment,
+    /// Sent before this term or to an earlier boot of the engine; the report is discarded.
+    pub is_stale: bool,
 }
 
-/// One engine.
+/// The state of one engine.
 #[derive(Debug)]
 pub struct Endpoint {
     pub boot: BootId,
     pub service: ServiceName,
     pub is_present: bool,
-    /// It has taken note of this leader's fencing number.
+    /// Whether the engine has accepted this leader's fencing token.
     pub is_fenced: bool,
-    /// Its last report, and when it was asked for.
+    /// The last report and the time at which its probe was sent.
     pub report: Option<(Report, Moment)>,
-    pub question: Option<Question>,
-    pub ask_at: Moment,
-    pub failed_questions: u32,
-    /// The order whose answer is awaited.
+    pub probe: Option<Probe>,
+    pub next_probe_at: Moment,
+    pub failed_probes: u32,
+    /// The order in flight.
     pub pending: Option<Order>,
     pub last: Option<Attempt>,
-    /// It was told to load a model and has not reported itself ready since.
-    pub is_away: bool,
+    /// Whether a model load was ordered and no later report has shown its end.
+    pub is_load_ordered: bool,
     pub withheld_since: Option<Moment>,
-    pub withheld_told: bool,
+    pub is_withheld_logged: bool,
 }
 
 impl Endpoint {
@@ -51,60 +51,60 @@
             is_present: true,
             is_fenced: false,
             report: None,
-            question: None,
-            ask_at: now,
-            failed_questions: 0,
+            probe: None,
+            next_probe_at: now,
+            failed_probes: 0,
             pending: None,
             last: None,
-            is_away: false,
+            is_load_ordered: false,
             withheld_since: None,
-            withheld_told: false,
+            is_withheld_logged: false,
         }
     }
 
-    /// Starts over with another life of the engine. What is under way stays awaited.
-    pub fn reboot(&mut self, now: Moment, boot: BootId, service: ServiceName) {
+    /// Resets the state for a new boot of the engine, keeping what is in flight.
+    pub fn reset_for_boot(&mut self, now: Moment, boot: BootId, service: ServiceName) {
         let pending = self.pending.take();
-        let question = self.question.take();
+        let probe = self.probe.take();
         *self = Self::new(now, boot, service);
         self.pending = pending;
-        self.question = question;
-        self.void_question();
+        self.probe = probe;
+        self.mark_probe_stale();
     }
 
-    /// Forgets what an earlier leadership knew.
-    pub fn start_over(&mut self, now: Moment) {
-        self.reboot(now, self.boot, self.service.clone());
+    /// Discards what was learnt in an earlier term.
+    pub fn reset(&mut self, now: Moment) {
+        self.reset_for_boot(now, self.boot, self.service.clone());
     }
 
-    fn void_question(&mut self) {
-        if let Some(question) = &mut self.question {
-            question.is_void = true;
+    fn mark_probe_stale(&mut self) {
+        if let Some(probe) = &mut self.probe {
+            probe.is_stale = true;
         }
     }
 
-    /// Nothing is under way to it.
+    /// Whether no order and no probe is in flight.
     pub const fn is_idle(&self) -> bool {
-        self.pending.is_none() && self.question.is_none()
+        self.pending.is_none() && self.probe.is_none()
     }
 
-    /// Whether it may take no requests at present because of an order.
-    pub fn is_changing(&self) -> bool {
+    /// Whether the engine may refuse requests because of a model load.
+    pub fn is_loading(&self) -> bool {
         let loads = |order: &Order| matches!(order.action, Action::LoadModel { .. });
         let reported = |(report, _): &(Report, Moment)| report.role == Role::Loading;
-        self.is_away
+        self.is_load_ordered
             || self.pending.as_ref().is_some_and(loads)
             || self.report.as_ref().is_some_and(reported)
     }
 
-    /// Whether it reports to stand by and nothing is under way to change that.
-    pub fn stands_by(&self) -> bool {
+    /// Whether the last report says standby and no order is in flight.
+    pub fn is_standby(&self) -> bool {
         let reported = |(report, _): &(Report, Moment)| report.role == Role::Standby;
         self.pending.is_none() && self.report.as_ref().is_some_and(reported)
     }
 
-    /// Whether it reports to serve a model.
-    pub fn serves(&self, model: &str) -> bool {
+    /// Whether the last report says that the engine serves `model`.
+    pub fn is_serving(&self, model: &str) -> bool {
         let Some((report, _)) = &self.report else {
             return false;
         };
--- a/crates/kumquatdrum_orders/src/input.rs
+++ b/crates/kumquatdrum_orders/src/input.rs
@@ -1,4 +1,4 @@
-//! What the reconciler is told.
+//! Inputs of the reconciler.
 
 use std::sync::Arc;
 
@@ -7,61 +7,61 @@
 
 use crate::{OrderId, Report};
 
-/// Leadership as this replica can prove it.
+/// The leadership that this replica can prove.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Leadership {
-    /// The term, which is the fencing number of this leader's orders.
+    /// The term, used as the fencing token of this leader's orders.
     pub term: u64,
-    /// Until when no other replica can lead, by this host's clock; none where it can't be proved.
+    /// The end of the lease on this host's clock; `None` if the lease can't be proved.
     pub lease_until: Option<Moment>,
 }
 
-/// How an order went.
+/// The outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// The engine does it.
+    /// The engine carries out the order.
     Accepted,
-    /// The engine won't, and did nothing.
+    /// The engine refused the order and did nothing.
     Refused {
-        /// Why, in the engine's words.
+        /// The engine's reason.
         reason: String,
     },
-    /// The engine has had an order with a higher fencing number.
+    /// The engine has seen a higher fencing token.
     Fenced {
-        /// That number.
+        /// The engine's current fencing token.
         current: u64,
     },
-    /// It may or may not have arrived.
+    /// The order may or may not have reached the engine.
     Lost {
-        /// What went wrong.
+        /// The transport error.
         reason: String,
     },
-    /// No byte of it was sent, as the lease had run out.
+    /// Nothing was sent because the lease had expired.
     NotSent,
 }
 
-/// What reaches the reconciler.
+/// An event for the reconciler.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// A version is in force.
+    /// A version of the declaration is in force.
     Declared(Version, Arc<Declaration>),
-    /// An engine lives.
+    /// An engine is alive.
     Announced {
-        /// Which.
+        /// The engine's name.
         endpoint: EndpointId,
-        /// Its life.
+        /// The engine's boot.
         boot: BootId,
-        /// The service that it announces.
+        /// The service that the engine announces.
         service: ServiceName,
     },
-    /// An engine is gone or leaves.
+    /// An engine has failed or is leaving.
     Gone(EndpointId),
-    /// An engine's report, or none where it could not be had.
+    /// The result of a probe; `None` if it failed.
     Reported(EndpointId, Option<Report>),
-    /// What this replica can prove; none where it does not lead.
+    /// The replica's leadership; `None` if it doesn't lead.
     Leadership(Option<Leadership>),
-    /// How an order went.
+    /// The outcome of an order.
     Answered(OrderId, Answer),
-    /// Time has passed.
+    /// The clock has advanced.
     Tick,
 }
--- a/crates/kumquatdrum_orders/src/lib.rs
+++ b/crates/kumquatdrum_orders/src/lib.rs
@@ -1,7 +1,7 @@
-//! Core: orders to engines, so that they load what the declaration says.
+//! Core: orders that bring engines to the models and adapters of the declaration.
 //!
-//! [`Reconciler`] runs on the control leader. It compares the declaration in force with what
-//! engines report and gives orders for the difference. It has no clock and does no I/O.
+//! [`Reconciler`] runs on the control leader. It compares the declaration in force with the
+//! engines' reports and issues orders for the difference. It has no clock and does no I/O.
 
 mod bucket;
 mod endpoint;
--- a/crates/kumquatdrum_orders/src/order.rs
+++ b/crates/kumquatdrum_orders/src/order.rs
@@ -1,42 +1,42 @@
-//! Orders and reports, as they travel to and from engines.
+//! Orders to engines and reports from engines.
 
 use std::fmt;
 
 use kumquatdrum_types::{BootId, EndpointId, ModelName, Moment};
 use serde::{Deserialize, Serialize};
 
-/// Names an order over all leaders.
+/// Identifies an order among those of all leaders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderId {
-    /// The fencing number: the term of the leader that gives it.
+    /// The fencing token: the term of the leader that issues the order.
     pub fencing: u64,
-    /// Its place among the leader's orders.
+    /// The position among the leader's orders.
     pub sequence: u64,
 }
 
-/// What an engine is to do. Doing it again changes nothing.
+/// A change that an engine is ordered to make. All actions are idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Only take note of the fencing number.
+    /// Record the fencing token and do nothing else.
     Fence,
-    /// Finish what runs, then load these weights in place of the loaded ones.
+    /// Finish running requests, then replace the loaded weights by these.
     LoadModel {
         /// The model.
         model: ModelName,
-        /// The version of its weights.
+        /// The version of the weights.
         version: String,
     },
-    /// Load an adapter, in place of another version of it.
+    /// Load an adapter, replacing any other version of it.
     LoadAdapter(Adapter),
     /// Unload an adapter.
     UnloadAdapter {
-        /// Its name.
+        /// The adapter's name.
         name: String,
     },
     /// Change the role.
     ChangeRole {
-        /// The new one.
+        /// The new role.
         role: Role,
     },
 }
@@ -44,57 +44,57 @@
 /// An adapter of the loaded model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Adapter {
-    /// Its name.
+    /// The adapter's name.
     pub name: String,
-    /// Its version.
+    /// The adapter's version.
     pub version: String,
 }
 
-/// What an engine does at present.
+/// Whether an engine takes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes requests.
+    /// The engine takes requests.
     Serving,
-    /// Has weights but takes no requests.
+    /// Weights are loaded, but the engine takes no requests.
     Standby,
-    /// Loads weights and takes no requests meanwhile.
+    /// The engine loads weights and takes no requests.
     Loading,
 }
 
-/// An order to one life of an engine.
+/// An order to one boot of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// Its name.
+    /// The order's identifier.
     pub id: OrderId,
-    /// To whom.
+    /// The engine that is ordered.
     pub endpoint: EndpointId,
-    /// To which life; another one refuses it.
+    /// The boot that the order is for; an engine on any other boot refuses it.
     pub boot: BootId,
-    /// What to do.
+    /// The ordered change.
     pub action: Action,
-    /// It must not be sent after this moment of the leader's clock; [`Moment::NEVER`] where the
-    /// engine itself refuses old fencing numbers.
+    /// The time on the leader's clock after which the order must not be sent; [`Moment::NEVER`]
+    /// if the engine checks fencing tokens.
     pub send_until: Moment,
 }
 
-/// What an engine says of what it has loaded.
+/// An engine's report of its loaded model, adapters and role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The life that speaks.
+    /// The engine's boot.
     pub boot: BootId,
-    /// The loaded model; none before the first load.
+    /// The loaded model; `None` before the first load.
     pub model: Option<ModelName>,
-    /// The version of its weights.
+    /// The version of the loaded weights.
     pub version: Option<String>,
     /// The loaded adapters.
     pub adapters: Vec<Adapter>,
-    /// What it does.
+    /// The engine's role.
     pub role: Role,
 }
 
 impl Order {
-    /// Whether it may still be sent. The shell asks right before it hands the bytes over.
+    /// Whether the order can still be sent. Checked right before the bytes are written.
     ///
     /// ```
     /// use kumquatdrum_orders::{Action, Order, OrderId};
@@ -115,15 +115,15 @@
 }
 
 impl Action {
-    /// Whether it reads from the weight store.
-    pub(crate) const fn loads(&self) -> bool {
+    /// Whether the action reads from the weight store.
+    pub(crate) const fn is_load(&self) -> bool {
         matches!(self, Self::LoadModel { .. } | Self::LoadAdapter(_))
     }
 
-    /// Whether a report shows its effect.
+    /// Whether a report shows the action's effect.
     pub(crate) fn is_done(&self, report: &Report) -> bool {
         match self {
-            // Reports don't show fencing numbers; the answer tells.
+            // Reports hold no fencing token; the order's answer confirms it.
             Self::Fence => false,
             Self::LoadModel { model, version } => {
                 report.role != Role::Loading
--- a/crates/kumquatdrum_orders/src/output.rs
+++ b/crates/kumquatdrum_orders/src/output.rs
@@ -1,4 +1,4 @@
-//! What the reconciler wants done.
+//! Outputs of the reconciler.
 
 use std::fmt;
 
@@ -6,53 +6,53 @@
 
 use crate::{Action, Order, OrderId};
 
-/// What the shell is to do.
+/// Work for the host to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Send an order, once, if [`Order::can_be_sent`] right before, and tell how it went.
+    /// Send an order once, if [`Order::can_be_sent`] holds right before, and report the outcome.
     Send(Order),
-    /// Ask an engine for its report.
+    /// Request a report from an engine.
     Probe(EndpointId),
-    /// Write down what happened.
+    /// Write a record to the audit log.
     Audit(Record),
-    /// Tick at this moment at the latest.
+    /// Send the next tick at this time at the latest.
     Wake(Moment),
 }
 
-/// What happened.
+/// A step in the life cycle of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// Handed to the shell.
+    /// The order was handed to the host for sending.
     Sent,
-    /// The engine's report shows its effect.
+    /// A report shows the order's effect.
     Done,
-    /// Not done; the reason says why.
+    /// The engine refused the order for this reason.
     Refused(String),
-    /// Not known; the report will tell.
+    /// The outcome is unknown until the next report.
     Lost(String),
-    /// Not sent, as the lease had run out.
+    /// The order was not sent because the lease had expired.
     NotSent,
-    /// Not given, as it would take the model's last serving replica away.
+    /// No order was issued because it would take down the model's last serving replica.
     Withheld,
-    /// Another leader has given orders; this one gives no more in its term.
+    /// An engine has seen this higher fencing token; the leader issues no more orders in its term.
     SteppedDown(u64),
 }
 
-/// One line of what happened to an order.
+/// An entry of the audit log about one order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// What.
+    /// The step.
     pub event: Event,
-    /// To whom.
+    /// The engine that is ordered.
     pub endpoint: EndpointId,
-    /// Which order, where one was given.
+    /// The order's identifier; `None` if no order was issued.
     pub order: Option<OrderId>,
-    /// What it orders.
+    /// The ordered change.
     pub action: Action,
 }
 
 impl Event {
-    /// Its name in logs.
+    /// Returns the event's name in logs.
     ///
     /// ```
     /// assert_eq!(kumquatdrum_orders::Event::Sent.name(), "order_sent");
@@ -69,14 +69,16 @@
         }
     }
 
-    /// Why, in words.
+    /// Returns the reason for the log; empty if the event needs none.
     pub fn reason(&self) -> String {
         match self {
             Self::Sent | Self::Done => String::new(),
             Self::Refused(reason) | Self::Lost(reason) => reason.clone(),
-            Self::NotSent => "the lease has run out".to_owned(),
-            Self::Withheld => "it is the model's last serving replica".to_owned(),
-            Self::SteppedDown(current) => format!("the engine knows fencing number {current}"),
+            Self::NotSent => "the lease has expired".to_owned(),
+            Self::Withheld => "the engine is the model's last serving replica".to_owned(),
+            Self::SteppedDown(current) => {
+                format!("the engine has seen fencing token {current}")
+            }
         }
     }
 }
--- a/crates/kumquatdrum_orders/src/settings.rs
+++ b/crates/kumquatdrum_orders/src/settings.rs
@@ -1,30 +1,31 @@
-//! Times and rates of the reconciler.
+//! Timeouts, intervals and rates of the reconciler.
 
 use std::time::Duration;
 
-/// Times and rates. `longest_lease` and `drift_percent` must cover those of the consensus.
+/// Timeouts, intervals and rates. `max_lease` and `max_drift_percent` must be at least those of
+/// the consensus.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Loads a minute that the weight store takes.
+    /// Loads per minute that the weight store permits.
     pub loads_per_minute: u32,
-    /// The longest time from an order's last check to its taking effect.
+    /// The longest time from an order's last lease check to its effect.
     pub delivery_timeout: Duration,
-    /// The longest lease that a leader can hold, by its own clock.
-    pub longest_lease: Duration,
-    /// How far clocks may run apart, in percent.
-    pub drift_percent: u32,
-    /// The wait after the first failure of an order; it doubles with each further one.
-    pub first_retry: Duration,
-    /// The longest wait after a failure.
-    pub longest_retry: Duration,
-    /// Time between two reports of an engine whose model is being changed somewhere.
-    pub busy_interval: Duration,
-    /// Time between two reports of an engine at rest.
-    pub idle_interval: Duration,
-    /// An engine counts as serving for this long after its report.
+    /// The longest lease that a leader can hold, on its own clock.
+    pub max_lease: Duration,
+    /// The maximum difference in rate between two clocks, in percent.
+    pub max_drift_percent: u32,
+    /// The backoff after the first failure; it doubles with each consecutive one.
+    pub initial_backoff: Duration,
+    /// The upper bound of the backoff.
+    pub max_backoff: Duration,
+    /// The probe interval of engines whose model differs from the declaration somewhere.
+    pub changing_probe_interval: Duration,
+    /// The probe interval of all other engines.
+    pub idle_probe_interval: Duration,
+    /// How long a report is valid.
     pub report_validity: Duration,
-    /// Questions for reports under way at once.
-    pub questions: usize,
+    /// The maximum number of probes in flight.
+    pub max_probes: usize,
 }
 
 impl Default for Settings {
@@ -32,20 +33,20 @@
         Self {
             loads_per_minute: 12,
             delivery_timeout: Duration::from_millis(300),
-            longest_lease: Duration::from_secs(1),
-            drift_percent: 10,
-            first_retry: Duration::from_secs(1),
-            longest_retry: Duration::from_secs(60),
-            busy_interval: Duration::from_millis(500),
-            idle_interval: Duration::from_secs(300),
+            max_lease: Duration::from_secs(1),
+            max_drift_percent: 10,
+            initial_backoff: Duration::from_secs(1),
+            max_backoff: Duration::from_secs(60),
+            changing_probe_interval: Duration::from_millis(500),
+            idle_probe_interval: Duration::from_secs(300),
             report_validity: Duration::from_secs(5),
-            questions: 16,
+            max_probes: 16,
         }
     }
 }
 
 impl Settings {
-    /// What clocks may gain on each other within the longest lease.
+    /// Returns the maximum drift between two clocks over the longest lease.
     ///
     /// ```
     /// use std::time::Duration;
@@ -53,10 +54,10 @@
     /// assert_eq!(settings.drift_margin(), Duration::from_millis(100));
     /// ```
     pub fn drift_margin(&self) -> Duration {
-        self.longest_lease * self.drift_percent / 100
+        self.max_lease * self.max_drift_percent / 100
     }
 
-    /// How long a new leader waits before it orders an engine that ignores fencing numbers.
+    /// Returns how long a new leader waits before it orders an engine that ignores fencing tokens.
     ///
     /// ```
     /// use std::time::Duration;
@@ -64,12 +65,12 @@
     /// assert_eq!(settings.takeover_wait(), Duration::from_millis(1_400));
     /// ```
     pub fn takeover_wait(&self) -> Duration {
-        self.longest_lease + self.drift_margin() + self.delivery_timeout
+        self.max_lease + self.drift_margin() + self.delivery_timeout
     }
 
-    /// The wait after an order was given `attempts` times in vain.
+    /// Returns the backoff after `attempts` consecutive failures.
     pub(crate) fn backoff(&self, attempts: u32) -> Duration {
         let doublings = attempts.saturating_sub(1).min(16);
-        (self.first_retry * (1 << doublings)).min(self.longest_retry)
+        (self.initial_backoff * (1 << doublings)).min(self.max_backoff)
     }
 }
--- a/crates/kumquatdrum_orders/src/view.rs
+++ b/crates/kumquatdrum_orders/src/view.rs
@@ -1,4 +1,4 @@
-//! What the reconciler can tell of engines and models at a moment.
+//! Queries on the reconciler's state of engines and models.
 
 use indexmap::IndexSet;
 use kumquatdrum_declaration::Model;
@@ -8,60 +8,73 @@
 use crate::{Action, Reconciler, Report, rule};
 
 impl Reconciler {
-    /// Whether a predecessor's orders can't take effect at an engine any more.
-    pub(crate) fn is_taken_over(&self, now: Moment, id: &EndpointId, endpoint: &Endpoint) -> bool {
-        match (&self.leading, self.index()) {
+    /// Whether orders of earlier leaders can't take effect at an engine any more.
+    pub(crate) fn is_takeover_complete(
+        &self,
+        now: Moment,
+        id: &EndpointId,
+        endpoint: &Endpoint,
+    ) -> bool {
+        match (&self.term, self.index()) {
             (Some(_), Some(index)) if rule::checks_fencing(index, id) => endpoint.is_fenced,
-            (Some(leading), Some(_)) => now >= leading.since + self.settings.takeover_wait(),
+            (Some(term), Some(_)) => now >= term.started_at + self.settings.takeover_wait(),
             _ => false,
         }
     }
 
-    /// A report that is recent enough to build on.
-    pub(crate) fn recent<'a>(&self, now: Moment, endpoint: &'a Endpoint) -> Option<&'a Report> {
+    /// Returns an engine's report if it is still valid.
+    pub(crate) fn recent_report<'a>(
+        &self,
+        now: Moment,
+        endpoint: &'a Endpoint,
+    ) -> Option<&'a Report> {
         let (report, at) = endpoint.report.as_ref()?;
         let is_recent = now - *at <= self.settings.report_validity;
         (is_recent && endpoint.is_present && endpoint.pending.is_none()).then_some(report)
     }
 
-    /// Replicas that serve a model, and those of them at the declared version.
-    pub(crate) fn serving(&self, model: &Model) -> (u32, u32) {
-        let serves = |endpoint: &&Endpoint| endpoint.serves(model.name.as_str());
+    /// Counts the replicas that serve a model, and those of them at the declared version.
+    pub(crate) fn count_serving(&self, model: &Model) -> (u32, u32) {
+        let is_serving = |endpoint: &&Endpoint| endpoint.is_serving(model.name.as_str());
         let is_current = |endpoint: &&Endpoint| {
             let report = endpoint.report.as_ref();
             report.is_some_and(|(report, _)| report.version.as_ref() == Some(&model.version))
         };
-        let all = self.endpoints.values().filter(serves);
+        let all = self.endpoints.values().filter(is_serving);
         let current = all.clone().filter(is_current);
         (all.count() as u32, current.count() as u32)
     }
 
-    /// Engines of a model but for those that surely stand by: an engine that loads, is being
-    /// called in or has not reported yet may serve soon.
-    fn engaged(&self, model: &Model) -> u32 {
+    /// Counts the engines of a model that serve or may soon serve: all but those known to be on
+    /// standby.
+    fn count_engaged(&self, model: &Model) -> u32 {
         let is_engaged = |(id, endpoint): &(&EndpointId, &Endpoint)| {
             let target = self
                 .index()
                 .and_then(|index| rule::target(index, id, endpoint));
-            let is_own = target.is_some_and(|target| target.name == model.name);
-            is_own && endpoint.is_present && !endpoint.stands_by()
+            let is_assigned = target.is_some_and(|target| target.name == model.name);
+            is_assigned && endpoint.is_present && !endpoint.is_standby()
         };
         self.endpoints.iter().filter(is_engaged).count() as u32
     }
 
-    /// The next step of an engine, whatever stands in its way.
-    pub(crate) fn step_of(&self, id: &EndpointId, endpoint: &Endpoint) -> Option<(&Model, Action)> {
+    /// Returns the next action for an engine, whether or not it can be ordered now.
+    pub(crate) fn next_action(
+        &self,
+        id: &EndpointId,
+        endpoint: &Endpoint,
+    ) -> Option<(&Model, Action)> {
         let model = rule::target(self.index()?, id, endpoint)?;
         let (report, _) = endpoint.report.as_ref()?;
-        let action = rule::next_step(report, model, || self.engaged(model))?;
+        let action = rule::next_action(report, model, || self.count_engaged(model))?;
         Some((model, action))
     }
 
-    /// Models whose engines aren't all as declared; their engines are asked more often.
-    pub(crate) fn changing(&self) -> IndexSet<ModelName> {
+    /// Returns the models with an engine that isn't as declared.
+    pub(crate) fn changing_models(&self) -> IndexSet<ModelName> {
         let mut models = IndexSet::new();
         for (id, endpoint) in &self.endpoints {
-            let differs = endpoint.is_changing() || self.step_of(id, endpoint).is_some();
+            let differs = endpoint.is_loading() || self.next_action(id, endpoint).is_some();
             if differs {
                 models.extend(self.models_of(id, endpoint).cloned());
             }
@@ -69,7 +82,7 @@
         models
     }
 
-    /// The model that an engine should serve, and that which it has.
+    /// Returns the model that an engine should serve and the one that it has loaded.
     pub(crate) fn models_of<'a>(
         &'a self,
         id: &EndpointId,
@@ -84,63 +97,67 @@
         target.into_iter().chain(held)
     }
 
-    /// Until when an order to an engine may be sent.
+    /// Returns the time after which an order to an engine must not be sent.
     pub(crate) fn send_until(&self, id: &EndpointId) -> Moment {
-        let Some((leading, index)) = self.leading.as_ref().zip(self.index()) else {
+        let Some((term, index)) = self.term.as_ref().zip(self.index()) else {
             return Moment::ZERO;
         };
         if rule::checks_fencing(index, id) {
             return Moment::NEVER;
         }
         let reserve = self.settings.delivery_timeout + self.settings.drift_margin();
-        let lease = leading.lease_until.unwrap_or(Moment::ZERO);
+        let lease = term.lease_until.unwrap_or(Moment::ZERO);
         Moment::ZERO + (lease - (Moment::ZERO + reserve))
     }
 
-    /// The declared model that an order takes a replica of away.
-    fn taken_away<'a>(&self, endpoint: &'a Endpoint, action: &Action) -> Option<&'a ModelName> {
+    /// Returns the declared model that loses a serving replica by an action.
+    fn displaced_model<'a>(
+        &self,
+        endpoint: &'a Endpoint,
+        action: &Action,
+    ) -> Option<&'a ModelName> {
         let (report, _) = endpoint.report.as_ref()?;
         let model = report.model.as_ref()?;
         let is_declared = self.index()?.model(model.as_str()).is_some();
         let is_load = matches!(action, Action::LoadModel { .. });
-        (is_load && is_declared && endpoint.serves(model.as_str())).then_some(model)
+        (is_load && is_declared && endpoint.is_serving(model.as_str())).then_some(model)
     }
 
-    /// Whether no other engine surely serves what an order takes away.
-    pub(crate) fn is_last(
+    /// Whether an action takes down the last engine that is known to serve its model.
+    pub(crate) fn is_last_replica(
         &self,
         now: Moment,
         id: &EndpointId,
         endpoint: &Endpoint,
         action: &Action,
     ) -> bool {
-        let Some(model) = self.taken_away(endpoint, action) else {
+        let Some(model) = self.displaced_model(endpoint, action) else {
             return false;
         };
         let remains = |(other, state): (&EndpointId, &Endpoint)| {
             other != id
-                && !state.is_changing()
-                && state.serves(model.as_str())
-                && self.recent(now, state).is_some()
-                && self.is_taken_over(now, other, state)
+                && !state.is_loading()
+                && state.is_serving(model.as_str())
+                && self.recent_report(now, state).is_some()
+                && self.is_takeover_complete(now, other, state)
         };
         !self.endpoints.iter().any(remains)
     }
 
-    /// Whether another replica of what an order takes away is being changed already.
-    pub(crate) fn is_other_changing(
+    /// Whether another replica of the model that an action takes down is already loading.
+    pub(crate) fn is_other_replica_loading(
         &self,
         id: &EndpointId,
         endpoint: &Endpoint,
         action: &Action,
     ) -> bool {
-        let Some(model) = self.taken_away(endpoint, action) else {
+        let Some(model) = self.displaced_model(endpoint, action) else {
             return false;
         };
         let mut others = self.endpoints.iter().filter(|(other, _)| *other != id);
         others.any(|(other, state)| {
             state.is_present
-                && state.is_changing()
+                && state.is_loading()
                 && self.models_of(other, state).any(|held| held == model)
         })
     }
--- a/crates/kumquatdrum_orders/tests/support/mod.rs
+++ b/crates/kumquatdrum_orders/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Leaders and engines on a simulated clock, with flights, freezes and losses by a fixed seed.
+//! Seeded simulation of leaders and engines with message delays, losses, freezes and restarts.
 
 #![allow(dead_code)]
 
@@ -15,38 +15,38 @@
 
 pub const STEP_MS: u64 = 20;
 pub const ANNOUNCE_MS: u64 = 200;
-pub const FLIGHT_MS: u64 = 300;
+pub const DELIVERY_TIMEOUT_MS: u64 = 300;
 pub const LOAD_MS: u64 = 2_000;
 pub const LEASE_MS: u64 = 900;
 pub const ELECTION_MS: u64 = 1_000;
 
-/// A model engine as orders see it.
+/// A simulated model engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
     pub boot: u64,
     pub service: &'static str,
-    pub checks: bool,
+    pub checks_fencing: bool,
     pub model: Option<String>,
     pub version: String,
     pub adapters: Vec<Adapter>,
     pub loading: Option<(u64, String, String)>,
-    pub standby: bool,
+    pub is_standby: bool,
     pub known_fencing: u64,
     pub down_until: u64,
     pub load_ms: u64,
 }
 
 impl Engine {
-    pub fn new(service: &'static str, model: &str, checks: bool) -> Self {
+    pub fn new(service: &'static str, model: &str, checks_fencing: bool) -> Self {
         Self {
             boot: 1,
             service,
-            checks,
+            checks_fencing,
             model: Some(model.to_owned()),
             version: "1".to_owned(),
             adapters: Vec::new(),
             loading: None,
-            standby: false,
+            is_standby: false,
             known_fencing: 0,
             down_until: 0,
             load_ms: LOAD_MS,
@@ -54,11 +54,11 @@
     }
 
     pub fn serves(&self, now: u64, model: &str) -> bool {
-        let is_up = now >= self.down_until && self.loading.is_none() && !self.standby;
+        let is_up = now >= self.down_until && self.loading.is_none() && !self.is_standby;
         is_up && self.model.as_deref() == Some(model)
     }
 
-    fn advance(&mut self, now: u64) {
+    fn finish_load(&mut self, now: u64) {
         if let Some((_, model, version)) = self.loading.take_if(|(at, ..)| *at <= now) {
             self.model = Some(model);
             self.version = version;
@@ -73,19 +73,19 @@
             adapters: self.adapters.clone(),
             role: match self.loading {
                 Some(_) => Role::Loading,
-                None if self.standby => Role::Standby,
+                None if self.is_standby => Role::Standby,
                 None => Role::Serving,
             },
         }
     }
 
-    /// Obeys where its rules let it.
-    fn obey(&mut self, now: u64, order: &Order) -> Answer {
-        if self.checks && order.boot.0 != self.boot {
-            let reason = "another boot".to_owned();
+    /// Carries the order out unless a check refuses it.
+    fn handle_order(&mut self, now: u64, order: &Order) -> Answer {
+        if self.checks_fencing && order.boot.0 != self.boot {
+            let reason = "boot mismatch".to_owned();
             return Answer::Refused { reason };
         }
-        if self.checks && order.id.fencing < self.known_fencing {
+        if self.checks_fencing && order.id.fencing < self.known_fencing {
             let current = self.known_fencing;
             return Answer::Fenced { current };
         }
@@ -101,20 +101,20 @@
                 self.adapters.push(adapter.clone());
             }
             Action::UnloadAdapter { name } => self.adapters.retain(|held| held.name != *name),
-            Action::ChangeRole { role } => self.standby = *role == Role::Standby,
+            Action::ChangeRole { role } => self.is_standby = *role == Role::Standby,
         }
         Answer::Accepted
     }
 }
 
-/// One host that may lead, with a clock that runs at its own rate.
+/// A host that can lead, with a clock of its own rate.
 pub struct Leader {
-    pub core: Reconciler,
+    pub reconciler: Reconciler,
     pub rate_permille: u64,
-    pub zero: u64,
+    pub clock_offset: u64,
     pub frozen_until: u64,
     pub term: Option<u64>,
-    pub renews: bool,
+    pub renews_lease: bool,
     pub lease_until: Option<Moment>,
     pub freeze_at_next_load: Option<u64>,
     pub froze_at: Option<u64>,
@@ -123,40 +123,41 @@
 impl Leader {
     pub fn now(&self, now: u64) -> Moment {
         Moment {
-            micros: (self.zero + now) * self.rate_permille,
+            micros: (self.clock_offset + now) * self.rate_permille,
         }
     }
 }
 
+/// A scheduled event; the index is that of the leader.
 enum Packet {
-    Shell(usize, Order),
+    Unsent(usize, Order),
     Order(usize, Order, bool),
     Answer(usize, OrderId, Answer),
-    Ask(usize, EndpointId),
+    Probe(usize, EndpointId),
     Report(usize, EndpointId, Option<Report>),
 }
 
-/// An order that an engine obeyed.
+/// An order that an engine accepted.
 #[derive(Debug, Clone)]
 pub struct Effect {
     pub at: u64,
     pub endpoint: EndpointId,
     pub order: Order,
-    /// Engines that still served what it took away; none where it took nothing away.
+    /// Other engines that served the model at that time; `None` if the order took down no replica.
     pub remaining: Option<usize>,
 }
 
-/// What goes wrong, in thousandths.
+/// Fault rates, in thousandths.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
     pub lost_orders: u64,
     pub lost_answers: u64,
-    pub lost_questions: u64,
-    /// Of a step of any engine.
+    pub lost_probes: u64,
+    /// Restarts per million steps of each engine.
     pub restarts_per_million: u64,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     pub random: Pcg64,
     pub engines: IndexMap<EndpointId, Engine>,
@@ -165,28 +166,28 @@
     pub effects: Vec<Effect>,
     pub records: Vec<Record>,
     pub sent: Vec<(u64, Order)>,
-    /// A leader whose orders to an engine are lost.
-    pub cut: Option<(usize, EndpointId)>,
+    /// A leader and an engine that its orders never reach.
+    pub partition: Option<(usize, EndpointId)>,
     packets: Vec<(u64, Packet)>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, engines: IndexMap<EndpointId, Engine>, declaration: &str) -> Self {
         let mut random = Pcg64::seed_from_u64(seed);
         let leaders = (0..2)
             .map(|_| Leader {
-                core: Reconciler::new(Settings::default()),
+                reconciler: Reconciler::new(Settings::default()),
                 rate_permille: 955 + random.next_u64() % 91,
-                zero: random.next_u64() % 100_000,
+                clock_offset: random.next_u64() % 100_000,
                 frozen_until: 0,
                 term: None,
-                renews: true,
+                renews_lease: true,
                 lease_until: None,
                 freeze_at_next_load: None,
                 froze_at: None,
             })
             .collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             random,
             engines,
@@ -195,11 +196,11 @@
             effects: Vec::new(),
             records: Vec::new(),
             sent: Vec::new(),
-            cut: None,
+            partition: None,
             packets: Vec::new(),
         };
-        world.declare(1, declaration);
-        world
+        simulation.declare(1, declaration);
+        simulation
     }
 
     pub fn declare(&mut self, version: u64, declaration: &str) {
@@ -207,19 +208,19 @@
         let declaration = Arc::new(declaration);
         for leader in 0..self.leaders.len() {
             let input = Input::Declared(Version(version), Arc::clone(&declaration));
-            self.input(leader, input);
+            self.step_leader(leader, input);
         }
     }
 
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub fn random_below(&mut self, bound: u64) -> u64 {
         self.random.next_u64() % bound.max(1)
     }
 
-    fn happens(&mut self, permille: u64) -> bool {
-        self.below(1_000) < permille
+    fn roll(&mut self, permille: u64) -> bool {
+        self.random_below(1_000) < permille
     }
 
-    fn later(&mut self, delay: u64, packet: Packet) {
+    fn schedule(&mut self, delay: u64, packet: Packet) {
         self.packets.push((self.now + delay, packet));
     }
 
@@ -232,27 +233,27 @@
 
     pub fn step(&mut self) {
         self.now += STEP_MS;
-        self.restart_some();
+        self.restart_engines();
         for engine in self.engines.values_mut() {
-            engine.advance(self.now);
+            engine.finish_load(self.now);
         }
         self.deliver();
-        for place in 0..self.leaders.len() {
-            if !self.is_frozen(place) {
-                self.lead(place);
+        for index in 0..self.leaders.len() {
+            if !self.is_frozen(index) {
+                self.run_leader(index);
             }
         }
     }
 
-    fn is_frozen(&self, place: usize) -> bool {
-        self.now < self.leaders[place].frozen_until
+    fn is_frozen(&self, index: usize) -> bool {
+        self.now < self.leaders[index].frozen_until
     }
 
-    fn restart_some(&mut self) {
-        for place in 0..self.engines.len() {
-            if self.below(1_000_000) < self.faults.restarts_per_million {
-                let engine = &mut self.engines[place];
-                let mut next = Engine::new(engine.service, "formula", engine.checks);
+    fn restart_engines(&mut self) {
+        for index in 0..self.engines.len() {
+            if self.random_below(1_000_000) < self.faults.restarts_per_million {
+                let engine = &mut self.engines[index];
+                let mut next = Engine::new(engine.service, "formula", engine.checks_fencing);
                 next.boot = engine.boot + 1;
                 next.down_until = self.now + 500;
                 *engine = next;
@@ -260,18 +261,18 @@
         }
     }
 
-    /// Renews the lease, tells the core what lives, and lets it tick.
-    fn lead(&mut self, place: usize) {
-        let leader = &mut self.leaders[place];
-        let own = leader.now(self.now);
-        if leader.renews && leader.term.is_some() {
-            leader.lease_until = Some(own + std::time::Duration::from_millis(LEASE_MS));
+    /// Renews the lease and passes leadership and live engines to the reconciler.
+    fn run_leader(&mut self, index: usize) {
+        let leader = &mut self.leaders[index];
+        let leader_now = leader.now(self.now);
+        if leader.renews_lease && leader.term.is_some() {
+            leader.lease_until = Some(leader_now + std::time::Duration::from_millis(LEASE_MS));
         }
         let leadership = leader.term.map(|term| Leadership {
             term,
-            lease_until: leader.lease_until.filter(|until| *until > own),
+            lease_until: leader.lease_until.filter(|until| *until > leader_now),
         });
-        self.input(place, Input::Leadership(leadership));
+        self.step_leader(index, Input::Leadership(leadership));
         if !self.now.is_multiple_of(ANNOUNCE_MS) {
             return;
         }
@@ -287,94 +288,98 @@
                 boot: BootId(boot),
                 service: service.into(),
             };
-            self.input(place, input);
+            self.step_leader(index, input);
         }
     }
 
-    fn input(&mut self, place: usize, input: Input) {
-        let own = self.leaders[place].now(self.now);
-        for output in self.leaders[place].core.step(own, input) {
+    fn step_leader(&mut self, index: usize, input: Input) {
+        let leader_now = self.leaders[index].now(self.now);
+        for output in self.leaders[index].reconciler.step(leader_now, input) {
             match output {
-                Output::Send(order) => self.hand_over(place, order),
-                Output::Probe(id) => self.later(0, Packet::Ask(place, id)),
+                Output::Send(order) => self.queue_order(index, order),
+                Output::Probe(id) => self.schedule(0, Packet::Probe(index, id)),
                 Output::Audit(record) => self.records.push(record),
                 Output::Wake(_) => {}
             }
         }
     }
 
-    /// The shell takes an order; the process may freeze right here, before the order is sent.
-    fn hand_over(&mut self, place: usize, order: Order) {
-        let loads = matches!(order.action, Action::LoadModel { .. });
-        let leader = &mut self.leaders[place];
-        if let Some(frozen) = leader.freeze_at_next_load.take_if(|_| loads) {
+    /// Queues an order for sending; a scheduled freeze starts here, before the last lease check.
+    fn queue_order(&mut self, index: usize, order: Order) {
+        let is_load = matches!(order.action, Action::LoadModel { .. });
+        let leader = &mut self.leaders[index];
+        if let Some(frozen) = leader.freeze_at_next_load.take_if(|_| is_load) {
             leader.frozen_until = self.now + frozen;
             leader.froze_at = Some(self.now);
         }
-        let delay = self.below(30);
-        self.later(delay, Packet::Shell(place, order));
+        let delay = self.random_below(30);
+        self.schedule(delay, Packet::Unsent(index, order));
     }
 
     fn deliver(&mut self) {
         loop {
             let now = self.now;
             let frozen: Vec<_> = (0..self.leaders.len())
-                .map(|place| self.is_frozen(place))
+                .map(|index| self.is_frozen(index))
                 .collect();
             let due = self.packets.iter().position(|(at, packet)| {
                 *at <= now
                     && match packet {
-                        Packet::Shell(place, _)
-                        | Packet::Answer(place, ..)
-                        | Packet::Report(place, ..) => !frozen[*place],
-                        Packet::Order(..) | Packet::Ask(..) => true,
+                        Packet::Unsent(index, _)
+                        | Packet::Answer(index, ..)
+                        | Packet::Report(index, ..) => !frozen[*index],
+                        Packet::Order(..) | Packet::Probe(..) => true,
                     }
             });
             let Some(due) = due else { return };
             let (_, packet) = self.packets.remove(due);
-            self.take(packet);
+            self.deliver_packet(packet);
         }
     }
 
-    fn take(&mut self, packet: Packet) {
+    fn deliver_packet(&mut self, packet: Packet) {
         match packet {
-            Packet::Shell(place, order) => self.send(place, order),
-            Packet::Order(place, order, answered) => self.arrive(place, &order, answered),
-            Packet::Answer(place, id, answer) => self.input(place, Input::Answered(id, answer)),
-            Packet::Ask(place, id) => self.asked(place, id),
-            Packet::Report(place, id, report) => self.input(place, Input::Reported(id, report)),
+            Packet::Unsent(index, order) => self.send(index, order),
+            Packet::Order(index, order, answered) => self.deliver_order(index, &order, answered),
+            Packet::Answer(index, id, answer) => {
+                self.step_leader(index, Input::Answered(id, answer))
+            }
+            Packet::Probe(index, id) => self.deliver_probe(index, id),
+            Packet::Report(index, id, report) => {
+                self.step_leader(index, Input::Reported(id, report))
+            }
         }
     }
 
-    /// The shell's last check, then the flight.
-    fn send(&mut self, place: usize, order: Order) {
-        if !order.can_be_sent(self.leaders[place].now(self.now)) {
-            return self.input(place, Input::Answered(order.id, Answer::NotSent));
+    /// Makes the last lease check and sends the order.
+    fn send(&mut self, index: usize, order: Order) {
+        if !order.can_be_sent(self.leaders[index].now(self.now)) {
+            return self.step_leader(index, Input::Answered(order.id, Answer::NotSent));
         }
         self.sent.push((self.now, order.clone()));
-        let is_cut = self.cut == Some((place, order.endpoint.clone()));
-        let lost = is_cut || self.happens(self.faults.lost_orders);
-        let answered = !lost && !self.happens(self.faults.lost_answers);
-        let flight = self.below(FLIGHT_MS - STEP_MS);
+        let is_partitioned = self.partition == Some((index, order.endpoint.clone()));
+        let lost = is_partitioned || self.roll(self.faults.lost_orders);
+        let answered = !lost && !self.roll(self.faults.lost_answers);
+        let delay = self.random_below(DELIVERY_TIMEOUT_MS - STEP_MS);
         if !answered {
             let reason = "timeout".to_owned();
             let answer = Answer::Lost { reason };
-            self.later(FLIGHT_MS, Packet::Answer(place, order.id, answer));
+            self.schedule(DELIVERY_TIMEOUT_MS, Packet::Answer(index, order.id, answer));
         }
         if !lost {
-            self.later(flight, Packet::Order(place, order, answered));
+            self.schedule(delay, Packet::Order(index, order, answered));
         }
     }
 
-    fn arrive(&mut self, place: usize, order: &Order, answered: bool) {
+    fn deliver_order(&mut self, index: usize, order: &Order, answered: bool) {
         let now = self.now;
         let id = order.endpoint.clone();
         let taken = self.engines[&id].model.clone();
-        let taken = taken.filter(|model| self.engines[&id].serves(now, model));
-        let loads = matches!(order.action, Action::LoadModel { .. });
+        let taken = taken.filter(|model| self.engines[&id].is_serving(now, model));
+        let is_load = matches!(order.action, Action::LoadModel { .. });
         let others = self.engines.iter().filter(|(other, _)| **other != id);
-        let remaining = taken.filter(|_| loads).map(|model| {
-            let serving = others.filter(|(_, engine)| engine.serves(now, &model));
+        let remaining = taken.filter(|_| is_load).map(|model| {
+            let serving = others.filter(|(_, engine)| engine.is_serving(now, &model));
             serving.count()
         });
         let engine = &mut self.engines[&id];
@@ -382,7 +387,7 @@
             let reason = "refused".to_owned();
             Answer::Lost { reason }
         } else {
-            engine.obey(now, order)
+            engine.handle_order(now, order)
         };
         if answer == Answer::Accepted {
             self.effects.push(Effect {
@@ -393,32 +398,32 @@
             });
         }
         if answered {
-            self.later(STEP_MS, Packet::Answer(place, order.id, answer));
+            self.schedule(STEP_MS, Packet::Answer(index, order.id, answer));
         }
     }
 
-    fn asked(&mut self, place: usize, id: EndpointId) {
+    fn deliver_probe(&mut self, index: usize, id: EndpointId) {
         let engine = &self.engines[&id];
         let is_up = self.now >= engine.down_until;
         let report = is_up.then(|| engine.report());
-        let lost = self.happens(self.faults.lost_questions);
-        let delay = self.below(50);
-        self.later(delay, Packet::Report(place, id, report.filter(|_| !lost)));
+        let lost = self.roll(self.faults.lost_probes);
+        let delay = self.random_below(50);
+        self.schedule(delay, Packet::Report(index, id, report.filter(|_| !lost)));
     }
 
-    pub fn stepped_down(&self) -> usize {
-        let is = |record: &&Record| matches!(record.event, Event::SteppedDown(_));
-        self.records.iter().filter(is).count()
+    pub fn count_step_downs(&self) -> usize {
+        let is_step_down = |record: &&Record| matches!(record.event, Event::SteppedDown(_));
+        self.records.iter().filter(is_step_down).count()
     }
 }
 
-/// A declaration with one model, and all engines declared.
+/// Returns a declaration of two models and of all `engines`.
 pub fn declaration(version: &str, engines: &IndexMap<EndpointId, Engine>) -> String {
     let endpoints = engines.iter().map(|(id, engine)| {
-        let (service, checks) = (engine.service, engine.checks);
+        let (service, checks_fencing) = (engine.service, engine.checks_fencing);
         format!(
             r#"{{"name": "{id}", "service": "{service}", "data_centre": "tartu",
-                "checks_fencing": {checks}}}"#
+                "checks_fencing": {checks_fencing}}}"#
         )
     });
     let endpoints: Vec<_> = endpoints.collect();
@@ -445,12 +450,15 @@
     )
 }
 
-/// `count` engines of one service with one model loaded.
-pub fn engines(count: usize, checks: impl Fn(usize) -> bool) -> IndexMap<EndpointId, Engine> {
+/// Returns `count` engines of one service with its model loaded.
+pub fn engines(
+    count: usize,
+    checks_fencing: impl Fn(usize) -> bool,
+) -> IndexMap<EndpointId, Engine> {
     (0..count)
-        .map(|place| {
-            let engine = Engine::new("formula-llm", "formula", checks(place));
-            (EndpointId::new(format!("e{place}")), engine)
+        .map(|index| {
+            let engine = Engine::new("formula-llm", "formula", checks_fencing(index));
+            (EndpointId::new(format!("e{index}")), engine)
         })
         .collect()
 }
