--- a/crates/kumquatdrum_orders/src/reconciler.rs
+++ b/crates/kumquatdrum_orders/src/reconciler.rs
@@ -345,7 +345,7 @@
     }
 
     fn candidate(&self, now: Moment, id: &EndpointId, endpoint: &Endpoint) -> Option<Candidate> {
-        self.recent_report(now, endpoint)?;
+        self.valid_report(now, endpoint)?;
         let (model, action) = self.next_action(id, endpoint)?;
         let can_issue = endpoint.is_idle()
             && self.is_takeover_complete(now, id, endpoint)
--- a/crates/kumquatdrum_orders/src/view.rs
+++ b/crates/kumquatdrum_orders/src/view.rs
@@ -23,14 +23,14 @@
     }
 
     /// Returns an engine's report if it is still valid.
-    pub(crate) fn recent_report<'a>(
+    pub(crate) fn valid_report<'a>(
         &self,
         now: Moment,
         endpoint: &'a Endpoint,
     ) -> Option<&'a Report> {
         let (report, at) = endpoint.report.as_ref()?;
-        let is_recent = now - *at <= self.settings.report_validity;
-        (is_recent && endpoint.is_present && endpoint.pending.is_none()).then_some(report)
+        let is_valid = now - *at <= self.settings.report_validity;
+        (is_valid && endpoint.is_present && endpoint.pending.is_none()).then_some(report)
     }
 
     /// Counts the replicas that serve a model, and those of them at the declared version.
@@ -138,7 +138,7 @@
             other != id
                 && !state.is_loading()
                 && state.is_serving(model.as_str())
-                && self.recent_report(now, state).is_some()
+                && self.valid_report(now, state).is_some()
                 && self.is_takeover_complete(now, other, state)
         };
         !self.endpoints.iter().any(remains)
