--- a/crates/kumquatdrum_caller/src/admission.rs
+++ b/crates/kumquatdrum_caller/src/admission.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use kumquatdrum_daemon::body::Hold;
+use kumquatdrum_daemon::body::Allocation;
 use kumquatdrum_types::exchange::Head;
 use kumquatdrum_types::{Class, Refusal, RequestId, WorkspaceName};
 use serde::Serialize;
@@ -27,7 +27,7 @@
     /// The most bytes of bodies that the workspace may have here.
     pub workspace_limit: Option<u64>,
     /// The bytes set aside; grows as the body arrives.
-    pub hold: Hold,
+    pub hold: Allocation,
 }
 
 /// What the caller asks for, as its headers and body say it.
--- a/crates/kumquatdrum_daemon/src/body.rs
+++ b/crates/kumquatdrum_daemon/src/body.rs
@@ -17,7 +17,7 @@
 
 /// Bytes set aside for one body; they return when it is dropped.
 #[derive(Debug)]
-pub struct Hold {
+pub struct Allocation {
     budget: Arc<Budget>,
     workspace: WorkspaceName,
     bytes: u64,
@@ -51,8 +51,8 @@
     /// drop(hold);
     /// assert_eq!(budget.used(), 0);
     /// ```
-    pub fn hold(self: &Arc<Self>, workspace: &WorkspaceName) -> Hold {
-        Hold {
+    pub fn allocate(self: &Arc<Self>, workspace: &WorkspaceName) -> Allocation {
+        Allocation {
             budget: Arc::clone(self),
             workspace: workspace.clone(),
             bytes: 0,
@@ -72,7 +72,7 @@
     }
 }
 
-impl Hold {
+impl Allocation {
     /// Takes `bytes` more, within the daemon's budget and the workspace's `limit` where it has
     /// one. `false` leaves the hold as it was.
     pub fn grow(&mut self, bytes: u64, limit: Option<u64>) -> bool {
@@ -92,7 +92,7 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for Allocation {
     fn drop(&mut self) {
         self.budget.give_back(self.bytes);
         let mut workspaces = self.budget.workspaces.lock().expect("no holder panics");
--- a/crates/kumquatdrum_daemon/src/held.rs
+++ b/crates/kumquatdrum_daemon/src/cancellation.rs
@@ -31,7 +31,7 @@
 /// The attempts whose cancel awaits a confirmation.
 ///
 /// ```
-/// use kumquatdrum_daemon::held::Held;
+/// use kumquatdrum_daemon::cancellation::Queue;
 /// use kumquatdrum_types::exchange::Target;
 /// use kumquatdrum_types::{AttemptId, BootId, EndpointId, Moment};
 ///
@@ -40,21 +40,21 @@
 ///     boot: BootId(1),
 ///     address: "127.0.0.1:9".parse().unwrap(),
 /// };
-/// let mut held = Held::default();
-/// held.abandon(Moment::ZERO, target, AttemptId::new("a1"));
-/// assert_eq!(held.due(Moment::ZERO).len(), 1);
-/// assert!(held.due(Moment::ZERO).is_empty(), "not again before the wait is over");
-/// held.confirmed(&AttemptId::new("a1"));
-/// assert!(held.is_empty());
+/// let mut cancellation = Queue::default();
+/// cancellation.abandon(Moment::ZERO, target, AttemptId::new("a1"));
+/// assert_eq!(cancellation.due(Moment::ZERO).len(), 1);
+/// assert!(cancellation.due(Moment::ZERO).is_empty(), "not again before the wait is over");
+/// cancellation.confirmed(&AttemptId::new("a1"));
+/// assert!(cancellation.is_empty());
 /// ```
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct Queue {
     pending: IndexMap<AttemptId, Pending>,
 }
 
-impl Held {
+impl Queue {
     /// An attempt that nobody waits for any more and that the engine must end.
-    pub fn abandon(&mut self, now: Moment, target: Target, attempt: AttemptId) {
+    pub fn insert(&mut self, now: Moment, target: Target, attempt: AttemptId) {
         self.pending.entry(attempt).or_insert(Pending {
             target,
             next: now,
@@ -63,19 +63,19 @@
     }
 
     /// The engine confirmed the end of an attempt.
-    pub fn confirmed(&mut self, attempt: &AttemptId) {
+    pub fn confirm(&mut self, attempt: &AttemptId) {
         self.pending.swap_remove(attempt);
     }
 
     /// A life of an engine is over, and with it all that it held.
-    pub fn engine_gone(&mut self, endpoint: &EndpointId, boot: BootId) {
+    pub fn remove_engine(&mut self, endpoint: &EndpointId, boot: BootId) {
         self.pending.retain(|_, pending| {
             pending.target.endpoint != *endpoint || pending.target.boot > boot
         });
     }
 
     /// The cancels to send now; each is due again after a growing wait.
-    pub fn due(&mut self, now: Moment) -> Vec<Cancel> {
+    pub fn take_due(&mut self, now: Moment) -> Vec<Cancel> {
         self.pending
             .iter_mut()
             .filter(|(_, pending)| pending.next <= now)
--- a/crates/kumquatdrum_daemon/src/lib.rs
+++ b/crates/kumquatdrum_daemon/src/lib.rs
@@ -2,6 +2,6 @@
 
 pub mod admission;
 pub mod body;
-pub mod flight;
-pub mod held;
+pub mod lifecycle;
+pub mod cancellation;
 pub mod prefix;
--- a/crates/kumquatdrum_daemon/src/flight.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The life of one request: admitted, queued, dispatched, streaming, then finished or failed.
 //!
-//! A [`Flight`] is a state machine without a clock. It is told what happened and says what to do
+//! A [`Lifecycle`] is a state machine without a clock. It is told what happened and says what to do
 //! next. Three rules stand above the others:
 //!
 //! * "not run" is said only where nothing was sent, or where the engine confirmed that the attempt
@@ -11,8 +11,8 @@
 
 mod event;
 mod machine;
-mod plan;
+mod policy;
 
 pub use event::{Cause, Ending, Input, Output};
-pub use machine::Flight;
-pub use plan::{Plan, Timing};
+pub use machine::Lifecycle;
+pub use policy::{Policy, Timing};
--- a/crates/kumquatdrum_daemon/src/flight/machine.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/machine.rs
@@ -6,7 +6,7 @@
 use kumquatdrum_types::exchange::{Fault, Standing, State, Target};
 use kumquatdrum_types::{AttemptId, EndpointId, Moment, Refusal};
 
-use super::{Cause, Ending, Input, Output, Plan, Timing};
+use super::{Cause, Ending, Input, Output, Policy, Timing};
 
 /// HTTP statuses from here on are the endpoint's own failures.
 const SERVER_ERROR: u16 = 500;
@@ -34,26 +34,26 @@
 /// One request's state.
 ///
 /// ```
-/// use kumquatdrum_daemon::flight::{Ending, Flight, Input, Output, Plan, Timing};
+/// use kumquatdrum_daemon::lifecycle::{Ending, Lifecycle, Input, Output, Policy, Timing};
 /// use kumquatdrum_types::{Moment, Refusal};
 ///
-/// let plan = Plan {
+/// let policy = Policy {
 ///     deadline: Moment::from_millis(100),
-///     idempotent: true,
-///     keyed: false,
-///     resumable: true,
-///     streamed: true,
-///     attempts: 3,
+///     is_idempotent: true,
+///     has_key: false,
+///     is_resumable: true,
+///     is_streamed: true,
+///     max_attempts: 3,
 /// };
-/// let mut flight = Flight::new(plan, Timing::default());
-/// assert_eq!(flight.start(), vec![Output::Place { excluded: vec![] }]);
-/// let late = flight.step(Moment::from_millis(100), Input::Tick);
+/// let mut lifecycle = Lifecycle::new(policy, Timing::default());
+/// assert_eq!(lifecycle.start(), vec![Output::Place { excluded: vec![] }]);
+/// let late = lifecycle.step(Moment::from_millis(100), Input::Tick);
 /// let ending = Ending::NotRun { refusal: Refusal::DeadlineBeforeDispatch, retry_after: None };
 /// assert_eq!(late, vec![Output::Withdraw, Output::End(ending)]);
 /// ```
 #[derive(Debug)]
-pub struct Flight {
-    plan: Plan,
+pub struct Lifecycle {
+    policy: Policy,
     timing: Timing,
     phase: Phase,
     attempt: Option<Attempt>,
@@ -73,11 +73,11 @@
     next_probe: Moment,
 }
 
-impl Flight {
+impl Lifecycle {
     /// A request that was just admitted.
-    pub fn new(plan: Plan, timing: Timing) -> Self {
+    pub fn new(policy: Policy, timing: Timing) -> Self {
         Self {
-            plan,
+            policy,
             timing,
             phase: Phase::Placing,
             attempt: None,
@@ -95,20 +95,20 @@
 
     /// Follows an attempt that another request with the same idempotency key started. Nothing is
     /// ever dispatched, and the attempt is never cancelled from here.
-    pub fn attached(plan: Plan, timing: Timing, target: Target, id: AttemptId) -> Self {
-        let mut flight = Self::new(plan, timing);
-        flight.phase = Phase::Probing;
-        flight.follows = true;
-        flight.claimed = true;
-        flight.may_have_run = true;
-        flight.attempt = Some(Attempt {
+    pub fn attach(policy: Policy, timing: Timing, target: Target, id: AttemptId) -> Self {
+        let mut lifecycle = Self::new(policy, timing);
+        lifecycle.phase = Phase::Probing;
+        lifecycle.follows = true;
+        lifecycle.claimed = true;
+        lifecycle.may_have_run = true;
+        lifecycle.attempt = Some(Attempt {
             target,
             id,
             accepted: false,
             broken: true,
             tokens: 0,
         });
-        flight
+        lifecycle
     }
 
     /// The first thing to do.
@@ -127,12 +127,12 @@
     }
 
     /// When the flight wants its next tick at the latest.
-    pub fn wake(&self) -> Moment {
+    pub fn next_tick(&self) -> Moment {
         let probe = match self.phase {
-            Phase::Exchanging | Phase::Probing if self.plan.resumable => self.next_probe,
+            Phase::Exchanging | Phase::Probing if self.policy.is_resumable => self.next_probe,
             _ => Moment::NEVER,
         };
-        probe.min(self.plan.deadline)
+        probe.min(self.policy.deadline)
     }
 
     /// Takes in what happened and says what to do next.
@@ -143,7 +143,7 @@
         match input {
             Input::CallerGone => self.caller_gone(),
             Input::Finished if self.phase != Phase::Placing => self.end(Ending::Finished),
-            _ if now >= self.plan.deadline => self.deadline(),
+            _ if now >= self.policy.deadline => self.deadline(),
             Input::Placed(target, id) => self.placed(now, target, id),
             Input::Refused(refusal, retry_after) | Input::ClaimRefused(refusal, retry_after) => {
                 self.refused(refusal, retry_after)
@@ -155,10 +155,10 @@
             Input::Accepted => self.progressed(now, |attempt| attempt.accepted = true),
             Input::Progress(tokens) => self.delivered_up_to(now, tokens),
             Input::Fault(fault) => self.fault(now, fault),
-            Input::Standing(standing) => self.standing(now, &standing),
+            Input::Probed(standing) => self.standing(now, &standing),
             Input::Cancelled(standing) => self.cancelled(&standing),
             Input::Unreachable => self.unreachable(now),
-            Input::PartLost => self.part_lost(),
+            Input::ReservationLost => self.part_lost(),
             Input::RetryDenied => self.give_up(self.last_cause.clone()),
             Input::Finished => Vec::new(),
             Input::Tick => self.tick(now),
@@ -173,7 +173,7 @@
             broken: false,
             tokens: 0,
         });
-        if self.plan.keyed && !self.claimed {
+        if self.policy.has_key && !self.claimed {
             self.phase = Phase::Claiming;
             return vec![Output::Claim];
         }
@@ -211,7 +211,7 @@
     }
 
     fn delivered_up_to(&mut self, now: Moment, tokens: u64) -> Vec<Output> {
-        self.delivered |= self.plan.streamed;
+        self.delivered |= self.policy.is_streamed;
         self.progressed(now, |attempt| {
             attempt.accepted = true;
             attempt.tokens = attempt.tokens.max(tokens);
@@ -230,7 +230,7 @@
             }
             Fault::NotStarted => self.elsewhere(),
             Fault::Rejected { status, body } => self.rejected(status, body),
-            Fault::Broken | Fault::Crossed if self.plan.resumable => {
+            Fault::Broken | Fault::Crossed if self.policy.is_resumable => {
                 if let Some(attempt) = &mut self.attempt {
                     attempt.broken = true;
                 }
@@ -344,11 +344,11 @@
         if self.phase != Phase::Probing && self.phase != Phase::Cancelling {
             return Vec::new();
         }
-        let movable = self.plan.idempotent && !self.delivered && !self.follows;
+        let movable = self.policy.is_idempotent && !self.delivered && !self.follows;
         let Some(attempt) = self.attempt.clone() else {
             return Vec::new();
         };
-        if movable && self.made < self.plan.attempts {
+        if movable && self.made < self.policy.max_attempts {
             self.may_have_run = true;
             let mut outputs = vec![Output::Abandon(attempt.target, attempt.id)];
             outputs.extend(self.elsewhere());
@@ -368,7 +368,7 @@
 
     /// No endpoint had any work with the last attempt, so that another one is no retry.
     fn place_again(&mut self) -> Vec<Output> {
-        if self.made >= self.plan.attempts {
+        if self.made >= self.policy.max_attempts {
             return self.give_up(self.last_cause.clone());
         }
         self.phase = Phase::Placing;
@@ -380,7 +380,7 @@
     /// The last attempt certainly did not run, or may be repeated.
     fn elsewhere(&mut self) -> Vec<Output> {
         self.exclude();
-        if self.made >= self.plan.attempts {
+        if self.made >= self.policy.max_attempts {
             return self.give_up(self.last_cause.clone());
         }
         self.phase = Phase::Placing;
@@ -390,7 +390,7 @@
     }
 
     fn elsewhere_if_repeatable(&mut self) -> Vec<Output> {
-        if self.plan.idempotent && !self.delivered && !self.follows {
+        if self.policy.is_idempotent && !self.delivered && !self.follows {
             return self.elsewhere();
         }
         self.give_up(self.last_cause.clone())
@@ -440,7 +440,7 @@
             (Phase::Placing | Phase::Claiming, _) | (_, None) => vec![Output::Withdraw],
             _ if self.follows => Vec::new(),
             // The answer to a keyed request is there for the caller's resend.
-            _ if self.plan.keyed => return Vec::new(),
+            _ if self.policy.has_key => return Vec::new(),
             (_, Some(attempt)) => vec![Output::Abandon(attempt.target, attempt.id)],
         };
         outputs.extend(self.end(Ending::CallerGone));
@@ -449,7 +449,7 @@
 
     fn tick(&mut self, now: Moment) -> Vec<Output> {
         match self.phase {
-            Phase::Exchanging | Phase::Probing if self.plan.resumable && now >= self.next_probe => {
+            Phase::Exchanging | Phase::Probing if self.policy.is_resumable && now >= self.next_probe => {
                 self.probe(now)
             }
             _ => Vec::new(),
--- a/crates/kumquatdrum_daemon/src/flight/plan.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/policy.rs
@@ -27,17 +27,17 @@
 
 /// What is fixed about a request from its start.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct Policy {
     /// When it must have ended.
     pub deadline: Moment,
     /// Whether it may be done more than once.
-    pub idempotent: bool,
+    pub is_idempotent: bool,
     /// Whether an idempotency key must be claimed before the dispatch.
-    pub keyed: bool,
+    pub has_key: bool,
     /// Whether the endpoint can be asked about attempts; plain services can't.
-    pub resumable: bool,
+    pub is_resumable: bool,
     /// Whether the answer reaches the caller piece by piece.
-    pub streamed: bool,
+    pub is_streamed: bool,
     /// The most attempts.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
--- a/crates/kumquatdrum_daemon/src/prefix.rs
+++ b/crates/kumquatdrum_daemon/src/prefix.rs
@@ -29,12 +29,12 @@
 /// `prompt` is the JSON of a request's `prompt` or `messages`; of any other shape, there are none.
 ///
 /// ```
-/// use kumquatdrum_daemon::prefix::blocks;
+/// use kumquatdrum_daemon::prefix::hash_blocks;
 /// let prompt = serde_json::to_vec(&"x".repeat(2_500)).unwrap();
 /// assert_eq!(blocks(&prompt).len(), 2);
 /// assert_eq!(blocks(b"17"), Vec::<u64>::new());
 /// ```
-pub fn blocks(prompt: &[u8]) -> Vec<u64> {
+pub fn hash_blocks(prompt: &[u8]) -> Vec<u64> {
     let Ok(prompt) = serde_json::from_slice::<Prompt<'_>>(prompt) else {
         return Vec::new();
     };
--- a/crates/kumquatdrum_daemon/tests/flight_world.rs
+++ b/crates/kumquatdrum_daemon/tests/flight_world.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use kumquatdrum_daemon::flight::{Ending, Flight, Input, Output, Plan, Timing};
+use kumquatdrum_daemon::lifecycle::{Ending, Lifecycle, Input, Output, Policy, Timing};
 use kumquatdrum_types::exchange::{Fault, Standing, State, Target};
 use kumquatdrum_types::{AttemptId, BootId, EndpointId, Moment, Refusal};
 use rand_core::Rng;
@@ -188,7 +188,7 @@
             }
             return self.push(50, Input::Cancelled(standing));
         }
-        self.push(50, Input::Standing(standing));
+        self.push(50, Input::Probed(standing));
     }
 
     fn resume(&mut self, id: &AttemptId, from: u64) {
@@ -284,24 +284,24 @@
     }
 }
 
-fn plan(seed: u64) -> Plan {
-    Plan {
+fn policy(seed: u64) -> Policy {
+    Policy {
         deadline: DEADLINE,
-        idempotent: seed.is_multiple_of(2),
-        keyed: seed.is_multiple_of(3),
-        resumable: true,
-        streamed: !seed.is_multiple_of(5),
-        attempts: 3,
+        is_idempotent: seed.is_multiple_of(2),
+        has_key: seed.is_multiple_of(3),
+        is_resumable: true,
+        is_streamed: !seed.is_multiple_of(5),
+        max_attempts: 3,
     }
 }
 
 /// Runs a flight to its end and beyond, until everything that was on its way has arrived.
-fn run(seed: u64) -> (Plan, World, Ending) {
-    let plan = plan(seed);
+fn run(seed: u64) -> (Policy, World, Ending) {
+    let policy = policy(seed);
     let mut world = World::new(seed);
-    let mut flight = Flight::new(plan.clone(), Timing::default());
+    let mut lifecycle = Lifecycle::new(policy.clone(), Timing::default());
     let mut ending = None;
-    let mut outputs = flight.start();
+    let mut outputs = lifecycle.start();
     while world.now < DEADLINE + Duration::from_secs(30) {
         for output in outputs.drain(..) {
             world.carry_out(&output);
@@ -316,26 +316,26 @@
         }
         world.step();
         let mut inputs = world.due();
-        if flight.wake() <= world.now {
+        if lifecycle.next_tick() <= world.now {
             inputs.push(Input::Tick);
         }
         for input in inputs {
             // Events of an exchange that the flight has left behind don't reach it.
-            outputs.extend(flight.step(world.now, input));
+            outputs.extend(lifecycle.step(world.now, input));
         }
     }
     let ending = ending.unwrap_or_else(|| panic!("seed {seed}: no ending"));
-    (plan, world, ending)
+    (policy, world, ending)
 }
 
 #[test]
 fn what_the_caller_is_told_is_what_happened() {
     let mut endings = [0_u32; 4];
     for seed in 0..SEEDS {
-        let (plan, world, ending) = run(seed);
+        let (policy, world, ending) = run(seed);
         let runs = world.runs;
         assert!(
-            plan.idempotent || runs <= 1,
+            policy.is_idempotent || runs <= 1,
             "seed {seed}: run {runs} times"
         );
         match ending {
@@ -360,41 +360,41 @@
 
 #[test]
 fn a_caller_that_leaves_ends_an_unkeyed_attempt() {
-    let plan = Plan {
-        keyed: false,
-        ..plan(0)
+    let policy = Policy {
+        has_key: false,
+        ..policy(0)
     };
-    let mut flight = Flight::new(plan, Timing::default());
+    let mut lifecycle = Lifecycle::new(policy, Timing::default());
     let target = Target {
         endpoint: EndpointId::new("e0"),
         boot: BootId(1),
         address: "127.0.0.1:1".parse().expect("an address"),
     };
     let id = AttemptId::new("a.1");
-    flight.step(Moment::ZERO, Input::Placed(target.clone(), id.clone()));
-    let outputs = flight.step(Moment::from_millis(5), Input::CallerGone);
+    lifecycle.step(Moment::ZERO, Input::Placed(target.clone(), id.clone()));
+    let outputs = lifecycle.step(Moment::from_millis(5), Input::CallerGone);
     let expected = [Output::Abandon(target, id), Output::End(Ending::CallerGone)];
     assert_eq!(outputs, expected);
 }
 
 #[test]
 fn an_endpoint_error_of_a_request_that_may_not_be_repeated_is_final() {
-    let plan = Plan {
-        idempotent: false,
-        ..plan(1)
+    let policy = Policy {
+        is_idempotent: false,
+        ..policy(1)
     };
-    let mut flight = Flight::new(plan, Timing::default());
+    let mut lifecycle = Lifecycle::new(policy, Timing::default());
     let target = Target {
         endpoint: EndpointId::new("e0"),
         boot: BootId(1),
         address: "127.0.0.1:1".parse().expect("an address"),
     };
-    flight.step(Moment::ZERO, Input::Placed(target, AttemptId::new("a.1")));
+    lifecycle.step(Moment::ZERO, Input::Placed(target, AttemptId::new("a.1")));
     let fault = Fault::Rejected {
         status: 500,
         body: Bytes::new(),
     };
-    let outputs = flight.step(Moment::from_millis(5), Input::Fault(fault));
+    let outputs = lifecycle.step(Moment::from_millis(5), Input::Fault(fault));
     assert!(matches!(
         outputs.as_slice(),
         [Output::End(Ending::Failed(_))]
--- a/crates/kumquatdrum_daemon/tests/prefix.rs
+++ b/crates/kumquatdrum_daemon/tests/prefix.rs
@@ -1,6 +1,6 @@
 //! Block names as the stand-in engine gives them.
 
-use kumquatdrum_daemon::prefix::blocks;
+use kumquatdrum_daemon::prefix::hash_blocks;
 use kumquatdrum_testing::prompt;
 
 #[test]
--- a/crates/kumquatdrum_declaration/src/lib.rs
+++ b/crates/kumquatdrum_declaration/src/lib.rs
@@ -16,4 +16,4 @@
     Workspace,
 };
 pub use parse::{parse, schema};
-pub use repeat::idempotent;
+pub use repeat::is_idempotent;
--- a/crates/kumquatdrum_declaration/src/repeat.rs
+++ b/crates/kumquatdrum_declaration/src/repeat.rs
@@ -11,7 +11,7 @@
 /// might slip past the rules, and such a call is never repeated.
 ///
 /// ```
-/// use kumquatdrum_declaration::{Rule, Service, ServiceKind, idempotent};
+/// use kumquatdrum_declaration::{Rule, Service, ServiceKind, is_idempotent};
 ///
 /// let reorder = Rule {
 ///     methods: vec!["POST".into()],
@@ -25,10 +25,10 @@
 ///     deadline_cap_ms: 5_000,
 ///     rules: vec![reorder],
 /// };
-/// assert!(!idempotent(&service, "POST", "/reorders/7"));
-/// assert!(idempotent(&service, "GET", "/stock"));
+/// assert!(!is_idempotent(&service, "POST", "/reorders/7"));
+/// assert!(is_idempotent(&service, "GET", "/stock"));
 /// ```
-pub fn idempotent(service: &Service, method: &str, path: &str) -> bool {
+pub fn is_idempotent(service: &Service, method: &str, path: &str) -> bool {
     let path = path.split(['?', '#']).next().unwrap_or_default();
     if !is_regular(path) {
         return false;
--- a/crates/kumquatdrum_declaration/tests/repeat.rs
+++ b/crates/kumquatdrum_declaration/tests/repeat.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use kumquatdrum_declaration::{Index, checked, diff, idempotent};
+use kumquatdrum_declaration::{Index, checked, diff, is_idempotent};
 
 const TOONIKAART: &str = include_str!("../../../examples/toonikaart.json");
 const TREASURY: &str = include_str!("../../../examples/treasury.json");
@@ -39,7 +39,7 @@
         let index = index(text);
         let service = index.service(service).expect("a service");
         assert_eq!(
-            idempotent(service, method, path),
+            is_idempotent(service, method, path),
             expected,
             "{method} {path}"
         );
@@ -62,7 +62,7 @@
         "/stock-checks/%zz",
         "/stock-checks/%",
     ] {
-        assert!(!idempotent(service, "POST", path), "{path}");
+        assert!(!is_idempotent(service, "POST", path), "{path}");
     }
 }
 
--- a/crates/kumquatdrum_host/src/canceller.rs
+++ b/crates/kumquatdrum_host/src/canceller.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kumquatdrum_daemon::held::{Cancel, Held};
+use kumquatdrum_daemon::cancellation::{Cancel, Queue};
 use kumquatdrum_engine::Engine;
 use kumquatdrum_process::Metrics;
 use kumquatdrum_types::exchange::Target;
@@ -19,7 +19,7 @@
 /// Holds what this daemon wants ended at engines.
 pub struct Canceller {
     clock: Clock,
-    held: Mutex<Held>,
+    held: Mutex<Queue>,
     woken: Notify,
     engine: Arc<dyn Engine>,
     metrics: Arc<Metrics>,
@@ -39,13 +39,13 @@
 
     /// Cancels an attempt until the engine confirms it.
     pub fn abandon(&self, target: Target, attempt: AttemptId) {
-        self.held.lock().abandon(self.clock.now(), target, attempt);
+        self.held.lock().insert(self.clock.now(), target, attempt);
         self.woken.notify_one();
     }
 
     /// A life of an engine is over.
     pub fn engine_gone(&self, endpoint: &EndpointId, boot: BootId) {
-        self.held.lock().engine_gone(endpoint, boot);
+        self.held.lock().remove_engine(endpoint, boot);
     }
 
     /// Whether nothing awaits a confirmation.
@@ -74,14 +74,14 @@
     fn due(&self) -> Vec<Cancel> {
         let mut held = self.held.lock();
         self.metrics.cancels_pending.set(held.len() as i64);
-        held.due(self.clock.now())
+        held.take_due(self.clock.now())
     }
 
     async fn cancel(&self, cancel: Cancel) {
         if let Ok(standing) = self.engine.cancel(&cancel.target, &cancel.attempt).await {
             // Another life of the engine holds nothing of it either.
             let _ = standing;
-            self.held.lock().confirmed(&cancel.attempt);
+            self.held.lock().confirm(&cancel.attempt);
         }
     }
 }
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -7,7 +7,7 @@
 use kumquatdrum_caller::Admission;
 use kumquatdrum_caller::admission::{Answer, Ask, Caller, Exchange, KeyState, Problem};
 use kumquatdrum_daemon::admission;
-use kumquatdrum_daemon::flight::Plan;
+use kumquatdrum_daemon::lifecycle::Policy;
 use kumquatdrum_declaration::{Index, Service, Workspace};
 use kumquatdrum_process::sockets::Connections;
 use kumquatdrum_routing as routing;
@@ -24,7 +24,7 @@
 /// Replies that wait for a slow caller.
 const REPLIES: usize = 256;
 /// Attempts of one request, the first included.
-const ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// How long the outcome of a keyed request is kept after its deadline.
 const RETAIN: Duration = Duration::from_secs(24 * 3_600);
 
@@ -69,20 +69,20 @@
             .service_for(workspace, &ask.service)
             .filter(|service| index.model_of(service).is_some() == ask.model)
             .ok_or_else(|| refuse(Refusal::UnknownService))?;
-        let deadline = admission::deadline(service, ask.deadline);
+        let deadline = admission::resolve_deadline(service, ask.deadline);
         let prompt_tokens = Self::prompt_tokens(index, service, &ask);
         let model = index.model_of(service);
         if model.is_some_and(|model| prompt_tokens > model.max_prompt_tokens) {
             return Err(refuse(Refusal::PromptTooLong));
         }
         let routing = self.routing(&caller, &ask, index, workspace, prompt_tokens, deadline)?;
-        let plan = Plan {
+        let policy = Policy {
             deadline: routing.deadline,
-            idempotent: admission::idempotent(service, &ask.method, &ask.path, ask.idempotent),
-            keyed: ask.key.is_some(),
-            resumable: ask.model,
-            streamed: ask.stream || !ask.model,
-            attempts: ATTEMPTS,
+            is_idempotent: admission::is_idempotent(service, &ask.method, &ask.path, ask.idempotent),
+            has_key: ask.key.is_some(),
+            is_resumable: ask.model,
+            is_streamed: ask.stream || !ask.model,
+            max_attempts: MAX_ATTEMPTS,
         };
         let tokens = prompt_tokens + routing.expected_output_tokens;
         let admitted = self.shell.quota.admit(&workspace.name, tokens);
@@ -100,7 +100,7 @@
             workspace: workspace.name.clone(),
             request: caller.request,
             routing,
-            plan,
+            policy,
             key,
             hold: caller.hold,
             work: self.shell.drain.work(),
@@ -113,7 +113,7 @@
         let counted = ask.prompt_tokens.unwrap_or_default();
         match index.model_of(service) {
             _ if counted > 0 => counted,
-            Some(model) => admission::tokens(ask.prompt.len(), model.bytes_per_token_milli),
+            Some(model) => admission::estimate_tokens(ask.prompt.len(), model.bytes_per_token_milli),
             None => 0,
         }
     }
@@ -147,7 +147,7 @@
             weight: workspace.weight,
             priority,
             prompt_tokens,
-            expected_output_tokens: ask.max_tokens.unwrap_or(admission::USUAL_OUTPUT_TOKENS),
+            expected_output_tokens: ask.max_tokens.unwrap_or(admission::DEFAULT_OUTPUT_TOKENS),
             prefix: prefix(ask),
             deadline: self.shell.clock.now() + deadline,
             excluded: Vec::new(),
@@ -185,7 +185,7 @@
         Key {
             claim,
             service: service.name.clone(),
-            resumable: ask.model,
+            is_resumable: ask.model,
         }
     }
 }
@@ -201,7 +201,7 @@
             return Err(self.refuse(Refusal::Unauthorized, Some(&request)));
         };
         Ok(Caller {
-            hold: self.shell.bodies.hold(&workspace.name),
+            hold: self.shell.bodies.allocate(&workspace.name),
             workspace: workspace.name.clone(),
             body_limit: self.shell.settings.limits.body_bytes,
             workspace_limit: workspace.limits.body_bytes,
@@ -258,7 +258,7 @@
 }
 
 fn prefix(ask: &Ask) -> Vec<routing::BlockHash> {
-    let blocks = kumquatdrum_daemon::prefix::blocks(&ask.body[ask.prompt.clone()]);
+    let blocks = kumquatdrum_daemon::prefix::hash_blocks(&ask.body[ask.prompt.clone()]);
     blocks.into_iter().map(routing::BlockHash).collect()
 }
 
--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -5,7 +5,7 @@
 
 use futures::future::join_all;
 use kumquatdrum_caller::admission::Problem;
-use kumquatdrum_daemon::flight::Ending;
+use kumquatdrum_daemon::lifecycle::Ending;
 use kumquatdrum_setup::claim::Held;
 use kumquatdrum_setup::{Claim, ClaimAnswer, Failure, Settled, Settlement};
 use kumquatdrum_types::exchange::{State, Target};
@@ -34,7 +34,7 @@
     /// The service, to look for the attempt of an earlier request.
     pub service: ServiceName,
     /// Whether engines can be asked about attempts.
-    pub resumable: bool,
+    pub is_resumable: bool,
 }
 
 /// What a claim came to.
@@ -86,7 +86,7 @@
     async fn held(&self, shell: &Arc<Shell>, held: Held) -> Claimed {
         let followed = match held.settled {
             Settled::NotRun => return Claimed::Refused(Refusal::ClaimUnavailable, None),
-            _ if !self.resumable => None,
+            _ if !self.is_resumable => None,
             _ => self.seek(shell, &held.attempt).await,
         };
         match followed {
--- a/crates/kumquatdrum_host/src/problem.rs
+++ b/crates/kumquatdrum_host/src/problem.rs
@@ -2,7 +2,7 @@
 
 use kumquatdrum_caller::Reply;
 use kumquatdrum_caller::admission::Problem;
-use kumquatdrum_daemon::flight::{Cause, Ending};
+use kumquatdrum_daemon::lifecycle::{Cause, Ending};
 use kumquatdrum_types::{Class, RequestId};
 
 const BAD_GATEWAY: u16 = 502;
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -6,7 +6,7 @@
 
 use futures::StreamExt;
 use kumquatdrum_caller::Reply;
-use kumquatdrum_daemon::flight::{Flight, Input, Output, Timing};
+use kumquatdrum_daemon::lifecycle::{Lifecycle, Input, Output, Timing};
 use kumquatdrum_engine::engine::Events;
 use kumquatdrum_routing::{self as routing, Failure, Progress};
 use kumquatdrum_types::exchange::{Call, Event, Fault, Target, Usage};
@@ -60,7 +60,7 @@
 pub struct Driver {
     shell: Arc<Shell>,
     order: Order,
-    flight: Flight,
+    lifecycle: Lifecycle,
     replies: mpsc::Sender<Reply>,
     pending: Option<Reply>,
     placement: Option<oneshot::Receiver<Decision>>,
@@ -87,7 +87,7 @@
     pub fn new(shell: Arc<Shell>, order: Order, replies: mpsc::Sender<Reply>) -> Self {
         let arrived = shell.clock.now();
         Self {
-            flight: Flight::new(order.plan.clone(), Timing::default()),
+            lifecycle: Lifecycle::new(order.policy.clone(), Timing::default()),
             shell,
             order,
             replies,
@@ -115,7 +115,7 @@
         self.shell.metrics.admitted.inc();
         self.shell.metrics.in_flight.inc();
         self.shell.fleet.request(&self.order.service);
-        let mut outputs = self.flight.start();
+        let mut outputs = self.lifecycle.start();
         loop {
             for output in outputs {
                 if let Output::End(ending) = output {
@@ -124,7 +124,7 @@
                 self.carry_out(output);
             }
             let input = self.next().await;
-            outputs = self.flight.step(self.shell.clock.now(), input);
+            outputs = self.lifecycle.step(self.shell.clock.now(), input);
         }
     }
 
@@ -137,7 +137,7 @@
             Output::Dispatch(target, attempt) => self.dispatch(target, attempt),
             Output::Probe(target, attempt) => {
                 let asked = self.shell.engine.probe(&target, &attempt);
-                self.ask(async move { asked.await.map_or(Input::Unreachable, Input::Standing) });
+                self.ask(async move { asked.await.map_or(Input::Unreachable, Input::Probed) });
             }
             Output::Cancel(target, attempt) => {
                 self.events = None;
@@ -150,7 +150,7 @@
                 self.shell.engine.shed(&target);
                 self.events = Some(self.shell.engine.resume(&target, &attempt, from));
             }
-            Output::Abandon(target, attempt) if self.order.plan.resumable => {
+            Output::Abandon(target, attempt) if self.order.policy.is_resumable => {
                 self.shell.canceller.abandon(target, attempt);
             }
             // A plain service can't be told; closing the connection is all there is.
@@ -201,7 +201,7 @@
         };
         self.claim = ClaimState::Open;
         let shell = Arc::clone(&self.shell);
-        let deadline = self.order.plan.deadline;
+        let deadline = self.order.policy.deadline;
         self.question = Some(Box::pin(async move {
             Told::Claimed(key.claim(&shell, deadline).await)
         }));
@@ -233,9 +233,9 @@
             body: self.order.ask.body.clone(),
             prompt_tokens: self.order.routing.prompt_tokens,
             priority: self.priority,
-            time_left: self.order.plan.deadline - self.shell.clock.now(),
+            time_left: self.order.policy.deadline - self.shell.clock.now(),
         };
-        self.events = Some(if self.order.plan.resumable {
+        self.events = Some(if self.order.policy.is_resumable {
             self.shell.engine.dispatch(call)
         } else {
             self.shell.plain.call(call)
@@ -282,7 +282,7 @@
                 Happening::Event(event) => self.event(event),
                 Happening::PartLost(is_lost) => {
                     self.part_lost = None;
-                    is_lost.then_some(Input::PartLost)
+                    is_lost.then_some(Input::ReservationLost)
                 }
                 Happening::Sent => None,
                 Happening::Tick => Some(Input::Tick),
@@ -297,7 +297,7 @@
         if self.caller_gone {
             self.pending = None;
         }
-        let wake = self.shell.clock.instant(self.flight.wake());
+        let wake = self.shell.clock.instant(self.lifecycle.next_tick());
         let (replies, pending) = (&self.replies, &mut self.pending);
         let takes = pending.is_none();
         tokio::select! {
@@ -361,7 +361,7 @@
         let reserved = self
             .shell
             .gangs
-            .reserve(&id, parts, self.order.plan.deadline);
+            .reserve(&id, parts, self.order.policy.deadline);
         self.gang = Some(id.clone());
         self.part_lost = Some(reserved.lost);
         self.question = Some(Box::pin(async move {
@@ -384,11 +384,11 @@
             }
             Claimed::Follow(target, attempt) => {
                 self.settle_attempt(Progress::Failed(Failure::Cancelled));
-                let plan = self.order.plan.clone();
-                let flight = Flight::attached(plan, Timing::default(), target, attempt);
-                self.flight = flight;
+                let policy = self.order.policy.clone();
+                let lifecycle = Lifecycle::attach(policy, Timing::default(), target, attempt);
+                self.lifecycle = lifecycle;
                 self.claim = ClaimState::None;
-                for output in self.flight.start() {
+                for output in self.lifecycle.start() {
                     self.carry_out(output);
                 }
                 None
@@ -410,7 +410,7 @@
         match event {
             Event::Accepted(head) => {
                 self.progress(Progress::Started);
-                if !self.order.plan.resumable {
+                if !self.order.policy.is_resumable {
                     self.pending = Some(Reply::Head(head));
                 }
                 Some(Input::Accepted)
--- a/crates/kumquatdrum_host/src/request/ending.rs
+++ b/crates/kumquatdrum_host/src/request/ending.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kumquatdrum_caller::Reply;
-use kumquatdrum_daemon::flight::Ending;
+use kumquatdrum_daemon::lifecycle::Ending;
 use kumquatdrum_routing::{self as routing, Failure, Progress};
 use kumquatdrum_types::IdempotencyKey;
 use slog::info;
--- a/crates/kumquatdrum_host/src/request/order.rs
+++ b/crates/kumquatdrum_host/src/request/order.rs
@@ -1,8 +1,8 @@
 //! What a request needs to be carried out.
 
 use kumquatdrum_caller::admission::Ask;
-use kumquatdrum_daemon::body::Hold;
-use kumquatdrum_daemon::flight::Plan;
+use kumquatdrum_daemon::body::Allocation;
+use kumquatdrum_daemon::lifecycle::Policy;
 use kumquatdrum_process::drain::Work;
 use kumquatdrum_routing as routing;
 use kumquatdrum_types::{RequestId, ServiceName, WorkspaceName};
@@ -23,11 +23,11 @@
     /// What the router needs to know; excluded endpoints are filled in.
     pub routing: routing::Ask,
     /// What is fixed from its start.
-    pub plan: Plan,
+    pub policy: Policy,
     /// Its idempotency key, with what a claim needs.
     pub key: Option<Key>,
     /// Bytes set aside for its body.
-    pub hold: Hold,
+    pub hold: Allocation,
     /// What the shutdown waits for.
     pub work: Work,
     /// The slot in its workspace's limits, returned at the end.
