--- a/crates/kumquatdrum_daemon/src/admission.rs
+++ b/crates/kumquatdrum_daemon/src/admission.rs
@@ -1,13 +1,13 @@
-//! What a request may take for granted, from the declaration and its own headers.
+//! Deadline, idempotency and token estimates of a request, from the declaration and its headers.
 
 use std::time::Duration;
 
 use kumquatdrum_declaration::Service;
 
-/// Tokens of an answer whose caller names no bound.
+/// Expected output tokens of a request that sets no limit.
 pub const DEFAULT_OUTPUT_TOKENS: u64 = 256;
 
-/// The deadline of a request: the caller's within the service's cap, else the service's.
+/// Returns the requested deadline, or the service's default, within the service's cap.
 ///
 /// ```
 /// use kumquatdrum_daemon::admission::resolve_deadline;
@@ -20,18 +20,18 @@
 /// assert_eq!(resolve_deadline(&service, None), Duration::from_secs(1));
 /// assert_eq!(resolve_deadline(&service, Some(Duration::from_secs(9))), Duration::from_secs(5));
 /// ```
-pub fn resolve_deadline(service: &Service, wanted: Option<Duration>) -> Duration {
+pub fn resolve_deadline(service: &Service, requested: Option<Duration>) -> Duration {
     let cap = Duration::from_millis(service.deadline_cap_ms);
-    let usual = Duration::from_millis(service.deadline_ms);
-    wanted.unwrap_or(usual).min(cap)
+    let default = Duration::from_millis(service.deadline_ms);
+    requested.unwrap_or(default).min(cap)
 }
 
-/// Whether a request may be done more than once: the caller's word goes before the declaration's.
-pub fn is_idempotent(service: &Service, method: &str, path: &str, said: Option<bool>) -> bool {
-    said.unwrap_or_else(|| kumquatdrum_declaration::is_idempotent(service, method, path))
+/// Whether a request is idempotent. The caller's header overrides the declaration.
+pub fn is_idempotent(service: &Service, method: &str, path: &str, requested: Option<bool>) -> bool {
+    requested.unwrap_or_else(|| kumquatdrum_declaration::is_idempotent(service, method, path))
 }
 
-/// The tokens that so many bytes of text stand for, at least 1.
+/// Estimates the tokens in `bytes` of text, at least 1.
 ///
 /// ```
 /// assert_eq!(kumquatdrum_daemon::admission::estimate_tokens(8_000, 4_000), 2_000);
--- a/crates/kumquatdrum_daemon/src/body.rs
+++ b/crates/kumquatdrum_daemon/src/body.rs
@@ -1,4 +1,4 @@
-//! Bounds on the bytes of request bodies that a daemon holds.
+//! Memory limits for the request bodies that a daemon holds.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,7 +7,7 @@
 use kumquatdrum_types::WorkspaceName;
 use std::sync::Mutex;
 
-/// The bytes that bodies may take on this daemon, in all and by workspace.
+/// The memory budget for bodies, with the bytes used in total and by workspace.
 #[derive(Debug)]
 pub struct Budget {
     limit: u64,
@@ -15,7 +15,7 @@
     workspaces: Mutex<IndexMap<WorkspaceName, u64>>,
 }
 
-/// Bytes set aside for one body; they return when it is dropped.
+/// Bytes allocated to one body; dropping it releases them.
 #[derive(Debug)]
 pub struct Allocation {
     budget: Arc<Budget>,
@@ -24,7 +24,7 @@
 }
 
 impl Budget {
-    /// A budget of `limit` bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: u64) -> Arc<Self> {
         Arc::new(Self {
             limit,
@@ -33,22 +33,22 @@
         })
     }
 
-    /// Bytes in use.
+    /// Returns the bytes in use.
     pub fn used(&self) -> u64 {
         self.used.load(Ordering::Relaxed)
     }
 
-    /// An empty hold for a body of a workspace; it grows as the body arrives.
+    /// Returns an empty allocation for a body of a workspace; it grows as the body arrives.
     ///
     /// ```
     /// use kumquatdrum_daemon::body::Budget;
     /// use kumquatdrum_types::WorkspaceName;
     ///
     /// let budget = Budget::new(10);
-    /// let mut hold = budget.hold(&WorkspaceName::new("w"));
-    /// assert!(hold.grow(8, None));
-    /// assert!(!hold.grow(3, None), "beyond the budget");
-    /// drop(hold);
+    /// let mut allocation = budget.allocate(&WorkspaceName::new("w"));
+    /// assert!(allocation.grow(8, None));
+    /// assert!(!allocation.grow(3, None), "beyond the budget");
+    /// drop(allocation);
     /// assert_eq!(budget.used(), 0);
     /// ```
     pub fn allocate(self: &Arc<Self>, workspace: &WorkspaceName) -> Allocation {
@@ -59,7 +59,7 @@
         }
     }
 
-    fn take(&self, bytes: u64) -> bool {
+    fn acquire(&self, bytes: u64) -> bool {
         self.used
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |used| {
                 used.checked_add(bytes).filter(|sum| *sum <= self.limit)
@@ -67,23 +67,23 @@
             .is_ok()
     }
 
-    fn give_back(&self, bytes: u64) {
+    fn release(&self, bytes: u64) {
         self.used.fetch_sub(bytes, Ordering::Relaxed);
     }
 }
 
 impl Allocation {
-    /// Takes `bytes` more, within the daemon's budget and the workspace's `limit` where it has
-    /// one. `false` leaves the hold as it was.
+    /// Allocates `bytes` more within the daemon's budget and the workspace's `limit`, if any.
+    /// Returns `false` and changes nothing if either is exceeded.
     pub fn grow(&mut self, bytes: u64, limit: Option<u64>) -> bool {
-        if !self.budget.take(bytes) {
+        if !self.budget.acquire(bytes) {
             return false;
         }
         let mut workspaces = self.budget.workspaces.lock().expect("no holder panics");
         let used = workspaces.entry(self.workspace.clone()).or_default();
         if limit.is_some_and(|limit| *used + bytes > limit) {
             drop(workspaces);
-            self.budget.give_back(bytes);
+            self.budget.release(bytes);
             return false;
         }
         *used += bytes;
@@ -94,13 +94,13 @@
 
 impl Drop for Allocation {
     fn drop(&mut self) {
-        self.budget.give_back(self.bytes);
+        self.budget.release(self.bytes);
         let mut workspaces = self.budget.workspaces.lock().expect("no holder panics");
-        let left = workspaces.get_mut(&self.workspace).map(|used| {
+        let remaining = workspaces.get_mut(&self.workspace).map(|used| {
             *used -= self.bytes;
             *used
         });
-        if left == Some(0) {
+        if remaining == Some(0) {
             workspaces.swap_remove(&self.workspace);
         }
     }
--- a/crates/kumquatdrum_daemon/src/cancellation.rs
+++ b/crates/kumquatdrum_daemon/src/cancellation.rs
@@ -1,7 +1,6 @@
-//! What this daemon has asked of engines and must see ended.
+//! Cancels that await confirmation by an engine.
 //!
-//! An attempt stays held until the engine confirms its end. Cancels are repeated, with growing
-//! waits, until they are confirmed or the engine's life is over.
+//! A cancel is repeated with exponential backoff until the engine confirms it or has restarted.
 
 use std::time::Duration;
 
@@ -9,26 +8,26 @@
 use kumquatdrum_types::exchange::Target;
 use kumquatdrum_types::{AttemptId, BootId, EndpointId, Moment};
 
-const FIRST_WAIT: Duration = Duration::from_millis(200);
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// A cancel to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cancel {
-    /// Where to.
+    /// The engine.
     pub target: Target,
-    /// Which attempt.
+    /// The attempt to cancel.
     pub attempt: AttemptId,
 }
 
 #[derive(Debug, Clone)]
 struct Pending {
     target: Target,
-    next: Moment,
-    wait: Duration,
+    next_at: Moment,
+    backoff: Duration,
 }
 
-/// The attempts whose cancel awaits a confirmation.
+/// The attempts whose cancel is unconfirmed.
 ///
 /// ```
 /// use kumquatdrum_daemon::cancellation::Queue;
@@ -40,12 +39,12 @@
 ///     boot: BootId(1),
 ///     address: "127.0.0.1:9".parse().unwrap(),
 /// };
-/// let mut cancellation = Queue::default();
-/// cancellation.abandon(Moment::ZERO, target, AttemptId::new("a1"));
-/// assert_eq!(cancellation.due(Moment::ZERO).len(), 1);
-/// assert!(cancellation.due(Moment::ZERO).is_empty(), "not again before the wait is over");
-/// cancellation.confirmed(&AttemptId::new("a1"));
-/// assert!(cancellation.is_empty());
+/// let mut queue = Queue::default();
+/// queue.insert(Moment::ZERO, target, AttemptId::new("a1"));
+/// assert_eq!(queue.take_due(Moment::ZERO).len(), 1);
+/// assert!(queue.take_due(Moment::ZERO).is_empty(), "not due before the backoff has passed");
+/// queue.confirm(&AttemptId::new("a1"));
+/// assert!(queue.is_empty());
 /// ```
 #[derive(Debug, Default)]
 pub struct Queue {
@@ -53,35 +52,35 @@
 }
 
 impl Queue {
-    /// An attempt that nobody waits for any more and that the engine must end.
+    /// Adds an attempt that the engine must cancel.
     pub fn insert(&mut self, now: Moment, target: Target, attempt: AttemptId) {
         self.pending.entry(attempt).or_insert(Pending {
             target,
-            next: now,
-            wait: FIRST_WAIT,
+            next_at: now,
+            backoff: INITIAL_BACKOFF,
         });
     }
 
-    /// The engine confirmed the end of an attempt.
+    /// Removes an attempt whose end the engine confirmed.
     pub fn confirm(&mut self, attempt: &AttemptId) {
         self.pending.swap_remove(attempt);
     }
 
-    /// A life of an engine is over, and with it all that it held.
+    /// Removes all attempts of an engine up to and including a boot that has ended.
     pub fn remove_engine(&mut self, endpoint: &EndpointId, boot: BootId) {
         self.pending.retain(|_, pending| {
             pending.target.endpoint != *endpoint || pending.target.boot > boot
         });
     }
 
-    /// The cancels to send now; each is due again after a growing wait.
+    /// Returns the cancels to send now and schedules each again after its backoff.
     pub fn take_due(&mut self, now: Moment) -> Vec<Cancel> {
         self.pending
             .iter_mut()
-            .filter(|(_, pending)| pending.next <= now)
+            .filter(|(_, pending)| pending.next_at <= now)
             .map(|(attempt, pending)| {
-                pending.next = now + pending.wait;
-                pending.wait = (pending.wait * 2).min(LONGEST_WAIT);
+                pending.next_at = now + pending.backoff;
+                pending.backoff = (pending.backoff * 2).min(MAX_BACKOFF);
                 Cancel {
                     target: pending.target.clone(),
                     attempt: attempt.clone(),
@@ -90,12 +89,12 @@
             .collect()
     }
 
-    /// How many attempts await a confirmation.
+    /// Returns the number of unconfirmed cancels.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether none does.
+    /// Whether all cancels are confirmed.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
--- a/crates/kumquatdrum_daemon/src/lib.rs
+++ b/crates/kumquatdrum_daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! Core: the life of one request and the composition of one daemon.
+//! Core: life cycle, admission and cancellation of requests on one daemon.
 
 pub mod admission;
 pub mod body;
-pub mod lifecycle;
 pub mod cancellation;
+pub mod lifecycle;
 pub mod prefix;
--- a/crates/kumquatdrum_daemon/src/lifecycle.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle.rs
@@ -1,13 +1,11 @@
-//! The life of one request: admitted, queued, dispatched, streaming, then finished or failed.
+//! The life cycle of one request: admitted, queued, dispatched, streaming, then finished or failed.
 //!
-//! A [`Lifecycle`] is a state machine without a clock. It is told what happened and says what to do
-//! next. Three rules stand above the others:
+//! [`Lifecycle`] is a state machine without a clock or I/O. Its invariants:
 //!
-//! * "not run" is said only where nothing was sent, or where the engine confirmed that the attempt
+//! * "not run" is reported only if nothing was sent, or if the engine confirmed that the attempt
 //!   never started and never will;
-//! * a request that may not be repeated goes to a second endpoint only after such a confirmation;
-//! * once a part of the answer has reached the caller, the answer is only ever resumed, never begun
-//!   anew elsewhere.
+//! * a request that isn't idempotent goes to a second endpoint only after such a confirmation;
+//! * an answer that has partly reached the caller is resumed, never restarted elsewhere.
 
 mod event;
 mod machine;
--- a/crates/kumquatdrum_daemon/src/lifecycle/event.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/event.rs
@@ -1,4 +1,4 @@
-//! What a flight is told, and what it says to do.
+//! Inputs and outputs of a request's life cycle.
 
 use std::time::Duration;
 
@@ -6,69 +6,69 @@
 use kumquatdrum_types::exchange::{Fault, Standing, Target};
 use kumquatdrum_types::{AttemptId, EndpointId, Refusal};
 
-/// What happened.
+/// An event for the life cycle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// The router chose an endpoint; the attempt got its name.
+    /// The router chose an endpoint for the attempt.
     Placed(Target, AttemptId),
-    /// The router refused.
+    /// The router refused the request.
     Refused(Refusal, Option<Duration>),
     /// The key was claimed for this attempt.
     Claimed,
-    /// The key could not be claimed, and it is certain that it is not.
+    /// The key is confirmed to be unclaimed by this attempt.
     ClaimRefused(Refusal, Option<Duration>),
     /// The head of the answer arrived.
     Accepted,
-    /// Tokens up to this count have arrived, or a piece of a plain answer.
+    /// The answer has arrived up to this number of tokens, or of pieces from a plain service.
     Progress(u64),
-    /// The answer is whole.
+    /// The answer is complete.
     Finished,
-    /// The exchange ended otherwise.
+    /// The exchange ended without a complete answer.
     Fault(Fault),
-    /// The engine said how the attempt stands.
-    Standing(Standing),
-    /// The engine confirmed a cancel and said how the attempt had stood.
+    /// The engine answered a probe with the attempt's status.
+    Probed(Standing),
+    /// The engine confirmed a cancel, with the attempt's status before it.
     Cancelled(Standing),
-    /// The engine could not be asked.
+    /// The engine could not be reached by a probe or cancel.
     Unreachable,
-    /// The budget for retries is used up.
+    /// The retry budget is exhausted.
     RetryDenied,
     /// Memory reserved for the attempt at another engine was lost.
-    PartLost,
-    /// The caller has left.
+    ReservationLost,
+    /// The caller has disconnected.
     CallerGone,
-    /// Time went by.
+    /// The clock has advanced.
     Tick,
 }
 
-/// What to do next.
+/// Work for the driver of the request to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Ask the router for an endpoint, but for these.
+    /// Request an endpoint from the router.
     Place {
-        /// Endpoints that failed this request already.
+        /// Endpoints that have failed this request.
         excluded: Vec<EndpointId>,
     },
-    /// Ask the budget for a retry, then place as above.
+    /// Take a retry from the budget, then request an endpoint from the router.
     Retry {
-        /// Endpoints that failed this request already.
+        /// Endpoints that have failed this request.
         excluded: Vec<EndpointId>,
     },
-    /// Tell the router that the request needs no endpoint any more.
+    /// Withdraw the request from the router.
     Withdraw,
     /// Claim the idempotency key for this attempt.
     Claim,
     /// Send the attempt.
     Dispatch(Target, AttemptId),
-    /// Ask over a new connection how the attempt stands.
+    /// Request the attempt's status over a new connection.
     Probe(Target, AttemptId),
-    /// Drop the exchange and resume over a new connection from this token.
+    /// Drop the exchange and resume the answer over a new connection from this token.
     Resume(Target, AttemptId, u64),
-    /// Cancel the attempt, repeat it until confirmed, and report the confirmation.
+    /// Cancel the attempt and report the confirmation.
     Cancel(Target, AttemptId),
-    /// Cancel the attempt and repeat it until confirmed; nobody waits for it here.
+    /// Cancel the attempt until confirmed, without a report.
     Abandon(Target, AttemptId),
-    /// The request is over.
+    /// End the request.
     End(Ending),
 }
 
@@ -77,33 +77,33 @@
 pub enum Ending {
     /// The whole answer was delivered.
     Finished,
-    /// Nothing of it ran, and nothing will.
+    /// No attempt ran or will run.
     NotRun {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
-        /// When to come back, where that is worth it.
+        /// When to retry, if a retry can succeed.
         retry_after: Option<Duration>,
     },
-    /// It ran and did not finish.
+    /// An attempt ran and did not finish.
     Failed(Cause),
-    /// It was dispatched, and what became of it could not be learnt.
+    /// An attempt was dispatched and its outcome is unknown.
     Unknown(Cause),
-    /// The caller has left.
+    /// The caller has disconnected.
     CallerGone,
 }
 
-/// Why a dispatched request did not finish.
+/// The reason why a dispatched request did not finish.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Cause {
-    /// The deadline came.
+    /// The deadline passed.
     Deadline,
-    /// The endpoint died, restarted or lost the attempt.
+    /// The endpoint failed, restarted or lost the attempt.
     EndpointLost,
-    /// The endpoint answered with an error of its own.
+    /// The endpoint answered with an error.
     Rejected {
-        /// Its HTTP status.
+        /// The HTTP status.
         status: u16,
-        /// Its body, cut to a bound.
+        /// The body, truncated to a limit.
         body: Bytes,
     },
 }
--- a/crates/kumquatdrum_daemon/src/lifecycle/machine.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine of one request.
+//! The state machine of one request's life cycle.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 
 use super::{Cause, Ending, Input, Output, Policy, Timing};
 
-/// HTTP statuses from here on are the endpoint's own failures.
-const SERVER_ERROR: u16 = 500;
+/// The lowest HTTP status that reports a failure of the endpoint.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
@@ -18,20 +18,20 @@
     Exchanging,
     Probing,
     Cancelling,
-    Over,
+    Ended,
 }
 
 #[derive(Debug, Clone)]
 struct Attempt {
     target: Target,
     id: AttemptId,
-    accepted: bool,
-    /// The exchange that carried the answer has ended.
-    broken: bool,
+    is_accepted: bool,
+    /// Whether the exchange that carried the answer has ended.
+    is_broken: bool,
     tokens: u64,
 }
 
-/// One request's state.
+/// The life cycle of one request.
 ///
 /// ```
 /// use kumquatdrum_daemon::lifecycle::{Ending, Lifecycle, Input, Output, Policy, Timing};
@@ -57,61 +57,61 @@
     timing: Timing,
     phase: Phase,
     attempt: Option<Attempt>,
-    made: u32,
-    claimed: bool,
-    /// The attempt belongs to an earlier request.
-    follows: bool,
+    dispatches: u32,
+    is_claimed: bool,
+    /// Whether the attempt belongs to an earlier request with the same key.
+    is_attached: bool,
     excluded: Vec<EndpointId>,
-    /// Part of the answer has reached the caller.
-    delivered: bool,
-    /// Some attempt certainly started.
-    ran: bool,
-    /// Some attempt may have run without a confirmation that it did not.
+    /// Whether part of the answer has reached the caller.
+    has_delivered: bool,
+    /// Whether an attempt is known to have started.
+    has_run: bool,
+    /// Whether an attempt may have run.
     may_have_run: bool,
-    /// What the last endpoint said when it failed the request.
+    /// The reason why the last endpoint failed the request.
     last_cause: Cause,
-    next_probe: Moment,
+    next_probe_at: Moment,
 }
 
 impl Lifecycle {
-    /// A request that was just admitted.
+    /// Creates the life cycle of a request that was just admitted.
     pub fn new(policy: Policy, timing: Timing) -> Self {
         Self {
             policy,
             timing,
             phase: Phase::Placing,
             attempt: None,
-            made: 0,
-            claimed: false,
-            follows: false,
+            dispatches: 0,
+            is_claimed: false,
+            is_attached: false,
             excluded: Vec::new(),
-            delivered: false,
-            ran: false,
+            has_delivered: false,
+            has_run: false,
             may_have_run: false,
             last_cause: Cause::EndpointLost,
-            next_probe: Moment::NEVER,
+            next_probe_at: Moment::NEVER,
         }
     }
 
-    /// Follows an attempt that another request with the same idempotency key started. Nothing is
-    /// ever dispatched, and the attempt is never cancelled from here.
+    /// Creates the life cycle of a request that follows an attempt of an earlier request with the
+    /// same idempotency key. It neither dispatches nor cancels.
     pub fn attach(policy: Policy, timing: Timing, target: Target, id: AttemptId) -> Self {
         let mut lifecycle = Self::new(policy, timing);
         lifecycle.phase = Phase::Probing;
-        lifecycle.follows = true;
-        lifecycle.claimed = true;
+        lifecycle.is_attached = true;
+        lifecycle.is_claimed = true;
         lifecycle.may_have_run = true;
         lifecycle.attempt = Some(Attempt {
             target,
             id,
-            accepted: false,
-            broken: true,
+            is_accepted: false,
+            is_broken: true,
             tokens: 0,
         });
         lifecycle
     }
 
-    /// The first thing to do.
+    /// Returns the first output.
     pub fn start(&self) -> Vec<Output> {
         match &self.attempt {
             Some(attempt) => vec![Output::Probe(attempt.target.clone(), attempt.id.clone())],
@@ -121,59 +121,59 @@
         }
     }
 
-    /// Whether the request is over.
-    pub fn is_over(&self) -> bool {
-        self.phase == Phase::Over
+    /// Whether the request has ended.
+    pub fn has_ended(&self) -> bool {
+        self.phase == Phase::Ended
     }
 
-    /// When the flight wants its next tick at the latest.
+    /// Returns the time by which the next tick must come.
     pub fn next_tick(&self) -> Moment {
         let probe = match self.phase {
-            Phase::Exchanging | Phase::Probing if self.policy.is_resumable => self.next_probe,
+            Phase::Exchanging | Phase::Probing if self.policy.is_resumable => self.next_probe_at,
             _ => Moment::NEVER,
         };
         probe.min(self.policy.deadline)
     }
 
-    /// Takes in what happened and says what to do next.
+    /// Handles an input and returns the work that follows from it.
     pub fn step(&mut self, now: Moment, input: Input) -> Vec<Output> {
-        if self.is_over() {
+        if self.has_ended() {
             return Vec::new();
         }
         match input {
-            Input::CallerGone => self.caller_gone(),
+            Input::CallerGone => self.handle_disconnect(),
             Input::Finished if self.phase != Phase::Placing => self.end(Ending::Finished),
-            _ if now >= self.policy.deadline => self.deadline(),
-            Input::Placed(target, id) => self.placed(now, target, id),
+            _ if now >= self.policy.deadline => self.handle_deadline(),
+            Input::Placed(target, id) => self.handle_placed(now, target, id),
             Input::Refused(refusal, retry_after) | Input::ClaimRefused(refusal, retry_after) => {
-                self.refused(refusal, retry_after)
+                self.handle_refusal(refusal, retry_after)
             }
             Input::Claimed => {
-                self.claimed = true;
+                self.is_claimed = true;
                 self.dispatch(now)
             }
-            Input::Accepted => self.progressed(now, |attempt| attempt.accepted = true),
-            Input::Progress(tokens) => self.delivered_up_to(now, tokens),
-            Input::Fault(fault) => self.fault(now, fault),
-            Input::Probed(standing) => self.standing(now, &standing),
-            Input::Cancelled(standing) => self.cancelled(&standing),
-            Input::Unreachable => self.unreachable(now),
-            Input::ReservationLost => self.part_lost(),
+            Input::Accepted => self.record_progress(now, |attempt| attempt.is_accepted = true),
+            Input::Progress(tokens) => self.handle_progress(now, tokens),
+            Input::Fault(fault) => self.handle_fault(now, fault),
+            Input::Probed(standing) => self.handle_probed(now, &standing),
+            Input::Cancelled(standing) => self.handle_cancelled(&standing),
+            Input::Unreachable => self.handle_unreachable(now),
+            Input::ReservationLost => self.handle_reservation_loss(),
             Input::RetryDenied => self.give_up(self.last_cause.clone()),
             Input::Finished => Vec::new(),
             Input::Tick => self.tick(now),
         }
     }
 
-    fn placed(&mut self, now: Moment, target: Target, id: AttemptId) -> Vec<Output> {
+    fn handle_placed(&mut self, now: Moment, target: Target, id: AttemptId) -> Vec<Output> {
         self.attempt = Some(Attempt {
             target,
             id,
-            accepted: false,
-            broken: false,
+            is_accepted: false,
+            is_broken: false,
             tokens: 0,
         });
-        if self.policy.has_key && !self.claimed {
+        if self.policy.has_key && !self.is_claimed {
             self.phase = Phase::Claiming;
             return vec![Output::Claim];
         }
@@ -186,13 +186,13 @@
         };
         let output = Output::Dispatch(attempt.target.clone(), attempt.id.clone());
         self.phase = Phase::Exchanging;
-        self.made += 1;
-        self.touch(now);
+        self.dispatches += 1;
+        self.reset_idle_timeout(now);
         vec![output]
     }
 
-    fn refused(&mut self, refusal: Refusal, retry_after: Option<Duration>) -> Vec<Output> {
-        if self.may_have_run || self.ran {
+    fn handle_refusal(&mut self, refusal: Refusal, retry_after: Option<Duration>) -> Vec<Output> {
+        if self.may_have_run || self.has_run {
             return self.give_up(self.last_cause.clone());
         }
         self.end(Ending::NotRun {
@@ -201,67 +201,66 @@
         })
     }
 
-    fn progressed(&mut self, now: Moment, change: impl FnOnce(&mut Attempt)) -> Vec<Output> {
+    fn record_progress(&mut self, now: Moment, change: impl FnOnce(&mut Attempt)) -> Vec<Output> {
         if let Some(attempt) = &mut self.attempt {
             change(attempt);
         }
         self.phase = Phase::Exchanging;
-        self.touch(now);
+        self.reset_idle_timeout(now);
         Vec::new()
     }
 
-    fn delivered_up_to(&mut self, now: Moment, tokens: u64) -> Vec<Output> {
-        self.delivered |= self.policy.is_streamed;
-        self.progressed(now, |attempt| {
-            attempt.accepted = true;
+    fn handle_progress(&mut self, now: Moment, tokens: u64) -> Vec<Output> {
+        self.has_delivered |= self.policy.is_streamed;
+        self.record_progress(now, |attempt| {
+            attempt.is_accepted = true;
             attempt.tokens = attempt.tokens.max(tokens);
         })
     }
 
-    fn touch(&mut self, now: Moment) {
-        self.next_probe = now + self.timing.quiet;
+    fn reset_idle_timeout(&mut self, now: Moment) {
+        self.next_probe_at = now + self.timing.idle_timeout;
     }
 
-    fn fault(&mut self, now: Moment, fault: Fault) -> Vec<Output> {
+    fn handle_fault(&mut self, now: Moment, fault: Fault) -> Vec<Output> {
         match fault {
             Fault::NotSent => {
-                self.exclude();
+                self.exclude_endpoint();
                 self.place_again()
             }
-            Fault::NotStarted => self.elsewhere(),
-            Fault::Rejected { status, body } => self.rejected(status, body),
+            Fault::NotStarted => self.retry_elsewhere(),
+            Fault::Rejected { status, body } => self.handle_rejection(status, body),
             Fault::Broken | Fault::Crossed if self.policy.is_resumable => {
                 if let Some(attempt) = &mut self.attempt {
-                    attempt.broken = true;
+                    attempt.is_broken = true;
                 }
                 self.probe(now)
             }
             Fault::Broken | Fault::Crossed => {
                 self.may_have_run = true;
-                self.elsewhere_if_repeatable()
+                self.retry_if_idempotent()
             }
         }
     }
 
-    fn rejected(&mut self, status: u16, body: Bytes) -> Vec<Output> {
-        self.ran = true;
+    fn handle_rejection(&mut self, status: u16, body: Bytes) -> Vec<Output> {
+        self.has_run = true;
         self.last_cause = Cause::Rejected { status, body };
-        if status >= SERVER_ERROR {
-            return self.elsewhere_if_repeatable();
+        if status >= MIN_SERVER_ERROR_STATUS {
+            return self.retry_if_idempotent();
         }
         self.give_up(self.last_cause.clone())
     }
 
-    /// An engine that is merely slow keeps its connection; one whose connection no longer brings
-    /// what it generated gets a new one.
-    fn resume_where_cut(&mut self, attempt: &Attempt, standing: &Standing) -> Vec<Output> {
-        let carries = attempt.accepted && !attempt.broken;
-        let ended = standing.state == State::Finished;
-        if carries && !ended && standing.tokens <= attempt.tokens {
+    /// Resumes the answer if the connection has ended or doesn't deliver what the engine generated.
+    fn resume_if_stalled(&mut self, attempt: &Attempt, standing: &Standing) -> Vec<Output> {
+        let is_connected = attempt.is_accepted && !attempt.is_broken;
+        let is_finished = standing.state == State::Finished;
+        if is_connected && !is_finished && standing.tokens <= attempt.tokens {
             return Vec::new();
         }
         if let Some(attempt) = &mut self.attempt {
-            attempt.broken = false;
+            attempt.is_broken = false;
         }
         vec![Output::Resume(
             attempt.target.clone(),
@@ -276,99 +275,100 @@
         };
         let output = Output::Probe(attempt.target.clone(), attempt.id.clone());
         self.phase = Phase::Probing;
-        self.next_probe = now + self.timing.patience;
+        self.next_probe_at = now + self.timing.alive_interval;
         vec![output]
     }
 
-    fn standing(&mut self, now: Moment, standing: &Standing) -> Vec<Output> {
+    fn handle_probed(&mut self, now: Moment, standing: &Standing) -> Vec<Output> {
         let Some(attempt) = self.attempt.clone() else {
             return Vec::new();
         };
         if self.phase != Phase::Probing {
-            // The old exchange moved on while the question was under way.
+            // The old exchange made progress while the probe was in flight.
             return Vec::new();
         }
         if standing.boot != attempt.target.boot {
             self.may_have_run = true;
-            return self.elsewhere_if_repeatable();
+            return self.retry_if_idempotent();
         }
         match standing.state {
-            State::NeverSeen if self.follows => self.give_up(Cause::EndpointLost),
+            State::NeverSeen if self.is_attached => self.give_up(Cause::EndpointLost),
             State::NeverSeen => {
-                // The first copy may still be on its way: the cancel bars it.
+                // The dispatch may still arrive; the cancel prevents it from starting.
                 self.phase = Phase::Cancelling;
                 vec![Output::Cancel(attempt.target, attempt.id)]
             }
             State::Waiting | State::Running | State::Finished => {
                 self.phase = Phase::Exchanging;
-                self.next_probe = now + self.timing.patience;
-                self.resume_where_cut(&attempt, standing)
+                self.next_probe_at = now + self.timing.alive_interval;
+                self.resume_if_stalled(&attempt, standing)
             }
             State::Failed | State::Cancelled => {
                 self.may_have_run = true;
-                self.elsewhere_if_repeatable()
+                self.retry_if_idempotent()
             }
         }
     }
 
-    fn cancelled(&mut self, standing: &Standing) -> Vec<Output> {
-        let same_boot = self
+    fn handle_cancelled(&mut self, standing: &Standing) -> Vec<Output> {
+        let is_same_boot = self
             .attempt
             .as_ref()
             .is_some_and(|attempt| attempt.target.boot == standing.boot);
         match standing.state {
             _ if self.phase != Phase::Cancelling => Vec::new(),
-            // The connection was at fault, and the engine is as good as any.
-            State::NeverSeen | State::Cancelled if same_boot && !standing.started => {
+            // Only the connection failed, so the engine isn't excluded.
+            State::NeverSeen | State::Cancelled if is_same_boot && !standing.started => {
                 self.attempt = None;
                 self.place_again()
             }
             _ => {
                 self.may_have_run = true;
-                self.elsewhere_if_repeatable()
+                self.retry_if_idempotent()
             }
         }
     }
 
-    fn part_lost(&mut self) -> Vec<Output> {
+    fn handle_reservation_loss(&mut self) -> Vec<Output> {
         let Some(attempt) = self.attempt.clone() else {
             return Vec::new();
         };
         self.may_have_run = true;
         let mut outputs = vec![Output::Abandon(attempt.target, attempt.id)];
-        outputs.extend(self.elsewhere_if_repeatable());
+        outputs.extend(self.retry_if_idempotent());
         outputs
     }
 
-    fn unreachable(&mut self, now: Moment) -> Vec<Output> {
+    fn handle_unreachable(&mut self, now: Moment) -> Vec<Output> {
         if self.phase != Phase::Probing && self.phase != Phase::Cancelling {
             return Vec::new();
         }
-        let movable = self.policy.is_idempotent && !self.delivered && !self.follows;
+        let can_move = self.policy.is_idempotent && !self.has_delivered && !self.is_attached;
         let Some(attempt) = self.attempt.clone() else {
             return Vec::new();
         };
-        if movable && self.made < self.policy.max_attempts {
+        if can_move && self.dispatches < self.policy.max_attempts {
             self.may_have_run = true;
             let mut outputs = vec![Output::Abandon(attempt.target, attempt.id)];
-            outputs.extend(self.elsewhere());
+            outputs.extend(self.retry_elsewhere());
             return outputs;
         }
         self.phase = Phase::Probing;
-        self.next_probe = now + self.timing.probe_again;
+        self.next_probe_at = now + self.timing.unreachable_interval;
         Vec::new()
     }
 
-    fn exclude(&mut self) {
+    fn exclude_endpoint(&mut self) {
         if let Some(attempt) = self.attempt.take() {
-            self.ran |= attempt.accepted;
+            self.has_run |= attempt.is_accepted;
             self.excluded.push(attempt.target.endpoint);
         }
     }
 
-    /// No endpoint had any work with the last attempt, so that another one is no retry.
+    /// Places the request again without using the retry budget: the last attempt cost no endpoint
+    /// any work.
     fn place_again(&mut self) -> Vec<Output> {
-        if self.made >= self.policy.max_attempts {
+        if self.dispatches >= self.policy.max_attempts {
             return self.give_up(self.last_cause.clone());
         }
         self.phase = Phase::Placing;
@@ -377,10 +377,10 @@
         }]
     }
 
-    /// The last attempt certainly did not run, or may be repeated.
-    fn elsewhere(&mut self) -> Vec<Output> {
-        self.exclude();
-        if self.made >= self.policy.max_attempts {
+    /// Retries at another endpoint. The last attempt must not have run, or must be repeatable.
+    fn retry_elsewhere(&mut self) -> Vec<Output> {
+        self.exclude_endpoint();
+        if self.dispatches >= self.policy.max_attempts {
             return self.give_up(self.last_cause.clone());
         }
         self.phase = Phase::Placing;
@@ -389,19 +389,19 @@
         }]
     }
 
-    fn elsewhere_if_repeatable(&mut self) -> Vec<Output> {
-        if self.policy.is_idempotent && !self.delivered && !self.follows {
-            return self.elsewhere();
+    fn retry_if_idempotent(&mut self) -> Vec<Output> {
+        if self.policy.is_idempotent && !self.has_delivered && !self.is_attached {
+            return self.retry_elsewhere();
         }
         self.give_up(self.last_cause.clone())
     }
 
     fn give_up(&mut self, cause: Cause) -> Vec<Output> {
-        let accepted = self.attempt.as_ref().is_some_and(|a| a.accepted);
-        let sent = self.may_have_run || self.attempt.is_some();
+        let is_accepted = self.attempt.as_ref().is_some_and(|a| a.is_accepted);
+        let is_sent = self.may_have_run || self.attempt.is_some();
         let ending = match cause {
-            cause if self.ran || self.delivered || accepted => Ending::Failed(cause),
-            cause if sent => Ending::Unknown(cause),
+            cause if self.has_run || self.has_delivered || is_accepted => Ending::Failed(cause),
+            cause if is_sent => Ending::Unknown(cause),
             _ => Ending::NotRun {
                 refusal: Refusal::NoEndpoint,
                 retry_after: Refusal::NoEndpoint.default_retry_after(),
@@ -410,9 +410,9 @@
         self.end(ending)
     }
 
-    fn deadline(&mut self) -> Vec<Output> {
+    fn handle_deadline(&mut self) -> Vec<Output> {
         match (self.phase, self.attempt.clone()) {
-            (Phase::Placing | Phase::Claiming, _) if !self.may_have_run && !self.ran => {
+            (Phase::Placing | Phase::Claiming, _) if !self.may_have_run && !self.has_run => {
                 let mut outputs = vec![Output::Withdraw];
                 outputs.extend(self.end(Ending::NotRun {
                     refusal: Refusal::DeadlineBeforeDispatch,
@@ -426,7 +426,7 @@
                 outputs.extend(self.give_up(Cause::Deadline));
                 outputs
             }
-            (_, Some(_)) if self.follows => self.give_up(Cause::Deadline),
+            (_, Some(_)) if self.is_attached => self.give_up(Cause::Deadline),
             (_, Some(attempt)) => {
                 let mut outputs = vec![Output::Abandon(attempt.target, attempt.id)];
                 outputs.extend(self.give_up(Cause::Deadline));
@@ -435,11 +435,11 @@
         }
     }
 
-    fn caller_gone(&mut self) -> Vec<Output> {
+    fn handle_disconnect(&mut self) -> Vec<Output> {
         let mut outputs = match (self.phase, self.attempt.clone()) {
             (Phase::Placing | Phase::Claiming, _) | (_, None) => vec![Output::Withdraw],
-            _ if self.follows => Vec::new(),
-            // The answer to a keyed request is there for the caller's resend.
+            _ if self.is_attached => Vec::new(),
+            // The answer to a keyed request is kept for the caller's next try.
             _ if self.policy.has_key => return Vec::new(),
             (_, Some(attempt)) => vec![Output::Abandon(attempt.target, attempt.id)],
         };
@@ -449,7 +449,9 @@
 
     fn tick(&mut self, now: Moment) -> Vec<Output> {
         match self.phase {
-            Phase::Exchanging | Phase::Probing if self.policy.is_resumable && now >= self.next_probe => {
+            Phase::Exchanging | Phase::Probing
+                if self.policy.is_resumable && now >= self.next_probe_at =>
+            {
                 self.probe(now)
             }
             _ => Vec::new(),
@@ -457,7 +459,7 @@
     }
 
     fn end(&mut self, ending: Ending) -> Vec<Output> {
-        self.phase = Phase::Over;
+        self.phase = Phase::Ended;
         vec![Output::End(ending)]
     }
 }
--- a/crates/kumquatdrum_daemon/src/lifecycle/policy.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/policy.rs
@@ -1,43 +1,43 @@
-//! What is fixed about a request, and the times that its flight goes by.
+//! Fixed properties of a request and timeouts of its life cycle.
 
 use std::time::Duration;
 
 use kumquatdrum_types::Moment;
 
-/// Times that a flight goes by.
+/// Timeouts of a request's life cycle.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
-    /// Without any event of the exchange for this long, the engine is asked over a new connection.
-    pub quiet: Duration,
-    /// The wait between two such questions while the engine can't be reached.
-    pub probe_again: Duration,
-    /// The wait after a question that the engine answered with "still at it".
-    pub patience: Duration,
+    /// How long an exchange can be silent before the engine is probed over a new connection.
+    pub idle_timeout: Duration,
+    /// The probe interval while the engine is unreachable.
+    pub unreachable_interval: Duration,
+    /// The probe interval while the engine reports the attempt as alive.
+    pub alive_interval: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            quiet: Duration::from_secs(1),
-            probe_again: Duration::from_millis(500),
-            patience: Duration::from_secs(2),
+            idle_timeout: Duration::from_secs(1),
+            unreachable_interval: Duration::from_millis(500),
+            alive_interval: Duration::from_secs(2),
         }
     }
 }
 
-/// What is fixed about a request from its start.
+/// The properties of a request that decide how it can be executed.
 #[derive(Debug, Clone)]
 pub struct Policy {
-    /// When it must have ended.
+    /// The time by which the request must have ended.
     pub deadline: Moment,
-    /// Whether it may be done more than once.
+    /// Whether the request can run more than once.
     pub is_idempotent: bool,
     /// Whether an idempotency key must be claimed before the dispatch.
     pub has_key: bool,
-    /// Whether the endpoint can be asked about attempts; plain services can't.
+    /// Whether the endpoint supports probe, cancel and resume; plain services don't.
     pub is_resumable: bool,
-    /// Whether the answer reaches the caller piece by piece.
+    /// Whether the answer is streamed to the caller.
     pub is_streamed: bool,
-    /// The most attempts.
+    /// The maximum number of dispatches.
     pub max_attempts: u32,
 }
--- a/crates/kumquatdrum_daemon/src/prefix.rs
+++ b/crates/kumquatdrum_daemon/src/prefix.rs
@@ -1,4 +1,4 @@
-//! Names of a prompt's blocks, as engines name them in their cache events.
+//! Hashes of a prompt's blocks, as engines report them in their cache events.
 
 use std::borrow::Cow;
 
@@ -7,10 +7,10 @@
 
 /// Bytes of prompt text in one block.
 pub const BLOCK_BYTES: usize = 1_024;
-/// The most blocks that are named; what follows counts as uncached.
-const MOST_BLOCKS: usize = 1_024;
-/// Bytes of a digest that make a block's name.
-const NAME_BYTES: usize = 8;
+/// The maximum number of hashed blocks; the rest of a prompt counts as uncached.
+const MAX_BLOCKS: usize = 1_024;
+/// Leading bytes of the digest that form a block's hash.
+const HASH_BYTES: usize = 8;
 
 #[derive(Deserialize)]
 struct Message<'a> {
@@ -25,14 +25,14 @@
     Messages(#[serde(borrow)] Vec<Message<'a>>),
 }
 
-/// The names of a prompt's whole blocks, from the start on, each chained to the one before it.
-/// `prompt` is the JSON of a request's `prompt` or `messages`; of any other shape, there are none.
+/// Returns the hashes of a prompt's complete blocks in order, each chained to the previous one.
+/// `prompt` is the JSON of a request's `prompt` or `messages`; any other JSON gives none.
 ///
 /// ```
 /// use kumquatdrum_daemon::prefix::hash_blocks;
 /// let prompt = serde_json::to_vec(&"x".repeat(2_500)).unwrap();
-/// assert_eq!(blocks(&prompt).len(), 2);
-/// assert_eq!(blocks(b"17"), Vec::<u64>::new());
+/// assert_eq!(hash_blocks(&prompt).len(), 2);
+/// assert_eq!(hash_blocks(b"17"), Vec::<u64>::new());
 /// ```
 pub fn hash_blocks(prompt: &[u8]) -> Vec<u64> {
     let Ok(prompt) = serde_json::from_slice::<Prompt<'_>>(prompt) else {
@@ -45,23 +45,23 @@
             Cow::Owned(contents.join("\n"))
         }
     };
-    let blocks = text.as_bytes().chunks_exact(BLOCK_BYTES).take(MOST_BLOCKS);
+    let blocks = text.as_bytes().chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
     let chain = blocks.scan(None, |previous, block| {
-        let name = name(*previous, block);
-        *previous = Some(name);
+        let hash = hash_block(*previous, block);
+        *previous = Some(hash);
         previous.to_owned()
     });
     chain.collect()
 }
 
-fn name(previous: Option<u64>, block: &[u8]) -> u64 {
-    let mut hash = Sha256::new();
+fn hash_block(previous: Option<u64>, block: &[u8]) -> u64 {
+    let mut hasher = Sha256::new();
     if let Some(previous) = previous {
-        hash.update(format!("{previous:016x}"));
+        hasher.update(format!("{previous:016x}"));
     }
-    hash.update(block);
-    let digest = hash.finalize();
-    digest[..NAME_BYTES]
+    hasher.update(block);
+    let digest = hasher.finalize();
+    digest[..HASH_BYTES]
         .iter()
-        .fold(0, |name, byte| name << 8 | u64::from(*byte))
+        .fold(0, |hash, byte| hash << 8 | u64::from(*byte))
 }
--- a/crates/kumquatdrum_daemon/tests/flight_world.rs
+++ b/crates/kumquatdrum_daemon/tests/flight_world.rs
@@ -1,10 +1,10 @@
-//! Flights against engines that lose, delay and restart, by seed. The engines keep the truth:
-//! what a flight tells its caller is held against what really ran.
+//! Seeded simulation of request life cycles with engines that lose messages, delay and restart.
+//! Each reported ending is compared with the attempts that the engines really ran.
 
 use std::time::Duration;
 
 use bytes::Bytes;
-use kumquatdrum_daemon::lifecycle::{Ending, Lifecycle, Input, Output, Policy, Timing};
+use kumquatdrum_daemon::lifecycle::{Ending, Input, Lifecycle, Output, Policy, Timing};
 use kumquatdrum_types::exchange::{Fault, Standing, State, Target};
 use kumquatdrum_types::{AttemptId, BootId, EndpointId, Moment, Refusal};
 use rand_core::Rng;
@@ -16,46 +16,46 @@
 const STEP: Duration = Duration::from_millis(50);
 const ENGINES: u64 = 3;
 
-/// One attempt as the engine that it was sent to sees it.
-struct Copy {
+/// One attempt as its engine sees it.
+struct Attempt {
     id: AttemptId,
     engine: usize,
-    /// When the request reaches the engine, if ever.
-    arrives: Option<Moment>,
-    barred: bool,
-    /// Started in this life of the engine.
+    /// When the dispatch reaches the engine, if ever.
+    arrives_at: Option<Moment>,
+    is_blocked: bool,
+    /// The boot in which the engine started the attempt.
     started: Option<BootId>,
     tokens: u64,
-    cancelled: bool,
-    /// Whether the current connection carries anything.
-    carries: bool,
-    accepted: bool,
+    is_cancelled: bool,
+    /// Whether the current connection delivers events.
+    is_connected: bool,
+    is_accepted: bool,
     delivered: u64,
 }
 
-struct World {
+struct Simulation {
     random: Pcg64Mcg,
     now: Moment,
     boots: Vec<u64>,
     frozen_until: Vec<Moment>,
-    copies: Vec<Copy>,
+    attempts: Vec<Attempt>,
     runs: u32,
     inputs: Vec<(Moment, Input)>,
-    made: u32,
+    placements: u32,
     abandoned: Vec<AttemptId>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             random: Pcg64Mcg::new(u128::from(seed) << 64 | 0xcafe_f00d),
             now: Moment::ZERO,
             boots: vec![1; ENGINES as usize],
             frozen_until: vec![Moment::ZERO; ENGINES as usize],
-            copies: Vec::new(),
+            attempts: Vec::new(),
             runs: 0,
             inputs: Vec::new(),
-            made: 0,
+            placements: 0,
             abandoned: Vec::new(),
         }
     }
@@ -64,38 +64,38 @@
         self.random.next_u64() % 100 < percent
     }
 
-    fn below(&mut self, limit: u64) -> u64 {
+    fn random_below(&mut self, limit: u64) -> u64 {
         self.random.next_u64() % limit
     }
 
-    fn later(&mut self, most_millis: u64) -> Moment {
-        let wait = self.below(most_millis);
+    fn random_time(&mut self, max_millis: u64) -> Moment {
+        let wait = self.random_below(max_millis);
         self.now + Duration::from_millis(wait)
     }
 
-    fn push(&mut self, most_millis: u64, input: Input) {
-        let at = self.later(most_millis);
+    fn schedule(&mut self, max_millis: u64, input: Input) {
+        let at = self.random_time(max_millis);
         self.inputs.push((at, input));
     }
 
-    fn carry_out(&mut self, output: &Output) {
+    fn execute(&mut self, output: &Output) {
         match output {
             Output::Place { excluded } => self.place(excluded),
             Output::Retry { excluded } => {
                 if self.chance(10) {
-                    self.push(1, Input::RetryDenied);
+                    self.schedule(1, Input::RetryDenied);
                 } else {
                     self.place(excluded);
                 }
             }
             Output::Claim => {
-                let claimed = !self.chance(10);
+                let is_claimed = !self.chance(10);
                 let refused = Input::ClaimRefused(Refusal::ClaimUnavailable, None);
-                self.push(50, if claimed { Input::Claimed } else { refused });
+                self.schedule(50, if is_claimed { Input::Claimed } else { refused });
             }
             Output::Dispatch(target, id) => self.dispatch(target, id),
-            Output::Probe(target, id) => self.question(target, id, false),
-            Output::Cancel(target, id) => self.question(target, id, true),
+            Output::Probe(target, id) => self.handle_probe(target, id, false),
+            Output::Cancel(target, id) => self.handle_probe(target, id, true),
             Output::Resume(_, id, from) => self.resume(id, *from),
             Output::Abandon(_, id) => self.abandoned.push(id.clone()),
             Output::Withdraw | Output::End(_) => {}
@@ -103,174 +103,180 @@
     }
 
     fn place(&mut self, excluded: &[EndpointId]) {
-        let engine = self.below(ENGINES) as usize;
+        let engine = self.random_below(ENGINES) as usize;
         let endpoint = EndpointId::new(format!("e{engine}"));
         if excluded.contains(&endpoint) || self.chance(3) {
             let refused = Input::Refused(Refusal::Overloaded, Some(Duration::from_secs(1)));
-            return self.push(100, refused);
+            return self.schedule(100, refused);
         }
-        self.made += 1;
+        self.placements += 1;
         let target = Target {
             endpoint,
             boot: BootId(self.boots[engine]),
             address: "127.0.0.1:1".parse().expect("an address"),
         };
-        let id = AttemptId::new(format!("a.{}", self.made));
-        self.push(100, Input::Placed(target, id));
+        let id = AttemptId::new(format!("a.{}", self.placements));
+        self.schedule(100, Input::Placed(target, id));
     }
 
     fn dispatch(&mut self, target: &Target, id: &AttemptId) {
         let engine: usize = target.endpoint.as_str()[1..].parse().expect("a number");
-        let fate = self.below(100);
-        let arrives = match fate {
+        let roll = self.random_below(100);
+        let arrives_at = match roll {
             // No connection: nothing was sent.
             0..=7 => {
-                self.push(100, Input::Fault(Fault::NotSent));
+                self.schedule(100, Input::Fault(Fault::NotSent));
                 None
             }
-            // Lost on the way.
+            // The dispatch is lost.
             8..=12 => None,
-            // Stuck on a silent connection, and delivered long after.
-            13..=20 => Some(self.later(15_000)),
-            _ => Some(self.later(100)),
+            // The dispatch is stuck on a silent connection and arrives much later.
+            13..=20 => Some(self.random_time(15_000)),
+            _ => Some(self.random_time(100)),
         };
-        let carries = fate > 25;
-        self.copies.push(Copy {
+        let is_connected = roll > 25;
+        self.attempts.push(Attempt {
             id: id.clone(),
             engine,
-            arrives,
-            barred: false,
+            arrives_at,
+            is_blocked: false,
             started: None,
             tokens: 0,
-            cancelled: false,
-            carries,
-            accepted: false,
+            is_cancelled: false,
+            is_connected,
+            is_accepted: false,
             delivered: 0,
         });
     }
 
-    fn copy(&mut self, id: &AttemptId) -> &mut Copy {
-        let found = self.copies.iter_mut().find(|copy| copy.id == *id);
-        found.expect("only what was dispatched is asked about")
+    fn attempt(&mut self, id: &AttemptId) -> &mut Attempt {
+        let found = self.attempts.iter_mut().find(|attempt| attempt.id == *id);
+        found.expect("the attempt was dispatched")
     }
 
     fn standing(&mut self, id: &AttemptId) -> Standing {
         let boots = self.boots.clone();
-        let copy = self.copy(id);
-        let boot = BootId(boots[copy.engine]);
-        let state = match copy.started {
-            Some(life) if life == boot && copy.cancelled => State::Cancelled,
-            Some(life) if life == boot && copy.tokens == TOKENS => State::Finished,
-            Some(life) if life == boot => State::Running,
+        let attempt = self.attempt(id);
+        let boot = BootId(boots[attempt.engine]);
+        let state = match attempt.started {
+            Some(started_boot) if started_boot == boot && attempt.is_cancelled => State::Cancelled,
+            Some(started_boot) if started_boot == boot && attempt.tokens == TOKENS => {
+                State::Finished
+            }
+            Some(started_boot) if started_boot == boot => State::Running,
             _ => State::NeverSeen,
         };
         Standing {
             boot,
             state,
-            tokens: copy.tokens,
-            started: copy.started == Some(boot),
+            tokens: attempt.tokens,
+            started: attempt.started == Some(boot),
         }
     }
 
-    fn question(&mut self, _: &Target, id: &AttemptId, cancels: bool) {
-        let engine = self.copy(id).engine;
+    fn handle_probe(&mut self, _: &Target, id: &AttemptId, is_cancel: bool) {
+        let engine = self.attempt(id).engine;
         if self.frozen_until[engine] > self.now || self.chance(10) {
-            return self.push(1_000, Input::Unreachable);
+            return self.schedule(1_000, Input::Unreachable);
         }
         let standing = self.standing(id);
-        if cancels {
-            let copy = self.copy(id);
-            copy.barred = true;
-            copy.cancelled |= copy.tokens < TOKENS;
-            // The confirmation can get lost.
+        if is_cancel {
+            let attempt = self.attempt(id);
+            attempt.is_blocked = true;
+            attempt.is_cancelled |= attempt.tokens < TOKENS;
+            // The confirmation is lost.
             if self.chance(20) {
-                return self.push(1_000, Input::Unreachable);
+                return self.schedule(1_000, Input::Unreachable);
             }
-            return self.push(50, Input::Cancelled(standing));
+            return self.schedule(50, Input::Cancelled(standing));
         }
-        self.push(50, Input::Probed(standing));
+        self.schedule(50, Input::Probed(standing));
     }
 
     fn resume(&mut self, id: &AttemptId, from: u64) {
-        let carries = !self.chance(10);
-        let copy = self.copy(id);
-        copy.carries = carries;
-        copy.delivered = from;
+        let is_connected = !self.chance(10);
+        let attempt = self.attempt(id);
+        attempt.is_connected = is_connected;
+        attempt.delivered = from;
     }
 
     fn step(&mut self) {
         self.now = self.now + STEP;
         if self.chance(1) {
-            let engine = self.below(ENGINES) as usize;
+            let engine = self.random_below(ENGINES) as usize;
             self.boots[engine] += 1;
-            for copy in self.copies.iter_mut().filter(|copy| copy.engine == engine) {
-                copy.barred |= copy.arrives.is_none_or(|at| at <= self.now);
+            for attempt in self
+                .attempts
+                .iter_mut()
+                .filter(|attempt| attempt.engine == engine)
+            {
+                attempt.is_blocked |= attempt.arrives_at.is_none_or(|at| at <= self.now);
             }
         }
         if self.chance(1) {
-            let engine = self.below(ENGINES) as usize;
-            self.frozen_until[engine] = self.later(8_000);
+            let engine = self.random_below(ENGINES) as usize;
+            self.frozen_until[engine] = self.random_time(8_000);
         }
-        for place in 0..self.copies.len() {
-            self.step_copy(place);
+        for index in 0..self.attempts.len() {
+            self.step_attempt(index);
         }
     }
 
-    fn step_copy(&mut self, place: usize) {
-        let (now, engine) = (self.now, self.copies[place].engine);
+    fn step_attempt(&mut self, index: usize) {
+        let (now, engine) = (self.now, self.attempts[index].engine);
         let boot = BootId(self.boots[engine]);
         let is_frozen = self.frozen_until[engine] > now;
-        let copy = &mut self.copies[place];
-        let arrived = copy.arrives.is_some_and(|at| at <= now);
-        if is_frozen || !arrived {
+        let attempt = &mut self.attempts[index];
+        let has_arrived = attempt.arrives_at.is_some_and(|at| at <= now);
+        if is_frozen || !has_arrived {
             return;
         }
-        if copy.started.is_none() && !copy.barred {
-            copy.started = Some(boot);
+        if attempt.started.is_none() && !attempt.is_blocked {
+            attempt.started = Some(boot);
             self.runs += 1;
         }
-        let copy = &mut self.copies[place];
-        if copy.started != Some(boot) {
-            let broken = copy.carries;
-            copy.carries = false;
-            if broken {
-                self.push(1, Input::Fault(Fault::Broken));
+        let attempt = &mut self.attempts[index];
+        if attempt.started != Some(boot) {
+            let is_broken = attempt.is_connected;
+            attempt.is_connected = false;
+            if is_broken {
+                self.schedule(1, Input::Fault(Fault::Broken));
             }
             return;
         }
-        if !copy.cancelled {
-            copy.tokens = (copy.tokens + 1).min(TOKENS);
+        if !attempt.is_cancelled {
+            attempt.tokens = (attempt.tokens + 1).min(TOKENS);
         }
-        self.tell(place);
+        self.send_event(index);
     }
 
-    fn tell(&mut self, place: usize) {
-        if !self.copies[place].carries {
+    fn send_event(&mut self, index: usize) {
+        if !self.attempts[index].is_connected {
             return;
         }
         if self.chance(4) {
-            self.copies[place].carries = false;
-            // Either the caller of the engine learns of it, or the connection went silent.
+            self.attempts[index].is_connected = false;
+            // The connection breaks either visibly or silently.
             if self.chance(50) {
-                self.push(1, Input::Fault(Fault::Broken));
+                self.schedule(1, Input::Fault(Fault::Broken));
             }
             return;
         }
-        let copy = &mut self.copies[place];
-        if !copy.accepted {
-            copy.accepted = true;
-            self.push(1, Input::Accepted);
-        } else if copy.delivered < copy.tokens {
-            copy.delivered += 1;
-            let delivered = copy.delivered;
-            self.push(1, Input::Progress(delivered));
-        } else if copy.delivered == TOKENS {
-            copy.carries = false;
-            self.push(1, Input::Finished);
+        let attempt = &mut self.attempts[index];
+        if !attempt.is_accepted {
+            attempt.is_accepted = true;
+            self.schedule(1, Input::Accepted);
+        } else if attempt.delivered < attempt.tokens {
+            attempt.delivered += 1;
+            let delivered = attempt.delivered;
+            self.schedule(1, Input::Progress(delivered));
+        } else if attempt.delivered == TOKENS {
+            attempt.is_connected = false;
+            self.schedule(1, Input::Finished);
         }
     }
 
-    fn due(&mut self) -> Vec<Input> {
+    fn take_due(&mut self) -> Vec<Input> {
         let now = self.now;
         let mut due = Vec::new();
         self.inputs.retain(|(at, input)| {
@@ -295,66 +301,65 @@
     }
 }
 
-/// Runs a flight to its end and beyond, until everything that was on its way has arrived.
-fn run(seed: u64) -> (Policy, World, Ending) {
+/// Runs a life cycle past its end, until all messages have arrived.
+fn run(seed: u64) -> (Policy, Simulation, Ending) {
     let policy = policy(seed);
-    let mut world = World::new(seed);
+    let mut simulation = Simulation::new(seed);
     let mut lifecycle = Lifecycle::new(policy.clone(), Timing::default());
     let mut ending = None;
     let mut outputs = lifecycle.start();
-    while world.now < DEADLINE + Duration::from_secs(30) {
+    while simulation.now < DEADLINE + Duration::from_secs(30) {
         for output in outputs.drain(..) {
-            world.carry_out(&output);
+            simulation.execute(&output);
             if let Output::End(end) = output {
                 assert!(ending.is_none(), "seed {seed}: two endings");
                 assert!(
-                    world.now <= DEADLINE + STEP,
-                    "seed {seed}: past its deadline"
+                    simulation.now <= DEADLINE + STEP,
+                    "seed {seed}: ended after the deadline"
                 );
                 ending = Some(end);
             }
         }
-        world.step();
-        let mut inputs = world.due();
-        if lifecycle.next_tick() <= world.now {
+        simulation.step();
+        let mut inputs = simulation.take_due();
+        if lifecycle.next_tick() <= simulation.now {
             inputs.push(Input::Tick);
         }
         for input in inputs {
-            // Events of an exchange that the flight has left behind don't reach it.
-            outputs.extend(lifecycle.step(world.now, input));
+            outputs.extend(lifecycle.step(simulation.now, input));
         }
     }
     let ending = ending.unwrap_or_else(|| panic!("seed {seed}: no ending"));
-    (policy, world, ending)
+    (policy, simulation, ending)
 }
 
 #[test]
 fn what_the_caller_is_told_is_what_happened() {
     let mut endings = [0_u32; 4];
     for seed in 0..SEEDS {
-        let (policy, world, ending) = run(seed);
-        let runs = world.runs;
+        let (policy, simulation, ending) = run(seed);
+        let runs = simulation.runs;
         assert!(
             policy.is_idempotent || runs <= 1,
-            "seed {seed}: run {runs} times"
+            "seed {seed}: ran {runs} times"
         );
         match ending {
             Ending::NotRun { .. } => {
-                assert_eq!(runs, 0, "seed {seed}: told not run, and it ran");
+                assert_eq!(runs, 0, "seed {seed}: reported as not run but ran");
                 endings[0] += 1;
             }
             Ending::Finished => {
-                assert!(runs >= 1, "seed {seed}: finished without a run");
+                assert!(runs >= 1, "seed {seed}: reported as finished but never ran");
                 endings[1] += 1;
             }
             Ending::Failed(_) => endings[2] += 1,
             Ending::Unknown(_) => endings[3] += 1,
-            Ending::CallerGone => panic!("seed {seed}: nobody left"),
+            Ending::CallerGone => panic!("seed {seed}: the caller never disconnects"),
         }
     }
     assert!(
         endings.iter().all(|count| *count > 20),
-        "too tame: {endings:?}"
+        "each ending must occur in more than 20 runs: {endings:?}"
     );
 }
 
--- a/crates/kumquatdrum_daemon/tests/prefix.rs
+++ b/crates/kumquatdrum_daemon/tests/prefix.rs
@@ -1,14 +1,14 @@
-//! Block names as the stand-in engine gives them.
+//! Block hashes match those of the simulated engine.
 
 use kumquatdrum_daemon::prefix::hash_blocks;
 use kumquatdrum_testing::prompt;
 
 #[test]
-fn names_are_the_engines() {
+fn hashes_match_the_engine() {
     let text = "a long treatment history, \"quoted\" and with ümlauts; ".repeat(100);
     let expected: Vec<u64> = prompt::blocks(&text)
         .iter()
-        .map(|name| u64::from_str_radix(name, 16).expect("hexadecimal digits"))
+        .map(|hash| u64::from_str_radix(hash, 16).expect("hexadecimal digits"))
         .collect();
     let json = serde_json::to_vec(&text).expect("a JSON text");
     assert_eq!(blocks(&json), expected);
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -78,7 +78,12 @@
         let routing = self.routing(&caller, &ask, index, workspace, prompt_tokens, deadline)?;
         let policy = Policy {
             deadline: routing.deadline,
-            is_idempotent: admission::is_idempotent(service, &ask.method, &ask.path, ask.idempotent),
+            is_idempotent: admission::is_idempotent(
+                service,
+                &ask.method,
+                &ask.path,
+                ask.idempotent,
+            ),
             has_key: ask.key.is_some(),
             is_resumable: ask.model,
             is_streamed: ask.stream || !ask.model,
@@ -113,7 +118,9 @@
         let counted = ask.prompt_tokens.unwrap_or_default();
         match index.model_of(service) {
             _ if counted > 0 => counted,
-            Some(model) => admission::estimate_tokens(ask.prompt.len(), model.bytes_per_token_milli),
+            Some(model) => {
+                admission::estimate_tokens(ask.prompt.len(), model.bytes_per_token_milli)
+            }
             None => 0,
         }
     }
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -6,7 +6,7 @@
 
 use futures::StreamExt;
 use kumquatdrum_caller::Reply;
-use kumquatdrum_daemon::lifecycle::{Lifecycle, Input, Output, Timing};
+use kumquatdrum_daemon::lifecycle::{Input, Lifecycle, Output, Timing};
 use kumquatdrum_engine::engine::Events;
 use kumquatdrum_routing::{self as routing, Failure, Progress};
 use kumquatdrum_types::exchange::{Call, Event, Fault, Target, Usage};
