--- a/crates/kumquatdrum_declaration/src/check.rs
+++ b/crates/kumquatdrum_declaration/src/check.rs
@@ -51,10 +51,10 @@
 /// Reads and checks a file.
 ///
 /// ```
-/// assert!(kumquatdrum_declaration::checked("{}").is_ok());
-/// assert!(kumquatdrum_declaration::checked("[]").is_err());
+/// assert!(kumquatdrum_declaration::parse_and_check("{}").is_ok());
+/// assert!(kumquatdrum_declaration::parse_and_check("[]").is_err());
 /// ```
-pub fn checked(text: &str) -> Result<Declaration, Vec<Finding>> {
+pub fn parse_and_check(text: &str) -> Result<Declaration, Vec<Finding>> {
     let read = read(text)?;
     let mut findings = read.findings;
     if read.is_whole {
--- a/crates/kumquatdrum_declaration/src/check/rules.rs
+++ b/crates/kumquatdrum_declaration/src/check/rules.rs
@@ -1,7 +1,7 @@
 //! Rules of which calls may be repeated: their form, and that each can decide something.
 
 use super::{Findings, duplicates, places};
-use crate::repeat::is_regular;
+use crate::idempotency::is_regular;
 use crate::{Declaration, Rule, pointer};
 
 pub(super) fn check(declaration: &Declaration, findings: &mut Findings) {
--- a/crates/kumquatdrum_declaration/src/index.rs
+++ b/crates/kumquatdrum_declaration/src/index.rs
@@ -29,8 +29,8 @@
     /// let digest = kumquatdrum_types::digest::hex(b"chair-7");
     /// let text = format!(r#"{{"workspaces": [{{"name": "tartu", "keys": [{{"sha256": "{digest}"}}]}}]}}"#);
     /// let index = Index::new(parse(&text).unwrap().into());
-    /// assert_eq!(index.caller("chair-7").unwrap().name.as_str(), "tartu");
-    /// assert!(index.caller("chair-8").is_none());
+    /// assert_eq!(index.workspace_by_key("chair-7").unwrap().name.as_str(), "tartu");
+    /// assert!(index.workspace_by_key("chair-8").is_none());
     /// ```
     pub fn new(declaration: Arc<Declaration>) -> Self {
         let keys = declaration.workspaces.iter().enumerate();
@@ -57,12 +57,12 @@
     }
 
     /// The workspace of a caller's key.
-    pub fn caller(&self, key: &str) -> Option<&Workspace> {
-        self.caller_by_digest(&digest::hex(key.as_bytes()))
+    pub fn workspace_by_key(&self, key: &str) -> Option<&Workspace> {
+        self.workspace_by_digest(&digest::hex(key.as_bytes()))
     }
 
     /// The workspace of a caller's key, by the key's digest.
-    pub fn caller_by_digest(&self, sha256: &str) -> Option<&Workspace> {
+    pub fn workspace_by_digest(&self, sha256: &str) -> Option<&Workspace> {
         self.keys
             .get(sha256)
             .map(|&place| &self.declaration.workspaces[place])
--- a/crates/kumquatdrum_declaration/src/parse.rs
+++ b/crates/kumquatdrum_declaration/src/parse.rs
@@ -17,7 +17,7 @@
 /// The longest file, in bytes.
 pub const MAX_BYTES: usize = 8 << 20;
 
-/// Reads a file; all its findings otherwise. See [`crate::checked`] for what it must mean.
+/// Reads a file; all its findings otherwise. See [`crate::parse_and_check`] for what it must mean.
 ///
 /// ```
 /// let findings = kumquatdrum_declaration::parse(
--- a/crates/kumquatdrum_declaration/tests/findings.rs
+++ b/crates/kumquatdrum_declaration/tests/findings.rs
@@ -22,7 +22,7 @@
 }
 
 fn findings(text: &str) -> String {
-    let findings = kumquatdrum_declaration::checked(text)
+    let findings = kumquatdrum_declaration::parse_and_check(text)
         .err()
         .unwrap_or_default();
     let lines: Vec<_> = findings.iter().map(ToString::to_string).collect();
@@ -58,7 +58,7 @@
         let path = format!("{}/../../examples/{name}.json", env!("CARGO_MANIFEST_DIR"));
         let text = fs::read_to_string(path).expect("an example");
         assert_eq!(findings(&text), "", "{name}");
-        let declaration = kumquatdrum_declaration::checked(&text).expect("no findings");
+        let declaration = kumquatdrum_declaration::parse_and_check(&text).expect("no findings");
         let count = |service: usize| {
             let name = &declaration.services[service].name;
             let endpoints = declaration.endpoints.iter();
--- a/crates/kumquatdrum_declaration/tests/repeat.rs
+++ b/crates/kumquatdrum_declaration/tests/idempotency.rs
@@ -2,14 +2,14 @@
 
 use std::sync::Arc;
 
-use kumquatdrum_declaration::{Index, checked, diff, is_idempotent};
+use kumquatdrum_declaration::{Index, diff, is_idempotent, parse_and_check};
 
 const TOONIKAART: &str = include_str!("../../../examples/toonikaart.json");
 const TREASURY: &str = include_str!("../../../examples/treasury.json");
 
 fn index(text: &str) -> Index {
     Index::new(Arc::new(
-        checked(text).expect("an example without findings"),
+        parse_and_check(text).expect("an example without findings"),
     ))
 }
 
@@ -69,9 +69,11 @@
 #[test]
 fn index_finds_what_requests_name() {
     let index = index(TOONIKAART);
-    let caller = index.caller("demo-juuksur-tartu").expect("a workspace");
+    let caller = index
+        .workspace_by_key("demo-juuksur-tartu")
+        .expect("a workspace");
     assert_eq!(caller.name.as_str(), "juuksur-tartu");
-    assert!(index.caller("demo-unknown").is_none());
+    assert!(index.workspace_by_key("demo-unknown").is_none());
     let service = index.service_for(caller, "formula-llm").expect("a service");
     assert_eq!(index.model_of(service).expect("a model").replicas, 25);
     assert!(index.service_for(caller, "treasury-portal").is_none());
@@ -81,7 +83,7 @@
 
 #[test]
 fn a_listed_workspace_may_call_only_what_it_lists() {
-    let mut declaration = checked(TOONIKAART).expect("no findings");
+    let mut declaration = parse_and_check(TOONIKAART).expect("no findings");
     declaration.workspaces[0].services.truncate(1);
     let index = Index::new(Arc::new(declaration));
     let workspace = index.workspace("juuksur-tartu").expect("a workspace");
@@ -91,7 +93,7 @@
 
 #[test]
 fn diff_names_places_and_no_values() {
-    let old = checked(TOONIKAART).expect("no findings");
+    let old = parse_and_check(TOONIKAART).expect("no findings");
     let mut new = old.clone();
     new.workspaces.swap(0, 1);
     new.workspaces[2].keys[0].sha256 = kumquatdrum_types::digest::hex(b"new key");
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -201,7 +201,7 @@
     fn open(&self, bearer: Option<&str>) -> Result<Caller, Problem> {
         let request = self.shell.name();
         let current = self.current(Some(&request))?;
-        let workspace = bearer.and_then(|key| current.index.caller(key));
+        let workspace = bearer.and_then(|key| current.index.workspace_by_key(key));
         let Some(workspace) = workspace else {
             warn!(self.shell.logger, ""; "event" => "caller_refused", "request" => %request,
                 "has_key" => bearer.is_some());
--- a/crates/kumquatdrum_operator/src/command/check.rs
+++ b/crates/kumquatdrum_operator/src/command/check.rs
@@ -29,7 +29,7 @@
 
 fn check(options: &Options, out: &mut dyn Write) -> Result<Exit, Stop> {
     let text = read(&options.file)?;
-    let findings = kumquatdrum_declaration::checked(&text)
+    let findings = kumquatdrum_declaration::parse_and_check(&text)
         .err()
         .unwrap_or_default();
     let output = Output {
--- a/crates/kumquatdrum_setup/src/state.rs
+++ b/crates/kumquatdrum_setup/src/state.rs
@@ -79,7 +79,7 @@
         if let Some(answer @ ApplyAnswer::Accepted { .. }) = resent {
             return Prepared::Answered(answer);
         }
-        match kumquatdrum_declaration::checked(&request.text) {
+        match kumquatdrum_declaration::parse_and_check(&request.text) {
             Ok(declaration) => Prepared::Propose(Action::Apply(Apply {
                 changes: self.changes(request, &declaration),
                 request: request.clone(),
--- a/crates/kumquatdrum_setup/tests/in_force.rs
+++ b/crates/kumquatdrum_setup/tests/in_force.rs
@@ -64,7 +64,7 @@
 fn an_accepted_version_is_not_checked_again() {
     let mut in_force = InForce::default();
     let text = r#"{"priorities": [{"name": "card", "level": 1, "aging_ms": 0}]}"#;
-    assert!(kumquatdrum_declaration::checked(text).is_err());
+    assert!(kumquatdrum_declaration::parse_and_check(text).is_err());
     assert_eq!(in_force.offer(&offer(1, text)), Taken::Taken);
 }
 
