--- a/crates/kumquatdrum_declaration/src/check.rs
+++ b/crates/kumquatdrum_declaration/src/check.rs
@@ -1,4 +1,4 @@
-//! What a declaration must mean: all findings at once, one file a group of rules.
+//! Semantic checks of a declaration. Each submodule holds one group.
 
 mod deadlines;
 mod keys;
@@ -14,10 +14,10 @@
 use indexmap::IndexMap;
 use kumquatdrum_types::Finding;
 
-use crate::parse::read;
+use crate::parse::parse_items;
 use crate::{Declaration, pointer};
 
-/// A group of rules.
+/// A group of checks.
 type Group = fn(&Declaration, &mut Findings);
 
 const GROUPS: [Group; 8] = [
@@ -31,7 +31,7 @@
     priorities::check,
 ];
 
-/// All findings of a declaration, in the order of their places' lists.
+/// Returns all findings of a declaration, in the order of the groups.
 ///
 /// ```
 /// let declaration = kumquatdrum_declaration::parse(
@@ -48,26 +48,26 @@
     findings.0
 }
 
-/// Reads and checks a file.
+/// Parses and checks the text of a declaration.
 ///
 /// ```
 /// assert!(kumquatdrum_declaration::parse_and_check("{}").is_ok());
 /// assert!(kumquatdrum_declaration::parse_and_check("[]").is_err());
 /// ```
 pub fn parse_and_check(text: &str) -> Result<Declaration, Vec<Finding>> {
-    let read = read(text)?;
-    let mut findings = read.findings;
-    if read.is_whole {
-        findings.extend(check(&read.declaration));
+    let parsed = parse_items(text)?;
+    let mut findings = parsed.findings;
+    if parsed.is_complete {
+        findings.extend(check(&parsed.declaration));
     }
     if findings.is_empty() {
-        Ok(read.declaration)
+        Ok(parsed.declaration)
     } else {
         Err(findings)
     }
 }
 
-/// What the groups have found so far.
+/// The findings of all groups so far.
 #[derive(Debug, Default)]
 struct Findings(Vec<Finding>);
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// The items of a list with their places.
+/// Returns the items of a list with their JSON pointers.
 fn places<'p, 'a, T>(
     place: &'p str,
     items: &'a [T],
@@ -92,8 +92,8 @@
     numbered.map(move |(position, item)| (pointer::join(place, position), item))
 }
 
-/// Finds each name that stands a second time.
-fn duplicates<N: Display>(names: impl Iterator<Item = (String, N)>, findings: &mut Findings) {
+/// Adds a finding for each name that occurs again.
+fn find_duplicates<N: Display>(names: impl Iterator<Item = (String, N)>, findings: &mut Findings) {
     let mut first: IndexMap<String, String> = IndexMap::new();
     for (place, name) in names {
         match first.get(&name.to_string()) {
--- a/crates/kumquatdrum_declaration/src/check/deadlines.rs
+++ b/crates/kumquatdrum_declaration/src/check/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines and their caps.
+//! Checks of deadlines and their caps.
 
 use super::{Findings, places};
 use crate::{Declaration, pointer};
--- a/crates/kumquatdrum_declaration/src/check/keys.rs
+++ b/crates/kumquatdrum_declaration/src/check/keys.rs
@@ -1,8 +1,8 @@
-//! Callers' keys. No message shows what stands in the place of a digest: it may be the key.
+//! Checks of callers' keys. No message repeats a malformed digest, because it may be the key.
 
 use kumquatdrum_types::digest;
 
-use super::{Findings, duplicates, places};
+use super::{Findings, find_duplicates, places};
 use crate::{Declaration, Key, pointer};
 
 pub(super) fn check(declaration: &Declaration, findings: &mut Findings) {
@@ -12,7 +12,7 @@
         findings.push_if(
             workspace.keys.is_empty(),
             || place.clone(),
-            "is empty, so nobody could call for this workspace",
+            "must hold at least one key",
         );
         for (place, key) in places(&place, &workspace.keys) {
             digests.push((pointer::join(&place, "sha256"), key));
@@ -26,5 +26,5 @@
         );
     }
     let digests = digests.into_iter().map(|(place, key)| (place, &key.sha256));
-    duplicates(digests, findings);
+    find_duplicates(digests, findings);
 }
--- a/crates/kumquatdrum_declaration/src/check/limits.rs
+++ b/crates/kumquatdrum_declaration/src/check/limits.rs
@@ -1,9 +1,9 @@
-//! Weights and limits of workspaces: a zero would refuse everything.
+//! Checks of workspaces' weights and limits, which must not be zero.
 
 use super::{Findings, places};
 use crate::{Declaration, Limits, pointer};
 
-const ZERO: &str = "must be at least 1; leave a limit out where none is meant";
+const ZERO_LIMIT: &str = "must be at least 1; omit the limit to leave it unbounded";
 
 pub(super) fn check(declaration: &Declaration, findings: &mut Findings) {
     for (place, workspace) in places("/workspaces", &declaration.workspaces) {
@@ -12,7 +12,7 @@
             || pointer::join(&place, "weight"),
             "must be at least 1",
         );
-        limits(
+        check_limits(
             findings,
             &pointer::join(&place, "limits"),
             &workspace.limits,
@@ -20,7 +20,7 @@
     }
 }
 
-fn limits(findings: &mut Findings, place: &str, limits: &Limits) {
+fn check_limits(findings: &mut Findings, place: &str, limits: &Limits) {
     let all = [
         ("requests_per_second", limits.requests_per_second),
         ("tokens_per_second", limits.tokens_per_second),
@@ -28,6 +28,6 @@
         ("body_bytes", limits.body_bytes),
     ];
     for (field, limit) in all {
-        findings.push_if(limit == Some(0), || pointer::join(place, field), ZERO);
+        findings.push_if(limit == Some(0), || pointer::join(place, field), ZERO_LIMIT);
     }
 }
--- a/crates/kumquatdrum_declaration/src/check/models.rs
+++ b/crates/kumquatdrum_declaration/src/check/models.rs
@@ -1,4 +1,4 @@
-//! Models: what must be there for engines to load and serve them.
+//! Checks of the fields that engines need to load and serve a model.
 
 use super::{Findings, places};
 use crate::{Declaration, Model, pointer};
@@ -8,12 +8,12 @@
 
 pub(super) fn check(declaration: &Declaration, findings: &mut Findings) {
     for (place, model) in places("/models", &declaration.models) {
-        amounts(findings, &place, model);
-        versions(findings, &place, model);
+        check_amounts(findings, &place, model);
+        check_versions(findings, &place, model);
     }
 }
 
-fn amounts(findings: &mut Findings, place: &str, model: &Model) {
+fn check_amounts(findings: &mut Findings, place: &str, model: &Model) {
     let amounts = [
         ("memory_bytes_per_token", model.memory_bytes_per_token),
         ("replicas", u64::from(model.replicas)),
@@ -25,7 +25,7 @@
     }
 }
 
-fn versions(findings: &mut Findings, place: &str, model: &Model) {
+fn check_versions(findings: &mut Findings, place: &str, model: &Model) {
     let is_empty = model.version.is_empty();
     findings.push_if(is_empty, || pointer::join(place, "version"), EMPTY);
     for (place, adapter) in places(&pointer::join(place, "adapters"), &model.adapters) {
--- a/crates/kumquatdrum_declaration/src/check/priorities.rs
+++ b/crates/kumquatdrum_declaration/src/check/priorities.rs
@@ -1,4 +1,4 @@
-//! Priorities: none may starve, none may jump at once.
+//! Checks that each priority has an aging time, so that its requests don't starve.
 
 use super::{Findings, places};
 use crate::{Declaration, pointer};
--- a/crates/kumquatdrum_declaration/src/check/references.rs
+++ b/crates/kumquatdrum_declaration/src/check/references.rs
@@ -1,15 +1,15 @@
-//! Names that must stand elsewhere in the file.
+//! Checks that references name an item of the file.
 
-use super::{Findings, duplicates, places};
+use super::{Findings, find_duplicates, places};
 use crate::{Declaration, ServiceKind, pointer};
 
 pub(super) fn check(declaration: &Declaration, findings: &mut Findings) {
-    workspaces(declaration, findings);
-    services(declaration, findings);
-    endpoints(declaration, findings);
+    check_workspaces(declaration, findings);
+    check_services(declaration, findings);
+    check_endpoints(declaration, findings);
 }
 
-fn workspaces(declaration: &Declaration, findings: &mut Findings) {
+fn check_workspaces(declaration: &Declaration, findings: &mut Findings) {
     for (place, workspace) in places("/workspaces", &declaration.workspaces) {
         let list = pointer::join(&place, "services");
         for (place, name) in places(&list, &workspace.services) {
@@ -19,7 +19,7 @@
                 .any(|service| service.name == *name);
             findings.push_if(!is_known, || place, "names no service of the file");
         }
-        duplicates(places(&list, &workspace.services), findings);
+        find_duplicates(places(&list, &workspace.services), findings);
         let is_known = |name: &String| declaration.priorities.iter().any(|item| item.name == *name);
         findings.push_if(
             !workspace.priority.iter().all(is_known),
@@ -29,7 +29,7 @@
     }
 }
 
-fn services(declaration: &Declaration, findings: &mut Findings) {
+fn check_services(declaration: &Declaration, findings: &mut Findings) {
     for (place, service) in places("/services", &declaration.services) {
         let is_known = match &service.kind {
             ServiceKind::Plain {} => true,
@@ -42,7 +42,7 @@
     }
 }
 
-fn endpoints(declaration: &Declaration, findings: &mut Findings) {
+fn check_endpoints(declaration: &Declaration, findings: &mut Findings) {
     for (place, endpoint) in places("/endpoints", &declaration.endpoints) {
         let is_known = declaration
             .services
--- a/crates/kumquatdrum_declaration/src/diff.rs
+++ b/crates/kumquatdrum_declaration/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two declarations, by names rather than positions.
+//! Differences between two declarations. Items are matched by name, not by position.
 
 use std::fmt;
 
@@ -8,14 +8,14 @@
 
 use crate::{Declaration, pointer};
 
-/// One place that differs.
+/// One difference.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// In which list.
+    /// The list of the item.
     pub list: List,
     /// The name of the item.
     pub name: String,
-    /// What happened to it.
+    /// The kind of change.
     pub kind: Kind,
 }
 
@@ -35,15 +35,15 @@
     Endpoints,
 }
 
-/// What happened to an item.
+/// The kind of change to an item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// It is new.
+    /// The item is only in the new declaration.
     Added,
-    /// It is gone.
+    /// The item is only in the old declaration.
     Removed,
-    /// One of its fields differs.
+    /// A field of the item differs.
     Changed {
         /// The field's name.
         field: String,
@@ -62,7 +62,7 @@
     }
 }
 
-/// `+/models/formula-llm`, `-/models/formula-llm` or `/models/formula-llm/replicas`.
+/// Writes `+/models/formula-llm`, `-/models/formula-llm` or `/models/formula-llm/replicas`.
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let place = pointer::join(&format!("/{}", self.list), &self.name);
@@ -74,7 +74,7 @@
     }
 }
 
-/// All places that differ, list by list; the order of items doesn't count.
+/// Returns all differences, list by list. The order of items is ignored.
 ///
 /// ```
 /// use kumquatdrum_declaration::{diff, parse};
@@ -98,8 +98,8 @@
 type Items = IndexMap<String, Map<String, Value>>;
 
 fn compare<T: Serialize>(list: List, old: &[T], new: &[T]) -> Vec<Change> {
-    let old = by_name(old);
-    let new = by_name(new);
+    let old = index_by_name(old);
+    let new = index_by_name(new);
     let change = |name: &str, kind| Change {
         list,
         name: name.to_owned(),
@@ -128,7 +128,7 @@
         .collect()
 }
 
-fn by_name<T: Serialize>(items: &[T]) -> Items {
+fn index_by_name<T: Serialize>(items: &[T]) -> Items {
     let objects = items
         .iter()
         .filter_map(|item| match serde_json::to_value(item) {
--- a/crates/kumquatdrum_declaration/src/idempotency.rs
+++ b/crates/kumquatdrum_declaration/src/idempotency.rs
@@ -1,14 +1,14 @@
-//! Which calls may be done more than once.
+//! Idempotency of calls.
 
 use crate::{Rule, Service, ServiceKind};
 
 const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 
-/// Whether a call of a service may be repeated.
+/// Whether a call of a service is idempotent.
 ///
-/// The first rule that matches decides, else the kind of the service does. A path that an
-/// endpoint could read as another one (dot segments, empty segments, needless percent encoding)
-/// might slip past the rules, and such a call is never repeated.
+/// The first matching rule decides, or else the kind of the service. A path that isn't in normal
+/// form (dot segments, empty segments, needless percent encoding) may evade the rules, so its call
+/// never counts as idempotent.
 ///
 /// ```
 /// use kumquatdrum_declaration::{Rule, Service, ServiceKind, is_idempotent};
@@ -30,7 +30,7 @@
 /// ```
 pub fn is_idempotent(service: &Service, method: &str, path: &str) -> bool {
     let path = path.split(['?', '#']).next().unwrap_or_default();
-    if !is_regular(path) {
+    if !is_normalised(path) {
         return false;
     }
     let rule = service
@@ -40,34 +40,34 @@
     match (rule, &service.kind) {
         (Some(rule), _) => rule.idempotent,
         (None, ServiceKind::Model { .. }) => true,
-        (None, ServiceKind::Plain {}) => names_method(&SAFE_METHODS, method),
+        (None, ServiceKind::Plain {}) => contains_method(&SAFE_METHODS, method),
     }
 }
 
 fn matches(rule: &Rule, method: &str, path: &str) -> bool {
-    let is_method = rule.methods.is_empty() || names_method(&rule.methods, method);
+    let is_method = rule.methods.is_empty() || contains_method(&rule.methods, method);
     is_method && path.starts_with(&rule.path_prefix)
 }
 
-fn names_method(methods: &[impl AsRef<str>], method: &str) -> bool {
+fn contains_method(methods: &[impl AsRef<str>], method: &str) -> bool {
     methods
         .iter()
-        .any(|known| known.as_ref().eq_ignore_ascii_case(method))
+        .any(|listed| listed.as_ref().eq_ignore_ascii_case(method))
 }
 
-/// Whether a path can be read in one way only.
-pub(crate) fn is_regular(path: &str) -> bool {
+/// Whether a path is in normal form, so that all endpoints interpret it alike.
+pub(crate) fn is_normalised(path: &str) -> bool {
     let path = path.strip_prefix('/').unwrap_or(path);
     let path = path.strip_suffix('/').unwrap_or(path);
     let has_odd_segment = path
         .split('/')
         .any(|segment| matches!(segment, "" | "." | ".."));
     let is_root = path.is_empty();
-    (is_root || !has_odd_segment) && !path.contains(['\\', ';']) && !encodes_needlessly(path)
+    (is_root || !has_odd_segment) && !path.contains(['\\', ';']) && !has_needless_encoding(path)
 }
 
-/// Whether some percent-encoded byte could have been written plainly, or is a separator.
-fn encodes_needlessly(path: &str) -> bool {
+/// Whether a percent-encoded byte needs no encoding, is a separator or is malformed.
+fn has_needless_encoding(path: &str) -> bool {
     path.split('%').skip(1).any(|rest| {
         let byte = rest
             .get(..2)
--- a/crates/kumquatdrum_declaration/src/index.rs
+++ b/crates/kumquatdrum_declaration/src/index.rs
@@ -1,4 +1,4 @@
-//! Look-ups into a declaration for the path of each request.
+//! Lookups into a declaration, made for each request.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::{Declaration, Endpoint, Model, Priority, Service, ServiceKind, Workspace};
 
-/// Positions in the lists of a declaration, by what requests name.
+/// Positions of the items in a declaration's lists, by key digest or name.
 #[derive(Debug, Clone)]
 pub struct Index {
     declaration: Arc<Declaration>,
@@ -20,8 +20,8 @@
 }
 
 impl Index {
-    /// Indexes a declaration. Where a name stands twice, which [`crate::check`] refuses, the
-    /// first one counts.
+    /// Indexes a declaration. If a name occurs twice, which [`crate::check`] refuses, the first
+    /// item is used.
     ///
     /// ```
     /// use kumquatdrum_declaration::{Index, parse};
@@ -41,62 +41,62 @@
                 .map(move |key| (key.sha256.clone(), place))
         });
         Self {
-            keys: first_of_each(keys),
-            workspaces: positions(&declaration.workspaces, |item| item.name.clone()),
-            services: positions(&declaration.services, |item| item.name.clone()),
-            models: positions(&declaration.models, |item| item.name.clone()),
-            priorities: positions(&declaration.priorities, |item| item.name.clone()),
-            endpoints: positions(&declaration.endpoints, |item| item.name.clone()),
+            keys: index_first(keys),
+            workspaces: index_positions(&declaration.workspaces, |item| item.name.clone()),
+            services: index_positions(&declaration.services, |item| item.name.clone()),
+            models: index_positions(&declaration.models, |item| item.name.clone()),
+            priorities: index_positions(&declaration.priorities, |item| item.name.clone()),
+            endpoints: index_positions(&declaration.endpoints, |item| item.name.clone()),
             declaration,
         }
     }
 
-    /// The declaration itself.
+    /// Returns the indexed declaration.
     pub fn declaration(&self) -> &Arc<Declaration> {
         &self.declaration
     }
 
-    /// The workspace of a caller's key.
+    /// Returns the workspace of a caller's key.
     pub fn workspace_by_key(&self, key: &str) -> Option<&Workspace> {
         self.workspace_by_digest(&digest::hex(key.as_bytes()))
     }
 
-    /// The workspace of a caller's key, by the key's digest.
+    /// Returns the workspace of a caller's key, given the key's digest.
     pub fn workspace_by_digest(&self, sha256: &str) -> Option<&Workspace> {
         self.keys
             .get(sha256)
             .map(|&place| &self.declaration.workspaces[place])
     }
 
-    /// A workspace.
+    /// Returns a workspace by name.
     pub fn workspace(&self, name: &str) -> Option<&Workspace> {
         self.workspaces
             .get(name)
             .map(|&place| &self.declaration.workspaces[place])
     }
 
-    /// A service.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services
             .get(name)
             .map(|&place| &self.declaration.services[place])
     }
 
-    /// A service, if the workspace may call it.
+    /// Returns a service by name if the workspace can call it.
     pub fn service_for(&self, workspace: &Workspace, name: &str) -> Option<&Service> {
         let listed = &workspace.services;
-        let may = listed.is_empty() || listed.iter().any(|service| service.as_str() == name);
-        self.service(name).filter(|_| may)
+        let is_allowed = listed.is_empty() || listed.iter().any(|service| service.as_str() == name);
+        self.service(name).filter(|_| is_allowed)
     }
 
-    /// A model.
+    /// Returns a model by name.
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models
             .get(name)
             .map(|&place| &self.declaration.models[place])
     }
 
-    /// The model behind a service; `None` for a plain service.
+    /// Returns the model of a service; `None` for a plain service.
     pub fn model_of(&self, service: &Service) -> Option<&Model> {
         match &service.kind {
             ServiceKind::Model { model } => self.model(model.as_str()),
@@ -104,14 +104,14 @@
         }
     }
 
-    /// A priority.
+    /// Returns a priority by name.
     pub fn priority(&self, name: &str) -> Option<&Priority> {
         self.priorities
             .get(name)
             .map(|&place| &self.declaration.priorities[place])
     }
 
-    /// An endpoint that is expected.
+    /// Returns a declared endpoint by name.
     pub fn endpoint(&self, name: &str) -> Option<&Endpoint> {
         self.endpoints
             .get(name)
@@ -119,14 +119,14 @@
     }
 }
 
-fn positions<T, N>(items: &[T], name: impl Fn(&T) -> N) -> IndexMap<N, usize>
+fn index_positions<T, N>(items: &[T], name: impl Fn(&T) -> N) -> IndexMap<N, usize>
 where
     N: std::hash::Hash + Eq,
 {
-    first_of_each(items.iter().map(name).zip(0..))
+    index_first(items.iter().map(name).zip(0..))
 }
 
-fn first_of_each<N>(pairs: impl Iterator<Item = (N, usize)>) -> IndexMap<N, usize>
+fn index_first<N>(pairs: impl Iterator<Item = (N, usize)>) -> IndexMap<N, usize>
 where
     N: std::hash::Hash + Eq,
 {
--- a/crates/kumquatdrum_declaration/src/lib.rs
+++ b/crates/kumquatdrum_declaration/src/lib.rs
@@ -1,4 +1,4 @@
-//! Core: the operators' file, its types, checks and findings.
+//! Core: types, parser, checks and diff of the declaration file, which operators write.
 
 pub mod check;
 pub mod diff;
--- a/crates/kumquatdrum_declaration/src/model.rs
+++ b/crates/kumquatdrum_declaration/src/model.rs
@@ -1,50 +1,50 @@
-//! The types of the operators' file. Times are in milliseconds, sizes in bytes or tokens.
+//! The types of the declaration file. Times are in milliseconds, sizes in bytes or tokens.
 
 use kumquatdrum_types::{DataCentre, EndpointId, ModelName, ServiceName, WorkspaceName};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The whole file: everything the operators declare.
+/// The declaration: what operators want the fleet to serve, for whom and on which endpoints.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Declaration {
-    /// Who may call, with limits and weight.
+    /// The workspaces that can call, with their limits and weights.
     #[serde(default)]
     pub workspaces: Vec<Workspace>,
-    /// What can be called.
+    /// The services that can be called.
     #[serde(default)]
     pub services: Vec<Service>,
     /// The models behind model services.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// The priorities that requests and workspaces may name.
+    /// The priorities that requests and workspaces can name.
     #[serde(default)]
     pub priorities: Vec<Priority>,
-    /// The endpoints that are expected, and whether they check fencing numbers.
+    /// The expected endpoints, and whether they check fencing tokens.
     #[serde(default)]
     pub endpoints: Vec<Endpoint>,
 }
 
-/// One tenant of the fleet.
+/// A tenant of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Its name, unique in the file.
+    /// The workspace's name, unique in the file.
     #[schemars(with = "String")]
     pub name: WorkspaceName,
-    /// The callers' keys, as digests.
+    /// The digests of the callers' keys.
     pub keys: Vec<Key>,
-    /// Its share of a contended service relative to the others'.
-    #[serde(default = "one")]
+    /// The workspace's share of a contended service, relative to other workspaces.
+    #[serde(default = "default_weight")]
     pub weight: u32,
-    /// What it may use at most.
+    /// The workspace's limits.
     #[serde(default)]
     pub limits: Limits,
-    /// The services that it may call; empty means all.
+    /// The services that the workspace can call; empty means all.
     #[serde(default)]
     #[schemars(with = "Vec<String>")]
     pub services: Vec<ServiceName>,
-    /// The priority of its requests where they name none.
+    /// The priority of requests that name none.
     #[serde(default)]
     pub priority: Option<String>,
 }
@@ -55,53 +55,53 @@
 pub struct Key {
     /// The SHA-256 digest of the key, in 64 lower-case hexadecimal digits.
     pub sha256: String,
-    /// Whose key it is.
+    /// A note on the holder of the key.
     #[serde(default)]
     pub note: String,
 }
 
-/// What a workspace may use over all hosts together; an absent limit does not bind.
+/// A workspace's limits over all hosts. An absent limit is unbounded.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub requests_per_second: Option<u64>,
-    /// Prompt and answer tokens a second.
+    /// Prompt and output tokens per second.
     #[serde(default)]
     pub tokens_per_second: Option<u64>,
     /// Requests in flight.
     #[serde(default)]
     pub concurrency: Option<u32>,
-    /// Bytes of bodies held on one host.
+    /// Bytes of request bodies held on one host.
     #[serde(default)]
     pub body_bytes: Option<u64>,
 }
 
-/// Something that can be called.
+/// A service that workspaces can call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name, unique in the file.
+    /// The service's name, unique in the file.
     #[schemars(with = "String")]
     pub name: ServiceName,
-    /// A model or a plain service.
+    /// Whether the service serves a model or is a plain HTTP service.
     pub kind: ServiceKind,
-    /// The deadline of a request that names none.
+    /// The deadline of a request that sets none.
     pub deadline_ms: u64,
-    /// The longest deadline that a request may name.
+    /// The longest deadline that a request can set.
     pub deadline_cap_ms: u64,
-    /// Which calls may be repeated; the first rule that matches decides. Without a matching
-    /// rule, a model's calls and plain `GET`, `HEAD` and `OPTIONS` may be repeated, others not.
+    /// Which calls are idempotent; the first matching rule decides. Without a matching rule, calls
+    /// of a model and plain `GET`, `HEAD` and `OPTIONS` calls are idempotent.
     #[serde(default)]
     pub rules: Vec<Rule>,
 }
 
-/// What stands behind a service.
+/// The kind of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ServiceKind {
-    /// Engines that serve a model of the file.
+    /// A model of the file, served by engines.
     Model {
         /// The model's name.
         #[schemars(with = "String")]
@@ -111,7 +111,7 @@
     Plain {},
 }
 
-/// Whether calls of some methods under some path may be repeated.
+/// A rule on the idempotency of calls by method and path.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
@@ -121,7 +121,7 @@
     /// A prefix of the path within the service.
     #[serde(default)]
     pub path_prefix: String,
-    /// Whether such a call may be done more than once.
+    /// Whether matching calls are idempotent.
     pub idempotent: bool,
 }
 
@@ -129,22 +129,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Its name, unique in the file.
+    /// The model's name, unique in the file.
     #[schemars(with = "String")]
     pub name: ModelName,
     /// The version of the weights.
     pub version: String,
-    /// Adapters to load beside the weights.
+    /// The adapters to load with the weights.
     #[serde(default)]
     pub adapters: Vec<Adapter>,
-    /// KV memory a token takes, in bytes.
+    /// KV cache memory per token, in bytes.
     pub memory_bytes_per_token: u64,
-    /// How many engines should serve it.
+    /// The number of engines that should serve the model.
     pub replicas: u32,
-    /// The longest prompt, over however many engines it takes.
+    /// The longest prompt in tokens, also if it spans several engines.
     pub max_prompt_tokens: u64,
-    /// Bytes of text a token stands for on average, in thousandths, until engines' reports say
-    /// better.
+    /// Average bytes of text per token, in thousandths; used until engines report their own
+    /// average.
     #[serde(default = "default_bytes_per_token_milli")]
     pub bytes_per_token_milli: u64,
 }
@@ -153,21 +153,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
-    /// Its name, unique in the model.
+    /// The adapter's name, unique in the model.
     pub name: String,
-    /// Its version.
+    /// The adapter's version.
     pub version: String,
 }
 
-/// A priority that requests may name.
+/// A priority that requests can name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Priority {
-    /// Its name, unique in the file.
+    /// The priority's name, unique in the file.
     pub name: String,
-    /// Lower goes first.
+    /// The level; lower levels go first.
     pub level: u8,
-    /// The wait after which a request counts as one level lower, so that none starves.
+    /// The waiting time after which a request moves one level lower, to prevent starvation.
     pub aging_ms: u64,
 }
 
@@ -175,20 +175,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// The name that it announces.
+    /// The name that the endpoint announces.
     #[schemars(with = "String")]
     pub name: EndpointId,
-    /// The service that it serves.
+    /// The service that the endpoint serves.
     #[schemars(with = "String")]
     pub service: ServiceName,
-    /// Where it stands.
+    /// The data centre of the endpoint.
     #[schemars(with = "String")]
     pub data_centre: DataCentre,
-    /// Whether it refuses an order that carries an old fencing number.
+    /// Whether the endpoint refuses orders that carry an old fencing token.
     pub checks_fencing: bool,
 }
 
-const fn one() -> u32 {
+const fn default_weight() -> u32 {
     1
 }
 
--- a/crates/kumquatdrum_declaration/src/parse.rs
+++ b/crates/kumquatdrum_declaration/src/parse.rs
@@ -1,7 +1,7 @@
-//! Reading the operators' file, with the place of each thing that can't be read.
+//! Parser of the declaration file. Each finding holds the JSON pointer of its cause.
 //!
-//! The lists are read item by item, so that one broken item doesn't hide the next one's faults.
-//! No message repeats a text of the file: it could be a secret in the wrong place.
+//! Lists are parsed item by item, so that all broken items are found. No message repeats text of
+//! the file, because it may be a misplaced secret.
 
 use std::fmt;
 
@@ -14,10 +14,10 @@
 
 use crate::{Declaration, pointer};
 
-/// The longest file, in bytes.
+/// The maximum length of the file.
 pub const MAX_BYTES: usize = 8 << 20;
 
-/// Reads a file; all its findings otherwise. See [`crate::parse_and_check`] for what it must mean.
+/// Parses the text of a declaration without the checks of [`crate::parse_and_check`].
 ///
 /// ```
 /// let findings = kumquatdrum_declaration::parse(
@@ -27,41 +27,41 @@
 /// assert_eq!(places, ["/priorities/0/level", "/modles"]);
 /// ```
 pub fn parse(text: &str) -> Result<Declaration, Vec<Finding>> {
-    let read = read(text)?;
-    if read.findings.is_empty() {
-        Ok(read.declaration)
+    let parsed = parse_items(text)?;
+    if parsed.findings.is_empty() {
+        Ok(parsed.declaration)
     } else {
-        Err(read.findings)
+        Err(parsed.findings)
     }
 }
 
-/// What could be read of a file.
-pub(crate) struct Read {
+/// The items of a file that could be parsed, and the findings on the others.
+pub(crate) struct Parsed {
     pub(crate) declaration: Declaration,
     pub(crate) findings: Vec<Finding>,
-    /// Each item of each list was read, so that what the file means can be checked as well.
-    pub(crate) is_whole: bool,
+    /// Whether all items were parsed, so that the declaration can be checked.
+    pub(crate) is_complete: bool,
 }
 
-pub(crate) fn read(text: &str) -> Result<Read, Vec<Finding>> {
+pub(crate) fn parse_items(text: &str) -> Result<Parsed, Vec<Finding>> {
     if text.len() > MAX_BYTES {
         let message = format!("is longer than {MAX_BYTES} bytes");
         return Err(vec![Finding::new("", message)]);
     }
     let object: Object<'_> = match serde_json::from_str(text) {
         Ok(object) => object,
-        Err(error) => return Err(vec![Finding::new("", without_values(&error.to_string()))]),
+        Err(error) => return Err(vec![Finding::new("", redact_values(&error.to_string()))]),
     };
-    let mut reader = Reader::default();
-    let declaration = reader.declaration(&object);
-    Ok(Read {
+    let mut parser = Parser::default();
+    let declaration = parser.parse_declaration(&object);
+    Ok(Parsed {
         declaration,
-        findings: reader.findings,
-        is_whole: !reader.lost,
+        findings: parser.findings,
+        is_complete: !parser.has_failed,
     })
 }
 
-/// The JSON Schema of the file.
+/// Returns the JSON Schema of the file.
 ///
 /// ```
 /// assert!(kumquatdrum_declaration::schema()["properties"]["workspaces"].is_object());
@@ -70,7 +70,7 @@
     schema_for!(Declaration).to_value()
 }
 
-/// The top of the file, all keys in order, doubled ones included.
+/// The top-level object with all keys in order, including duplicates.
 struct Object<'a>(Vec<(String, &'a RawValue)>);
 
 impl<'de> Deserialize<'de> for Object<'de> {
@@ -98,14 +98,14 @@
 }
 
 #[derive(Default)]
-struct Reader {
+struct Parser {
     findings: Vec<Finding>,
-    /// Something of a list could not be read.
-    lost: bool,
+    /// Whether a list or an item of a list could not be parsed.
+    has_failed: bool,
 }
 
-impl Reader {
-    fn declaration(&mut self, object: &Object<'_>) -> Declaration {
+impl Parser {
+    fn parse_declaration(&mut self, object: &Object<'_>) -> Declaration {
         let mut declaration = Declaration::default();
         for (position, (key, raw)) in object.0.iter().enumerate() {
             let place = pointer::join("", key);
@@ -113,17 +113,17 @@
                 .iter()
                 .any(|(earlier, _)| earlier == key)
             {
-                self.lost = true;
+                self.has_failed = true;
                 self.findings
-                    .push(Finding::new(place, "stands more than once"));
+                    .push(Finding::new(place, "is defined more than once"));
                 continue;
             }
             match key.as_str() {
-                "workspaces" => declaration.workspaces = self.list(&place, raw),
-                "services" => declaration.services = self.list(&place, raw),
-                "models" => declaration.models = self.list(&place, raw),
-                "priorities" => declaration.priorities = self.list(&place, raw),
-                "endpoints" => declaration.endpoints = self.list(&place, raw),
+                "workspaces" => declaration.workspaces = self.parse_list(&place, raw),
+                "services" => declaration.services = self.parse_list(&place, raw),
+                "models" => declaration.models = self.parse_list(&place, raw),
+                "priorities" => declaration.priorities = self.parse_list(&place, raw),
+                "endpoints" => declaration.endpoints = self.parse_list(&place, raw),
                 _ => self
                     .findings
                     .push(Finding::new(place, "is not a known key")),
@@ -132,51 +132,51 @@
         declaration
     }
 
-    fn list<T: DeserializeOwned>(&mut self, place: &str, raw: &RawValue) -> Vec<T> {
+    fn parse_list<T: DeserializeOwned>(&mut self, place: &str, raw: &RawValue) -> Vec<T> {
         let Ok(items) = serde_json::from_str::<Vec<&RawValue>>(raw.get()) else {
-            self.lost = true;
+            self.has_failed = true;
             self.findings.push(Finding::new(place, "must be a list"));
             return Vec::new();
         };
         let items = items.into_iter().enumerate();
         items
-            .filter_map(|(position, item)| self.item(&pointer::join(place, position), item))
+            .filter_map(|(position, item)| self.parse_item(&pointer::join(place, position), item))
             .collect()
     }
 
-    fn item<T: DeserializeOwned>(&mut self, place: &str, raw: &RawValue) -> Option<T> {
+    fn parse_item<T: DeserializeOwned>(&mut self, place: &str, raw: &RawValue) -> Option<T> {
         let mut deserializer = serde_json::Deserializer::from_str(raw.get());
         match serde_path_to_error::deserialize(&mut deserializer) {
             Ok(item) => Some(item),
             Err(error) => {
-                self.lost = true;
-                self.findings.push(unreadable(place, &error));
+                self.has_failed = true;
+                self.findings.push(item_finding(place, &error));
                 None
             }
         }
     }
 }
 
-/// The finding of an item that can't be read.
-fn unreadable(item: &str, error: &serde_path_to_error::Error<serde_json::Error>) -> Finding {
+/// Returns the finding for an item that can't be parsed.
+fn item_finding(item: &str, error: &serde_path_to_error::Error<serde_json::Error>) -> Finding {
     let message = error.inner().to_string();
     let message = message.split(" at line ").next().unwrap_or_default();
-    let place = place_of(item, error.path().iter());
+    let place = join_path(item, error.path().iter());
     let parent = || {
         let segments = error.path().iter().len();
-        place_of(item, error.path().iter().take(segments.saturating_sub(1)))
+        join_path(item, error.path().iter().take(segments.saturating_sub(1)))
     };
-    // A key could stand where a variant or a field of a key belongs.
-    let names_variant = message.starts_with("unknown variant `");
-    let names_field_of_key = message.starts_with("unknown field `") && place.contains("/keys/");
-    if names_variant || names_field_of_key {
-        Finding::new(parent(), without_name(message))
+    // A misplaced key may be the name of the unknown variant or field.
+    let is_variant = message.starts_with("unknown variant `");
+    let is_field_of_key = message.starts_with("unknown field `") && place.contains("/keys/");
+    if is_variant || is_field_of_key {
+        Finding::new(parent(), redact_name(message))
     } else {
-        Finding::new(place, without_values(message))
+        Finding::new(place, redact_values(message))
     }
 }
 
-fn place_of<'a>(place: &str, path: impl Iterator<Item = &'a Segment>) -> String {
+fn join_path<'a>(place: &str, path: impl Iterator<Item = &'a Segment>) -> String {
     path.fold(place.to_owned(), |place, segment| match segment {
         Segment::Seq { index } => pointer::join(&place, index),
         Segment::Map { key } => pointer::join(&place, key),
@@ -185,9 +185,9 @@
     })
 }
 
-/// Drops texts of the file from a message of the JSON reader, such as
+/// Removes text of the file from a message of the JSON parser, such as
 /// `invalid type: string "...", expected u32`.
-fn without_values(message: &str) -> String {
+fn redact_values(message: &str) -> String {
     const QUOTED: &str = "string \"";
     let Some(start) = message.find(QUOTED) else {
         return message.to_owned();
@@ -199,8 +199,8 @@
     format!("{}a string{tail}", &message[..start])
 }
 
-/// Drops the name from a message such as "unknown field `...`, expected one of ...".
-fn without_name(message: &str) -> String {
+/// Removes the name from a message such as "unknown field `...`, expected one of ...".
+fn redact_name(message: &str) -> String {
     let start = message.find(" `").unwrap_or(message.len());
     let tail = message
         .find("`, expected")
--- a/crates/kumquatdrum_declaration/tests/findings.rs
+++ b/crates/kumquatdrum_declaration/tests/findings.rs
@@ -1,6 +1,6 @@
-//! Each case file gives the findings that stand beside it, in `<case>.findings`.
+//! Snapshot tests: each `<case>.json` must give the findings in `<case>.findings`.
 //!
-//! `UPDATE_SNAPSHOTS=1` rewrites those files.
+//! `UPDATE_SNAPSHOTS=1` rewrites the snapshots.
 
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/kumquatdrum_declaration/tests/idempotency.rs
+++ b/crates/kumquatdrum_declaration/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Which calls of the examples may be repeated, and look-ups into them.
+//! Idempotency of calls, lookups and differences in the example declarations.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn reorders_and_confirmations_are_not_repeated() {
+fn reorders_and_confirmations_are_not_idempotent() {
     let cases = [
         (TOONIKAART, "salon-api", "POST", "/reorders", false),
         (TOONIKAART, "salon-api", "POST", "/reorders/7", false),
@@ -46,9 +46,9 @@
     }
 }
 
-/// Each of these could reach `/reorders` at an endpoint that tidies paths.
+/// An endpoint that normalises paths could route each of these to `/reorders`.
 #[test]
-fn paths_that_can_be_read_in_two_ways_are_not_repeated() {
+fn ambiguous_paths_are_not_idempotent() {
     let index = index(TOONIKAART);
     let service = index.service("salon-api").expect("a service");
     for path in [
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn index_finds_what_requests_name() {
+fn index_resolves_keys_and_names() {
     let index = index(TOONIKAART);
     let caller = index
         .workspace_by_key("demo-juuksur-tartu")
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_listed_workspace_may_call_only_what_it_lists() {
+fn a_workspace_with_a_service_list_can_call_only_these() {
     let mut declaration = parse_and_check(TOONIKAART).expect("no findings");
     declaration.workspaces[0].services.truncate(1);
     let index = Index::new(Arc::new(declaration));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn diff_names_places_and_no_values() {
+fn diff_holds_pointers_without_values() {
     let old = parse_and_check(TOONIKAART).expect("no findings");
     let mut new = old.clone();
     new.workspaces.swap(0, 1);
