--- a/crates/kumquatdrum_orders/tests/support/mod.rs
+++ b/crates/kumquatdrum_orders/tests/support/mod.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    pub fn serves(&self, now: u64, model: &str) -> bool {
+    pub fn is_serving(&self, now: u64, model: &str) -> bool {
         let is_up = now >= self.down_until && self.loading.is_none() && !self.is_standby;
         is_up && self.model.as_deref() == Some(model)
     }
@@ -342,11 +342,11 @@
             Packet::Unsent(index, order) => self.send(index, order),
             Packet::Order(index, order, answered) => self.deliver_order(index, &order, answered),
             Packet::Answer(index, id, answer) => {
-                self.step_leader(index, Input::Answered(id, answer))
+                self.step_leader(index, Input::Answered(id, answer));
             }
             Packet::Probe(index, id) => self.deliver_probe(index, id),
             Packet::Report(index, id, report) => {
-                self.step_leader(index, Input::Reported(id, report))
+                self.step_leader(index, Input::Reported(id, report));
             }
         }
     }
