--- a/crates/kumquatdrum_daemon/tests/prefix.rs
+++ b/crates/kumquatdrum_daemon/tests/prefix.rs
@@ -11,7 +11,7 @@
         .map(|hash| u64::from_str_radix(hash, 16).expect("hexadecimal digits"))
         .collect();
     let json = serde_json::to_vec(&text).expect("a JSON text");
-    assert_eq!(blocks(&json), expected);
+    assert_eq!(hash_blocks(&json), expected);
     let messages = serde_json::json!([{"role": "user", "content": text}]);
-    assert_eq!(blocks(messages.to_string().as_bytes()), expected);
+    assert_eq!(hash_blocks(messages.to_string().as_bytes()), expected);
 }
