--- a/crates/kumquatdrum_host/benches/control.rs
+++ b/crates/kumquatdrum_host/benches/control.rs
@@ -1,9 +1,9 @@
-//! The control plane over loopback, all hosts in one process.
+//! Benchmark of the control plane over loopback, with all hosts in one process.
 //!
 //! `cargo bench -p kumquatdrum_host --bench control -- HOSTS DATA_CENTRES CLAIMERS WORKSPACES`
 //!
-//! Prints the time from an accepted apply until it is in force on all hosts, the same around the
-//! leader's death, claims a second with their latency, and what an idle host costs.
+//! Prints the time from an accepted apply until it is in force on all hosts, also after the leader's
+//! death, the rate and latency of claims, and the cost of an idle host.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 use kumquatdrum_types::{AttemptId, HostId, IdempotencyKey, Version, WorkspaceName};
 
 const APPLIES: u64 = 60;
-const IDLE: Duration = Duration::from_secs(10);
-const CLAIMING: Duration = Duration::from_secs(5);
+const IDLE_TIME: Duration = Duration::from_secs(10);
+const CLAIM_TIME: Duration = Duration::from_secs(5);
 
 fn declaration(number: u64, workspaces: u64) -> String {
     let mut text = String::from(r#"{"workspaces": ["#);
@@ -33,12 +33,12 @@
     text + "]}"
 }
 
-fn quantile(sorted: &[Duration], part: f64) -> Duration {
+fn quantile(sorted: &[Duration], fraction: f64) -> Duration {
     let last = sorted.len().saturating_sub(1);
-    sorted[(last as f64 * part).round() as usize]
+    sorted[(last as f64 * fraction).round() as usize]
 }
 
-fn tell(name: &str, mut times: Vec<Duration>) {
+fn print_times(name: &str, mut times: Vec<Duration>) {
     times.sort();
     println!(
         "{name}: n {} median {:?} p99 {:?} worst {:?}",
@@ -57,8 +57,8 @@
         match accepted {
             Ok(ApplyAnswer::Accepted { version }) => {
                 for host in hosts {
-                    let mut followed = host.in_force().follow();
-                    let _ = followed.wait_for(|known| *known >= version).await;
+                    let mut in_force = host.in_force().subscribe();
+                    let _ = in_force.wait_for(|known| *known >= version).await;
                 }
                 return started.elapsed();
             }
@@ -68,7 +68,7 @@
     }
 }
 
-async fn leader(hosts: &[Host]) -> usize {
+async fn find_leader(hosts: &[Host]) -> usize {
     loop {
         let leading = hosts
             .iter()
@@ -80,8 +80,8 @@
     }
 }
 
-fn processor_seconds() -> f64 {
-    const TICKS: f64 = 100.0;
+fn cpu_seconds() -> f64 {
+    const TICKS_PER_SECOND: f64 = 100.0;
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> = stat
         .rsplit(')')
@@ -93,7 +93,7 @@
         .iter()
         .filter_map(|field| field.parse::<f64>().ok())
         .sum();
-    ticks / TICKS
+    ticks / TICKS_PER_SECOND
 }
 
 fn resident_mib() -> u64 {
@@ -103,21 +103,21 @@
     kib.unwrap_or(0) / 1024
 }
 
-fn sent(hosts: &[Host]) -> Vec<(&'static str, u64, u64)> {
-    let of = |channel: Channel| {
+fn sent_traffic(hosts: &[Host]) -> Vec<(&'static str, u64, u64)> {
+    let sum = |channel: Channel| {
         let read = hosts.iter().map(|host| host.traffic().read(channel));
         let (messages, bytes) = read.fold((0, 0), |(messages, bytes), traffic| {
             (messages + traffic.messages_sent, bytes + traffic.bytes_sent)
         });
         (channel.name(), messages, bytes)
     };
-    Channel::ALL.into_iter().map(of).collect()
+    Channel::ALL.into_iter().map(sum).collect()
 }
 
-async fn idle(hosts: &[Host]) {
-    let (before, busy) = (sent(hosts), processor_seconds());
-    tokio::time::sleep(IDLE).await;
-    let share = (processor_seconds() - busy) / IDLE.as_secs_f64() / hosts.len() as f64;
+async fn measure_idle(hosts: &[Host]) {
+    let (before, busy) = (sent_traffic(hosts), cpu_seconds());
+    tokio::time::sleep(IDLE_TIME).await;
+    let share = (cpu_seconds() - busy) / IDLE_TIME.as_secs_f64() / hosts.len() as f64;
     println!(
         "idle host: {:.2}% of a core, {:.1} MiB resident each ({} MiB in all)",
         100.0 * share,
@@ -125,13 +125,13 @@
         resident_mib()
     );
     for ((name, messages, bytes), (_, old_messages, old_bytes)) in
-        sent(hosts).into_iter().zip(before)
+        sent_traffic(hosts).into_iter().zip(before)
     {
-        let each = IDLE.as_secs_f64() * hosts.len() as f64;
+        let host_seconds = IDLE_TIME.as_secs_f64() * hosts.len() as f64;
         println!(
             "  {name}: {:.1} messages/s {:.0} bytes/s sent by each",
-            (messages - old_messages) as f64 / each,
-            (bytes - old_bytes) as f64 / each
+            (messages - old_messages) as f64 / host_seconds,
+            (bytes - old_bytes) as f64 / host_seconds
         );
     }
 }
@@ -148,9 +148,9 @@
     }
 }
 
-async fn claims(hosts: &[Host], claimers: usize) {
-    let until = Instant::now() + CLAIMING;
-    let busy = processor_seconds();
+async fn measure_claims(hosts: &[Host], claimers: usize) {
+    let until = Instant::now() + CLAIM_TIME;
+    let busy = cpu_seconds();
     let tasks: Vec<_> = (0..claimers)
         .map(|claimer| {
             let control = Arc::clone(hosts[claimer % hosts.len()].control());
@@ -174,13 +174,13 @@
     for task in tasks {
         times.extend(task.await.unwrap_or_default());
     }
-    let spent = processor_seconds() - busy;
+    let spent = cpu_seconds() - busy;
     println!(
         "claims: {:.0}/s by {claimers} at once, {:.0} us of all processors each",
-        times.len() as f64 / CLAIMING.as_secs_f64(),
+        times.len() as f64 / CLAIM_TIME.as_secs_f64(),
         1e6 * spent / times.len().max(1) as f64
     );
-    tell("claim latency", times);
+    print_times("claim latency", times);
 }
 
 #[tokio::main]
@@ -194,8 +194,8 @@
     let workspaces = arguments.get(3).map_or(10, |count| *count as u64);
     let specs: Vec<Spec> = (0..count)
         .map(|number| {
-            let place = format!("dc-{}", number % data_centres);
-            Spec::new(format!("host-{number:03}"), place, number < 3)
+            let data_centre = format!("dc-{}", number % data_centres);
+            Spec::new(format!("host-{number:03}"), data_centre, number < 3)
         })
         .collect();
     let folder = std::env::temp_dir().join(format!("kumquatdrum-control-{}", std::process::id()));
@@ -205,15 +205,15 @@
         .expect("the hosts start");
     println!("{count} hosts in {data_centres} data centres, 3 replicas, {workspaces} workspaces");
     apply(&hosts, 0, workspaces).await;
-    idle(&hosts).await;
-    let before = sent(&hosts);
+    measure_idle(&hosts).await;
+    let before = sent_traffic(&hosts);
     let mut times = Vec::new();
     for base in 1..=APPLIES {
         times.push(apply(&hosts, base, workspaces).await);
     }
-    tell("accepted to in force everywhere", times);
+    print_times("accepted to in force everywhere", times);
     for ((name, messages, bytes), (_, old_messages, old_bytes)) in
-        sent(&hosts).into_iter().zip(before)
+        sent_traffic(&hosts).into_iter().zip(before)
     {
         println!(
             "  {name}: {:.1} messages {:.0} bytes a change, over all hosts",
@@ -221,9 +221,9 @@
             (bytes - old_bytes) as f64 / APPLIES as f64
         );
     }
-    claims(&hosts, claimers).await;
+    measure_claims(&hosts, claimers).await;
     if count > 3 {
-        let leading = leader(&hosts).await;
+        let leading = find_leader(&hosts).await;
         let killed = hosts.remove(leading);
         killed.kill().await;
         let started = Instant::now();
--- a/crates/kumquatdrum_host/src/announce.rs
+++ b/crates/kumquatdrum_host/src/announce.rs
@@ -1,4 +1,4 @@
-//! The listener on which endpoints announce themselves.
+//! The route on which endpoints announce themselves.
 
 use std::sync::Arc;
 
@@ -11,21 +11,21 @@
 use serde::Serialize;
 use slog::warn;
 
+use crate::context::Context;
 use crate::members::Members;
-use crate::shell::Shell;
 
-/// An announcement is never longer.
-const LONGEST: u64 = 1024 * 1024;
+/// The maximum length of an announcement.
+const MAX_BYTES: u64 = 1024 * 1024;
 
-/// An endpoint that proved that it knows the endpoints' key.
-struct Announcer;
+/// A request guard that requires the endpoints' key.
+struct Authorized;
 
 #[rocket::async_trait]
-impl<'r> FromRequest<'r> for Announcer {
+impl<'r> FromRequest<'r> for Authorized {
     type Error = ();
 
     async fn from_request(request: &'r Request<'_>) -> Outcome<Self, ()> {
-        let Some(shell) = request.rocket().state::<Arc<Shell>>() else {
+        let Some(context) = request.rocket().state::<Arc<Context>>() else {
             return Outcome::Error((Status::InternalServerError, ()));
         };
         let header = request
@@ -33,40 +33,40 @@
             .get_one("authorization")
             .unwrap_or_default();
         let key = header.strip_prefix("Bearer ").unwrap_or_default();
-        if digest::hex(key.as_bytes()) == shell.settings.endpoint_key_sha256 {
+        if digest::hex(key.as_bytes()) == context.settings.endpoint_key_sha256 {
             return Outcome::Success(Self);
         }
-        warn!(shell.logger, ""; "event" => "endpoint_refused", "has_key" => !key.is_empty());
+        warn!(context.logger, ""; "event" => "endpoint_refused", "has_key" => !key.is_empty());
         Outcome::Error((Status::Unauthorized, ()))
     }
 }
 
-/// What an endpoint learns.
+/// The response to an announcement.
 #[derive(Debug, Serialize)]
-struct Told {
-    /// Whether the announcement was taken, and a leaving notice spread.
+struct Response {
+    /// Whether the announcement was accepted and, if it is a leaving notice, replicated.
     taken: bool,
-    /// What is wrong, where it wasn't.
+    /// The reason why it wasn't.
     #[serde(skip_serializing_if = "Option::is_none")]
     message: Option<String>,
 }
 
-fn refused(status: Status, message: impl Into<String>) -> (Status, Json<Told>) {
-    let told = Told {
+fn refused(status: Status, message: impl Into<String>) -> (Status, Json<Response>) {
+    let response = Response {
         taken: false,
         message: Some(message.into()),
     };
-    (status, Json(told))
+    (status, Json(response))
 }
 
 #[post("/v1/endpoints", data = "<data>")]
 async fn announce(
-    _announcer: Announcer,
-    shell: &State<Arc<Shell>>,
+    _authorized: Authorized,
+    context: &State<Arc<Context>>,
     members: &State<Arc<Members>>,
     data: Data<'_>,
-) -> (Status, Json<Told>) {
-    let body = match data.open(LONGEST.bytes()).into_bytes().await {
+) -> (Status, Json<Response>) {
+    let body = match data.open(MAX_BYTES.bytes()).into_bytes().await {
         Ok(body) if body.is_complete() => body.into_inner(),
         Ok(_) => return refused(Status::PayloadTooLarge, "the announcement is too long"),
         Err(error) => return refused(Status::BadRequest, error.to_string()),
@@ -76,24 +76,27 @@
         Ok(announcement) => announcement,
         Err(error) => return refused(Status::BadRequest, error.to_string()),
     };
-    if announcement.data_centre != shell.settings.data_centre {
+    if announcement.data_centre != context.settings.data_centre {
         let message = format!(
-            "this host stands in {}, the endpoint in {}",
-            shell.settings.data_centre, announcement.data_centre
+            "this host is in data centre {}, the endpoint in {}",
+            context.settings.data_centre, announcement.data_centre
         );
         return refused(Status::BadRequest, message);
     }
     if members.announce(announcement).await {
-        let told = Told {
+        let response = Response {
             taken: true,
             message: None,
         };
-        return (Status::Ok, Json(told));
+        return (Status::Ok, Json(response));
     }
-    refused(Status::ServiceUnavailable, "not spread yet; announce again")
+    refused(
+        Status::ServiceUnavailable,
+        "the announcement is not replicated yet; announce again",
+    )
 }
 
-/// The routes of the endpoints' listener.
-pub fn all() -> Vec<Route> {
+/// Returns the routes of the endpoints' listener.
+pub fn routes() -> Vec<Route> {
     routes![announce]
 }
--- a/crates/kumquatdrum_host/src/caches.rs
+++ b/crates/kumquatdrum_host/src/caches.rs
@@ -1,4 +1,4 @@
-//! Reads engines' cache events and hands them to the routers.
+//! Polls engines for cache events and passes them to the routers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,80 +11,86 @@
 use kumquatdrum_types::{BootId, EndpointId, ServiceName};
 use tokio::sync::watch;
 
-use crate::shell::Shell;
+use crate::context::Context;
 
-/// How often each engine is asked.
-const ROUND: Duration = Duration::from_secs(1);
+/// How often each engine is polled.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How far an engine's events have been read.
+/// The position up to which an engine's events have been read.
 #[derive(Debug, Clone, Copy, Default)]
-struct Mark {
+struct Cursor {
     boot: BootId,
     last: u64,
 }
 
-/// Reads until `stopped` resolves.
-pub async fn run(shell: Arc<Shell>, mut stopped: watch::Receiver<bool>) {
-    let mut marks: IndexMap<EndpointId, Mark> = IndexMap::new();
+/// Polls until `stopped` resolves.
+pub async fn run(context: Arc<Context>, mut stopped: watch::Receiver<bool>) {
+    let mut cursors: IndexMap<EndpointId, Cursor> = IndexMap::new();
     loop {
         tokio::select! {
-            () = tokio::time::sleep(ROUND) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
             _ = stopped.wait_for(|stopped| *stopped) => return,
         }
-        round(&shell, &mut marks).await;
+        poll_engines(&context, &mut cursors).await;
     }
 }
 
-async fn round(shell: &Shell, marks: &mut IndexMap<EndpointId, Mark>) {
-    let engines = shell.engines();
-    marks.retain(|id, _| engines.iter().any(|(_, target)| target.endpoint == *id));
-    let asked = engines.into_iter().map(|(service, target)| {
-        let known = marks.get(&target.endpoint).copied();
+async fn poll_engines(context: &Context, cursors: &mut IndexMap<EndpointId, Cursor>) {
+    let engines = context.engines();
+    cursors.retain(|id, _| engines.iter().any(|(_, target)| target.endpoint == *id));
+    let polls = engines.into_iter().map(|(service, target)| {
+        let known = cursors.get(&target.endpoint).copied();
         let after = known
-            .filter(|mark| mark.boot == target.boot)
-            .map_or(0, |mark| mark.last);
+            .filter(|cursor| cursor.boot == target.boot)
+            .map_or(0, |cursor| cursor.last);
         async move {
-            let page = shell.engine.cache_events(&target, after).await.ok()?;
+            let page = context.engine.cache_events(&target, after).await.ok()?;
             Some((service, target, after, page))
         }
     });
-    for (service, target, after, page) in join_all(asked).await.into_iter().flatten() {
-        let mark = Mark {
+    for (service, target, after, page) in join_all(polls).await.into_iter().flatten() {
+        let cursor = Cursor {
             boot: page.boot,
             last: page.last,
         };
-        marks.insert(target.endpoint.clone(), mark);
+        cursors.insert(target.endpoint.clone(), cursor);
         if page.boot == target.boot {
-            take(shell, &service, &target, after, &page);
+            apply_page(context, &service, &target, after, &page);
         }
     }
 }
 
-fn take(shell: &Shell, service: &ServiceName, target: &Target, after: u64, page: &CachePage) {
-    let mut wants_resync = false;
+fn apply_page(
+    context: &Context,
+    service: &ServiceName,
+    target: &Target,
+    after: u64,
+    page: &CachePage,
+) {
+    let mut needs_resync = false;
     for event in &page.events {
-        if let Some(event) = read(page.boot, event) {
-            wants_resync |= shell.fleet.cache(service, &target.endpoint, &event);
+        if let Some(event) = parse_event(page.boot, event) {
+            needs_resync |= context.routers.cache(service, &target.endpoint, &event);
         }
     }
-    // A first page without a gap is a whole list.
-    let is_whole = after == 0 && page.events.len() as u64 == page.last;
-    if wants_resync && is_whole {
+    // A first page without a gap describes the complete cache.
+    let is_complete = after == 0 && page.events.len() as u64 == page.last;
+    if needs_resync && is_complete {
         let event = Event {
             boot: page.boot,
             sequence: page.last,
-            change: CacheChange::Snapshot(held(&page.events)),
+            change: CacheChange::Snapshot(stored_blocks(&page.events)),
         };
-        shell.fleet.cache(service, &target.endpoint, &event);
+        context.routers.cache(service, &target.endpoint, &event);
     }
 }
 
-fn hash(event: &CacheEvent) -> Option<BlockHash> {
+fn block_hash(event: &CacheEvent) -> Option<BlockHash> {
     u64::from_str_radix(&event.prefix, 16).ok().map(BlockHash)
 }
 
-fn read(boot: BootId, event: &CacheEvent) -> Option<Event> {
-    let block = vec![hash(event)?];
+fn parse_event(boot: BootId, event: &CacheEvent) -> Option<Event> {
+    let block = vec![block_hash(event)?];
     let change = match event.op.as_str() {
         "stored" => CacheChange::Stored(block),
         "evicted" => CacheChange::Evicted(block),
@@ -97,18 +103,18 @@
     })
 }
 
-fn held(events: &[CacheEvent]) -> Vec<BlockHash> {
-    let mut held = indexmap::IndexSet::new();
+fn stored_blocks(events: &[CacheEvent]) -> Vec<BlockHash> {
+    let mut stored = indexmap::IndexSet::new();
     for event in events {
-        match (hash(event), event.op.as_str()) {
+        match (block_hash(event), event.op.as_str()) {
             (Some(block), "stored") => {
-                held.insert(block);
+                stored.insert(block);
             }
             (Some(block), "evicted") => {
-                held.shift_remove(&block);
+                stored.shift_remove(&block);
             }
             _ => {}
         }
     }
-    held.into_iter().collect()
+    stored.into_iter().collect()
 }
--- a/crates/kumquatdrum_host/src/canceller.rs
+++ b/crates/kumquatdrum_host/src/canceller.rs
@@ -1,4 +1,4 @@
-//! Repeats cancels until engines confirm them.
+//! Sends cancels to engines until they confirm them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,74 +14,74 @@
 
 use kumquatdrum_process::clock::Clock;
 
-const ROUND: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Holds what this daemon wants ended at engines.
+/// The attempts that this daemon cancels at engines.
 pub struct Canceller {
     clock: Clock,
-    held: Mutex<Queue>,
-    woken: Notify,
+    queue: Mutex<Queue>,
+    wake: Notify,
     engine: Arc<dyn Engine>,
     metrics: Arc<Metrics>,
 }
 
 impl Canceller {
-    /// A canceller with nothing to do.
+    /// Creates a canceller with an empty queue.
     pub fn new(clock: Clock, engine: Arc<dyn Engine>, metrics: Arc<Metrics>) -> Self {
         Self {
             clock,
-            held: Mutex::default(),
-            woken: Notify::new(),
+            queue: Mutex::default(),
+            wake: Notify::new(),
             engine,
             metrics,
         }
     }
 
-    /// Cancels an attempt until the engine confirms it.
-    pub fn abandon(&self, target: Target, attempt: AttemptId) {
-        self.held.lock().insert(self.clock.now(), target, attempt);
-        self.woken.notify_one();
+    /// Enqueues an attempt to be cancelled until the engine confirms it.
+    pub fn enqueue(&self, target: Target, attempt: AttemptId) {
+        self.queue.lock().insert(self.clock.now(), target, attempt);
+        self.wake.notify_one();
     }
 
-    /// A life of an engine is over.
-    pub fn engine_gone(&self, endpoint: &EndpointId, boot: BootId) {
-        self.held.lock().remove_engine(endpoint, boot);
+    /// Removes the cancels for a boot of an engine that has ended.
+    pub fn remove_engine(&self, endpoint: &EndpointId, boot: BootId) {
+        self.queue.lock().remove_engine(endpoint, boot);
     }
 
-    /// Whether nothing awaits a confirmation.
+    /// Whether all cancels are confirmed.
     pub fn is_idle(&self) -> bool {
-        self.held.lock().is_empty()
+        self.queue.lock().is_empty()
     }
 
     /// Sends cancels until `stopped` resolves.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
         let mut cancels = JoinSet::new();
         loop {
-            for cancel in self.due() {
+            for cancel in self.take_due() {
                 let canceller = Arc::clone(&self);
                 cancels.spawn(async move { canceller.cancel(cancel).await });
             }
             while cancels.try_join_next().is_some() {}
             tokio::select! {
-                () = tokio::time::sleep(ROUND) => {}
-                () = self.woken.notified() => {}
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
+                () = self.wake.notified() => {}
                 _ = stopped.wait_for(|stopped| *stopped) => break,
             }
         }
         cancels.shutdown().await;
     }
 
-    fn due(&self) -> Vec<Cancel> {
-        let mut held = self.held.lock();
-        self.metrics.cancels_pending.set(held.len() as i64);
-        held.take_due(self.clock.now())
+    fn take_due(&self) -> Vec<Cancel> {
+        let mut queue = self.queue.lock();
+        self.metrics.cancels_pending.set(queue.len() as i64);
+        queue.take_due(self.clock.now())
     }
 
     async fn cancel(&self, cancel: Cancel) {
         if let Ok(standing) = self.engine.cancel(&cancel.target, &cancel.attempt).await {
-            // Another life of the engine holds nothing of it either.
+            // A different boot of the engine doesn't hold the attempt either.
             let _ = standing;
-            self.held.lock().confirm(&cancel.attempt);
+            self.queue.lock().confirm(&cancel.attempt);
         }
     }
 }
--- a/crates/kumquatdrum_host/src/context.rs
+++ b/crates/kumquatdrum_host/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of one host share.
+//! State that all tasks of one host share.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,56 +13,56 @@
 use tokio_util::task::TaskTracker;
 
 use crate::canceller::Canceller;
-use crate::fleet::Fleet;
-use crate::gangs::Gangs;
 use crate::in_force::Store;
 use crate::members::Members;
 use crate::quota::Quota;
+use crate::reservations::Reservations;
+use crate::routers::Routers;
 use crate::settings::Settings;
 use kumquatdrum_process::clock::Clock;
 
-/// One host's shared parts.
-pub struct Shell {
-    /// The settings file.
+/// The shared state of one host.
+pub struct Context {
+    /// The host's settings.
     pub settings: Settings,
-    /// This life of the daemon.
+    /// The boot of this daemon.
     pub boot: BootId,
     /// The daemon's clock.
     pub clock: Clock,
-    /// Where events go.
+    /// The logger of events.
     pub logger: slog::Logger,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
     /// The state of the shutdown.
     pub drain: Arc<Drain>,
     /// The declaration in force.
     pub in_force: Arc<Store>,
-    /// The routers.
-    pub fleet: Arc<Fleet>,
-    /// Model engines.
+    /// The routers of all services.
+    pub routers: Arc<Routers>,
+    /// The client for model engines.
     pub engine: Arc<dyn Engine>,
-    /// Plain services.
+    /// The client for plain services.
     pub plain: Arc<dyn Plain>,
-    /// Cancels under way.
+    /// The cancels that await confirmation.
     pub canceller: Arc<Canceller>,
-    /// Memory reserved at several engines.
-    pub gangs: Arc<Gangs>,
+    /// The reservations that span several engines.
+    pub reservations: Arc<Reservations>,
     /// The control plane.
     pub control: Arc<dyn Control>,
-    /// Hosts and endpoints.
+    /// The hosts and endpoints known to this host.
     pub members: Arc<Members>,
     /// The workspaces' limits.
     pub quota: Arc<Quota>,
-    /// Bytes of bodies.
+    /// The memory budget for request bodies.
     pub bodies: Arc<Budget>,
-    /// Requests under way; the host joins them when it stops.
+    /// The tasks of requests in flight, joined at shutdown.
     pub requests: TaskTracker,
-    /// Names given so far.
-    pub names: AtomicU64,
+    /// The number of request names assigned so far.
+    pub request_count: AtomicU64,
 }
 
-impl Shell {
-    /// The engines of all model services in force.
+impl Context {
+    /// Returns the engines of all declared model services.
     pub fn engines(&self) -> Vec<(ServiceName, Target)> {
         let Some(current) = self.in_force.current() else {
             return Vec::new();
@@ -70,15 +70,15 @@
         let services = current.index.declaration().services.iter();
         let models = services.filter(|service| current.index.model_of(service).is_some());
         let engines = models.flat_map(|service| {
-            let targets = self.fleet.targets(&service.name).into_iter();
+            let targets = self.routers.targets(&service.name).into_iter();
             targets.map(|target| (service.name.clone(), target))
         });
         engines.collect()
     }
 
-    /// A name for the next request.
-    pub fn name(&self) -> RequestId {
-        let count = self.names.fetch_add(1, Ordering::Relaxed);
+    /// Returns a unique name for the next request.
+    pub fn next_request_id(&self) -> RequestId {
+        let count = self.request_count.fetch_add(1, Ordering::Relaxed);
         RequestId::new(format!("{}-{:x}-{count}", self.settings.host, self.boot.0))
     }
 }
--- a/crates/kumquatdrum_host/src/control.rs
+++ b/crates/kumquatdrum_host/src/control.rs
@@ -1,11 +1,10 @@
-//! The control plane on this host: the replica, where the host keeps one, and the way to the
-//! leading replica from anywhere.
+//! The control plane on this host: its replica, if it has one, and the proxy to the leading replica.
 
-mod link;
-mod machine;
-mod question;
-mod reply;
+mod batch;
+mod proxy;
+mod replica;
+mod request;
 
-pub use link::Link;
-pub use machine::{Event, Handle, Machine, Parts};
-pub use question::{Answer, Question};
+pub use proxy::Proxy;
+pub use replica::{Dependencies, Event, Handle, Replica};
+pub use request::{Request, Response};
--- a/crates/kumquatdrum_host/src/control/batch.rs
+++ b/crates/kumquatdrum_host/src/control/batch.rs
@@ -1,33 +1,33 @@
-//! Answers to those who wait for the log.
+//! Batches of claims and settlements, and the responses to waiting requests.
 
 use kumquatdrum_setup::control::Page;
 use kumquatdrum_setup::{Answer as Applied, Failure, Standing, State};
 use tokio::sync::oneshot;
 
-use super::question::Outcome;
-use super::{Answer, Question};
+use super::request::Outcome;
+use super::{Request, Response};
 
-/// The most entries of one page of the audit trail.
-const PAGE: usize = 500;
-/// Claims and settlements that share one log entry at the most.
-const BATCH: usize = 4_096;
+/// The maximum number of entries in one page of the audit trail.
+const MAX_PAGE_ENTRIES: usize = 500;
+/// The maximum number of claims or settlements in one log entry.
+const MAX_BATCH_ITEMS: usize = 4_096;
 
-/// Who waits for a proposal.
-pub(super) enum Waiting {
+/// The senders of the responses to one proposal.
+pub(super) enum Waiters {
     Apply(oneshot::Sender<Outcome>),
     Claims(Vec<(usize, oneshot::Sender<Outcome>)>),
     Settlements(Vec<(usize, oneshot::Sender<Outcome>)>),
 }
 
-/// Takes together what waits, in the order in which it came.
-pub(super) fn batch<T>(
+/// Takes the next batch of waiting items, in their order of arrival.
+pub(super) fn take_batch<T>(
     waiting: &mut Vec<(Vec<T>, oneshot::Sender<Outcome>)>,
 ) -> (Vec<T>, Vec<(usize, oneshot::Sender<Outcome>)>) {
     let mut items = Vec::new();
     let mut senders = Vec::new();
     let mut taken = 0;
     for (part, _) in waiting.iter() {
-        if taken > 0 && items.len() + part.len() > BATCH {
+        if taken > 0 && items.len() + part.len() > MAX_BATCH_ITEMS {
             break;
         }
         taken += 1;
@@ -40,25 +40,26 @@
     (items, senders)
 }
 
-pub(super) fn tell(waiting: Waiting, answer: Result<Applied, Failure>) {
-    match (waiting, answer) {
-        (Waiting::Apply(sender), Ok(Applied::Apply(answer))) => {
-            let _ = sender.send(Ok(Answer::Apply(answer)));
+/// Sends the result of a proposal to its waiters.
+pub(super) fn respond(waiters: Waiters, answer: Result<Applied, Failure>) {
+    match (waiters, answer) {
+        (Waiters::Apply(sender), Ok(Applied::Apply(answer))) => {
+            let _ = sender.send(Ok(Response::Apply(answer)));
         }
-        (Waiting::Claims(senders), Ok(Applied::Claims(answers))) => {
-            split(senders, answers, Answer::Claim);
+        (Waiters::Claims(senders), Ok(Applied::Claims(answers))) => {
+            send_parts(senders, answers, Response::Claim);
         }
-        (Waiting::Settlements(senders), Ok(Applied::Settle(answers))) => {
-            split(senders, answers, Answer::Settle);
+        (Waiters::Settlements(senders), Ok(Applied::Settle(answers))) => {
+            send_parts(senders, answers, Response::Settle);
         }
-        (waiting, answer) => fail(waiting, &answer.err().unwrap_or(Failure::Unknown)),
+        (waiters, answer) => fail(waiters, &answer.err().unwrap_or(Failure::Unknown)),
     }
 }
 
-fn split<T>(
+fn send_parts<T>(
     senders: Vec<(usize, oneshot::Sender<Outcome>)>,
     answers: Vec<T>,
-    wrap: impl Fn(Vec<T>) -> Answer,
+    wrap: impl Fn(Vec<T>) -> Response,
 ) {
     let mut answers = answers.into_iter();
     for (count, sender) in senders {
@@ -67,10 +68,10 @@
     }
 }
 
-fn fail(waiting: Waiting, failure: &Failure) {
-    let senders: Vec<_> = match waiting {
-        Waiting::Apply(sender) => vec![sender],
-        Waiting::Claims(senders) | Waiting::Settlements(senders) => {
+fn fail(waiters: Waiters, failure: &Failure) {
+    let senders: Vec<_> = match waiters {
+        Waiters::Apply(sender) => vec![sender],
+        Waiters::Claims(senders) | Waiters::Settlements(senders) => {
             senders.into_iter().map(|(_, sender)| sender).collect()
         }
     };
@@ -79,30 +80,32 @@
     }
 }
 
-/// Answers a read from a state.
-pub(super) fn answered(state: &State, question: &Question, standing: Standing) -> Outcome {
-    match question {
-        Question::Show(selector) => state
+/// Reads the response to a request from the state.
+pub(super) fn read_state(state: &State, request: &Request, standing: Standing) -> Outcome {
+    match request {
+        Request::Show(selector) => state
             .show(*selector, standing)
-            .map(Answer::Show)
+            .map(Response::Show)
             .ok_or(Failure::NoSuchVersion),
-        Question::Audit { from, limit } => {
-            let limit = usize::try_from(*limit).unwrap_or(PAGE).min(PAGE);
+        Request::Audit { from, limit } => {
+            let limit = usize::try_from(*limit)
+                .unwrap_or(MAX_PAGE_ENTRIES)
+                .min(MAX_PAGE_ENTRIES);
             let (previous, entries) = state.trail().page(*from, limit);
             let next = from.max(&1) + entries.len() as u64;
-            Ok(Answer::Audit(Page {
+            Ok(Response::Audit(Page {
                 previous,
                 entries: entries.to_vec(),
                 next: (next <= state.trail().len()).then_some(next),
                 standing,
             }))
         }
-        Question::Key(workspace, key) => {
+        Request::Key(workspace, key) => {
             let entry = state.claims().get(workspace, key);
-            Ok(Answer::Key(
+            Ok(Response::Key(
                 entry.map(kumquatdrum_setup::claim::Entry::held),
             ))
         }
-        Question::Apply(_) | Question::Claim(_) | Question::Settle(_) => Err(Failure::Unavailable),
+        Request::Apply(_) | Request::Claim(_) | Request::Settle(_) => Err(Failure::Unavailable),
     }
 }
--- a/crates/kumquatdrum_host/src/control/proxy.rs
+++ b/crates/kumquatdrum_host/src/control/proxy.rs
@@ -1,4 +1,4 @@
-//! The way to the leading replica, from any host.
+//! Forwards control requests to the leading replica.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,42 +7,42 @@
 use kumquatdrum_setup::claim::Held;
 use kumquatdrum_setup::control::{Page, Reply, Status};
 use kumquatdrum_setup::{
-    ApplyAnswer, Claim, ClaimAnswer, Control, Digest, Failure, Request, Selector, SettleAnswer,
-    Settlement, Shown, Standing,
+    ApplyAnswer, Claim, ClaimAnswer, Control, Digest, Failure, Selector, SettleAnswer, Settlement,
+    Shown, Standing,
 };
 use kumquatdrum_types::{HostId, IdempotencyKey, Version, WorkspaceName};
 use parking_lot::Mutex;
 use tokio::time::{Instant, sleep};
 
-use super::question::Outcome;
-use super::{Answer, Handle, Question};
+use super::request::Outcome;
+use super::{Handle, Request, Response};
 use crate::in_force::Store;
 use crate::members::Members;
 
-/// How long to wait for answers.
+/// The timeouts of a request.
 #[derive(Debug, Clone, Copy)]
-struct Patience {
-    /// For one replica's.
-    one: Duration,
-    /// For all tries together.
-    all: Duration,
+struct Timeouts {
+    /// The timeout of one attempt at one replica.
+    attempt: Duration,
+    /// The timeout of all attempts together.
+    total: Duration,
 }
 
-/// Operators wait longer than an election takes.
-const OPERATORS: Patience = Patience {
-    one: Duration::from_millis(1_500),
-    all: Duration::from_secs(5),
+/// Long enough for operators' requests to outlast an election.
+const OPERATOR_TIMEOUTS: Timeouts = Timeouts {
+    attempt: Duration::from_millis(1_500),
+    total: Duration::from_secs(5),
 };
-/// Callers with a keyed request rather come back.
-const CALLERS: Patience = Patience {
-    one: Duration::from_millis(700),
-    all: Duration::from_millis(1_500),
+/// Shorter for keyed requests, whose callers can retry.
+const CALLER_TIMEOUTS: Timeouts = Timeouts {
+    attempt: Duration::from_millis(700),
+    total: Duration::from_millis(1_500),
 };
-/// The wait after all replicas were asked in vain.
-const ROUND: Duration = Duration::from_millis(100);
+/// The wait after all replicas have failed.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks the leading replica, wherever it is.
-pub struct Link {
+/// Forwards requests to the leading replica.
+pub struct Proxy {
     host: HostId,
     replicas: Vec<HostId>,
     local: Option<Handle>,
@@ -52,8 +52,8 @@
     leader: Mutex<Option<HostId>>,
 }
 
-impl Link {
-    /// A link that knows the replicas' hosts; `local` is this host's own replica.
+impl Proxy {
+    /// Creates a proxy to replicas on these hosts; `local` is this host's own replica.
     pub fn new(
         host: HostId,
         replicas: Vec<HostId>,
@@ -73,22 +73,26 @@
         }
     }
 
-    /// Asks until some replica answers as the leader. Every question is idempotent, so that it
-    /// may be asked again; "unknown" is the answer only where an earlier try may hold.
-    async fn ask(&self, question: Question) -> Outcome {
-        let is_claim = matches!(question, Question::Claim(_) | Question::Key(..));
+    /// Retries until a replica responds as the leader, which is safe because all requests are
+    /// idempotent. Returns [`Failure::Unknown`] if an attempt may have taken effect.
+    async fn request(&self, request: Request) -> Outcome {
+        let is_claim = matches!(request, Request::Claim(_) | Request::Key(..));
         if is_claim && self.members.is_cut_off() {
             return Err(Failure::Unavailable);
         }
-        let patience = if is_claim { CALLERS } else { OPERATORS };
-        let until = Instant::now() + patience.all;
+        let timeouts = if is_claim {
+            CALLER_TIMEOUTS
+        } else {
+            OPERATOR_TIMEOUTS
+        };
+        let until = Instant::now() + timeouts.total;
         let mut failure = Failure::Unavailable;
         loop {
             for host in self.candidates() {
-                match self.ask_one(&host, &question, patience.one).await {
-                    Ok(answer) => {
+                match self.request_from(&host, &request, timeouts.attempt).await {
+                    Ok(response) => {
                         *self.leader.lock() = Some(host);
-                        return Ok(answer);
+                        return Ok(response);
                     }
                     Err(Failure::NotCurrent { leader }) => {
                         let hint = leader.filter(|leader| *leader != host);
@@ -103,14 +107,14 @@
                     Err(Failure::Unavailable) => {}
                 }
             }
-            if Instant::now() + ROUND >= until {
+            if Instant::now() + RETRY_INTERVAL >= until {
                 return Err(failure);
             }
-            sleep(ROUND).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// The presumed leader first.
+    /// Returns the hosts to try, the presumed leader first.
     fn candidates(&self) -> Vec<HostId> {
         let leader = self.leader.lock().clone();
         let others = self.replicas.iter();
@@ -118,24 +122,29 @@
         leader.iter().chain(others).cloned().collect()
     }
 
-    async fn ask_one(&self, host: &HostId, question: &Question, limit: Duration) -> Outcome {
+    async fn request_from(&self, host: &HostId, request: &Request, limit: Duration) -> Outcome {
         match &self.local {
             Some(local) if *host == self.host => {
-                let answer = tokio::time::timeout(limit, local.ask(question.clone())).await;
-                answer.unwrap_or(Err(Failure::Unknown))
+                let outcome = tokio::time::timeout(limit, local.request(request.clone())).await;
+                outcome.unwrap_or(Err(Failure::Unknown))
             }
-            _ => self.ask_peer(host, question, limit).await,
+            _ => self.request_from_peer(host, request, limit).await,
         }
     }
 
-    async fn ask_peer(&self, host: &HostId, question: &Question, limit: Duration) -> Outcome {
-        let body = postcard::to_allocvec(question).map_err(|_| Failure::Unavailable)?;
-        let asked = self
+    async fn request_from_peer(
+        &self,
+        host: &HostId,
+        request: &Request,
+        limit: Duration,
+    ) -> Outcome {
+        let body = postcard::to_allocvec(request).map_err(|_| Failure::Unavailable)?;
+        let response = self
             .client
             .ask(host, Channel::Control, body.into(), limit)
             .await;
-        match asked {
-            Ok(answer) => postcard::from_bytes::<Outcome>(&answer).unwrap_or(Err(Failure::Unknown)),
+        match response {
+            Ok(body) => postcard::from_bytes::<Outcome>(&body).unwrap_or(Err(Failure::Unknown)),
             Err(error) if error.is_unsent() => Err(Failure::Unavailable),
             Err(_) => Err(Failure::Unknown),
         }
@@ -154,21 +163,21 @@
 
     fn standing(&self) -> Standing {
         Standing::LastKnown {
-            as_of_unix_ms: self.members.majority_heard_unix_ms(),
+            as_of_unix_ms: self.members.last_majority_unix_ms(),
         }
     }
 
     async fn show_current(&self, selector: Selector) -> Result<Shown, Failure> {
-        match self.ask(Question::Show(selector)).await {
-            Ok(Answer::Show(shown)) => Ok(shown),
+        match self.request(Request::Show(selector)).await {
+            Ok(Response::Show(shown)) => Ok(shown),
             Ok(_) => Err(Failure::Unavailable),
             Err(Failure::NoSuchVersion) => Err(Failure::NoSuchVersion),
-            Err(failure) => self.fall_back(selector).ok_or(failure),
+            Err(failure) => self.show_last_known(selector).ok_or(failure),
         }
     }
 
-    /// Without a majority this host still knows the version that it goes by.
-    fn fall_back(&self, selector: Selector) -> Option<Shown> {
+    /// Returns the version in force on this host, for use without a majority.
+    fn show_last_known(&self, selector: Selector) -> Option<Shown> {
         let shown = self.last_known()?;
         match selector {
             Selector::Current => Some(shown),
@@ -198,15 +207,16 @@
             leader: leader.or_else(|| self.leader.lock().clone()),
             hosts: self.members.host_statuses(node.as_ref(), &self.replicas),
             endpoints: self.members.endpoint_statuses(),
-            cut_off: self.members.cut_off(),
+            cut_off: self.members.unreachable_data_centres(),
         }
     }
 }
 
+/// Awaits a response and unwraps the expected variant.
 macro_rules! expect {
-    ($asked:expr, $variant:path) => {
+    ($response:expr, $variant:path) => {
         Box::pin(async move {
-            match $asked.await? {
+            match $response.await? {
                 $variant(answer) => Ok(answer),
                 _ => Err(Failure::Unavailable),
             }
@@ -214,9 +224,9 @@
     };
 }
 
-impl Control for Link {
-    fn apply(&self, request: Request) -> Reply<'_, ApplyAnswer> {
-        expect!(self.ask(Question::Apply(request)), Answer::Apply)
+impl Control for Proxy {
+    fn apply(&self, request: kumquatdrum_setup::Request) -> Reply<'_, ApplyAnswer> {
+        expect!(self.request(Request::Apply(request)), Response::Apply)
     }
 
     fn show(&self, selector: Selector) -> Reply<'_, Shown> {
@@ -225,7 +235,10 @@
 
     fn audit(&self, from: u64, limit: usize) -> Reply<'_, Page> {
         let limit = limit as u64;
-        expect!(self.ask(Question::Audit { from, limit }), Answer::Audit)
+        expect!(
+            self.request(Request::Audit { from, limit }),
+            Response::Audit
+        )
     }
 
     fn status(&self) -> Reply<'_, Status> {
@@ -233,15 +246,15 @@
     }
 
     fn claim(&self, claims: Vec<Claim>) -> Reply<'_, Vec<ClaimAnswer>> {
-        expect!(self.ask(Question::Claim(claims)), Answer::Claim)
+        expect!(self.request(Request::Claim(claims)), Response::Claim)
     }
 
     fn settle(&self, settlements: Vec<Settlement>) -> Reply<'_, Vec<SettleAnswer>> {
-        expect!(self.ask(Question::Settle(settlements)), Answer::Settle)
+        expect!(self.request(Request::Settle(settlements)), Response::Settle)
     }
 
     fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Held>> {
-        let question = Question::Key(workspace.clone(), key.clone());
-        expect!(self.ask(question), Answer::Key)
+        let request = Request::Key(workspace.clone(), key.clone());
+        expect!(self.request(request), Response::Key)
     }
 }
--- a/crates/kumquatdrum_host/src/control/replica.rs
+++ b/crates/kumquatdrum_host/src/control/replica.rs
@@ -1,4 +1,4 @@
-//! Runs one replica: the consensus node, the state machine behind it, and those who wait.
+//! Runs one replica: the consensus node, its state machine and the requests in flight.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,31 +21,31 @@
 use slog::{error, info};
 use tokio::sync::{mpsc, oneshot};
 
-use super::question::Outcome;
-use super::reply::{Waiting, answered, batch, tell};
-use super::{Answer, Question};
+use super::batch::{Waiters, read_state, respond, take_batch};
+use super::request::Outcome;
+use super::{Request, Response};
 use crate::members::Members;
 use kumquatdrum_process::clock::{Clock, unix_ms};
 
-/// How often the spread is told of a majority.
+/// How often contact with a majority is reported.
 const MAJORITY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What reaches a replica.
+/// An event for a replica.
 #[derive(Debug)]
 pub enum Event {
-    /// A message of another replica.
+    /// A message from another replica.
     Message(Box<Message>),
-    /// A question, and where the answer goes.
-    Question(Box<Question>, oneshot::Sender<Outcome>),
-    /// What the replica says of itself.
+    /// A request and the sender of its outcome.
+    Request(Box<Request>, oneshot::Sender<Outcome>),
+    /// A request for the node's status.
     Status(oneshot::Sender<Status>),
-    /// Leadership as the replica can prove it.
+    /// A request for the leadership that the replica can prove.
     Leadership(oneshot::Sender<Option<Leadership>>),
-    /// The host is about to stop: another replica should lead.
+    /// The host is about to stop, so leadership is transferred.
     Resign,
-    /// A batch is on disk.
+    /// A batch was written to disk.
     Persisted(u64),
-    /// The disk failed.
+    /// A write to disk failed.
     PersistFailed(String),
 }
 
@@ -58,46 +58,47 @@
     }
 }
 
-/// The way to a running replica.
+/// A handle to a running replica.
 #[derive(Debug, Clone)]
 pub struct Handle {
     events: mpsc::UnboundedSender<Event>,
 }
 
-/// What a machine is made of.
-pub struct Parts {
-    /// The consensus core, fresh from its store.
+/// The dependencies of a replica.
+pub struct Dependencies {
+    /// The consensus node, restored from disk.
     pub node: Node,
-    /// The thread that writes.
+    /// The writer to disk.
     pub writer: Writer,
-    /// The way to the other replicas.
+    /// The client for other replicas.
     pub client: Arc<Client>,
-    /// Hosts, endpoints and the spread, which is told of applied versions.
+    /// The members, which distribute applied versions.
     pub members: Arc<Members>,
     /// The daemon's clock.
     pub clock: Clock,
-    /// Where events go.
+    /// The logger of events.
     pub logger: slog::Logger,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
 }
 
+/// A request that awaits the confirmation of leadership.
 enum Read {
     Apply(Box<kumquatdrum_setup::Request>),
-    Question(Box<Question>),
+    Request(Box<Request>),
 }
 
-/// One replica.
-pub struct Machine {
-    parts: Parts,
+/// One replica of the control plane.
+pub struct Replica {
+    dependencies: Dependencies,
     state: State,
     stamper: Stamper,
-    wake: Moment,
-    told: Version,
-    /// The log holds something that this release can't apply.
-    halted: bool,
-    tokens: u64,
-    waiting: IndexMap<Token, Waiting>,
+    next_tick: Moment,
+    published: Version,
+    /// Whether the log holds an entry that this release can't apply.
+    is_halted: bool,
+    last_token: u64,
+    waiters: IndexMap<Token, Waiters>,
     reads: IndexMap<Token, (Read, oneshot::Sender<Outcome>)>,
     answers: IndexMap<LogIndex, Applied>,
     claims: Vec<(Vec<Claim>, oneshot::Sender<Outcome>)>,
@@ -105,7 +106,7 @@
 }
 
 impl Handle {
-    /// A handle and what it feeds.
+    /// Creates a handle with the sender and receiver of its events.
     pub fn new() -> (
         Self,
         mpsc::UnboundedSender<Event>,
@@ -118,53 +119,53 @@
         (handle, events, received)
     }
 
-    /// Hands a message of another replica over.
-    pub fn message(&self, message: Message) {
+    /// Delivers a message from another replica.
+    pub fn deliver(&self, message: Message) {
         let _ = self.events.send(Event::Message(Box::new(message)));
     }
 
-    /// Asks the replica.
-    pub async fn ask(&self, question: Question) -> Outcome {
-        let (sender, answer) = oneshot::channel();
-        let event = Event::Question(Box::new(question), sender);
+    /// Sends a request to the replica.
+    pub async fn request(&self, request: Request) -> Outcome {
+        let (sender, outcome) = oneshot::channel();
+        let event = Event::Request(Box::new(request), sender);
         if self.events.send(event).is_err() {
             return Err(Failure::Unavailable);
         }
-        answer.await.unwrap_or(Err(Failure::Unknown))
+        outcome.await.unwrap_or(Err(Failure::Unknown))
     }
 
-    /// The term and lease of this replica; nothing where it does not lead or is behind.
+    /// Returns the term and lease of this replica; `None` if it doesn't lead or is behind.
     pub async fn leadership(&self) -> Option<Leadership> {
-        let (sender, answer) = oneshot::channel();
+        let (sender, leadership) = oneshot::channel();
         self.events.send(Event::Leadership(sender)).ok()?;
-        answer.await.ok().flatten()
+        leadership.await.ok().flatten()
     }
 
-    /// Hands leadership over before a planned stop.
+    /// Transfers leadership before a planned stop.
     pub fn resign(&self) {
         let _ = self.events.send(Event::Resign);
     }
 
-    /// What the replica says of itself; nothing once it has stopped.
+    /// Returns the node's status; `None` once it has stopped.
     pub async fn status(&self) -> Option<Status> {
-        let (sender, answer) = oneshot::channel();
+        let (sender, status) = oneshot::channel();
         self.events.send(Event::Status(sender)).ok()?;
-        answer.await.ok()
+        status.await.ok()
     }
 }
 
-impl Machine {
-    /// A machine whose state is made by the node's first outputs.
-    pub fn new(parts: Parts) -> Self {
+impl Replica {
+    /// Creates a replica. The node's first outputs restore its state.
+    pub fn new(dependencies: Dependencies) -> Self {
         Self {
-            parts,
+            dependencies,
             state: State::default(),
             stamper: Stamper::default(),
-            wake: Moment::ZERO,
-            told: Version(0),
-            halted: false,
-            tokens: 0,
-            waiting: IndexMap::new(),
+            next_tick: Moment::ZERO,
+            published: Version(0),
+            is_halted: false,
+            last_token: 0,
+            waiters: IndexMap::new(),
             reads: IndexMap::new(),
             answers: IndexMap::new(),
             claims: Vec::new(),
@@ -181,141 +182,148 @@
         self.step(Input::Tick);
         let mut majority = tokio::time::interval(MAJORITY_INTERVAL);
         loop {
-            let due = self.parts.clock.instant(self.wake);
+            let due = self.dependencies.clock.instant(self.next_tick);
             tokio::select! {
                 event = events.recv() => match event {
-                    Some(event) => self.take(event),
+                    Some(event) => self.handle_event(event),
                     None => break,
                 },
                 () = tokio::time::sleep_until(due) => self.step(Input::Tick),
-                _ = majority.tick() => self.tell_majority(),
+                _ = majority.tick() => self.report_majority(),
                 _ = stopped.wait_for(|stopped| *stopped) => break,
             }
-            // What came in together shares one log entry.
+            // Events that have arrived together share one log entry.
             while let Ok(event) = events.try_recv() {
-                self.take(event);
+                self.handle_event(event);
             }
-            if self.halted {
+            if self.is_halted {
                 break;
             }
             self.propose_batches();
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Message(message) => self.step(Input::Message(message)),
             Event::Persisted(sequence) => self.step(Input::Persisted { sequence }),
             Event::PersistFailed(reason) => self.step(Input::PersistFailed { reason }),
             Event::Resign => self.step(Input::Resign),
             Event::Status(sender) => {
-                let _ = sender.send(self.parts.node.status());
+                let _ = sender.send(self.dependencies.node.status());
             }
             Event::Leadership(sender) => {
                 let _ = sender.send(self.leadership());
             }
-            Event::Question(question, sender) => self.question(*question, sender),
+            Event::Request(request, sender) => self.handle_request(*request, sender),
         }
     }
 
     fn leadership(&self) -> Option<Leadership> {
-        let node = &self.parts.node;
-        // A leader that is behind would order what an older declaration says.
+        let node = &self.dependencies.node;
+        // A leader that is behind would issue orders for an outdated declaration.
         node.leads_current().then(|| Leadership {
             term: node.term().0,
             lease_until: node.lease_until(),
         })
     }
 
-    fn question(&mut self, question: Question, sender: oneshot::Sender<Outcome>) {
-        if !self.parts.node.is_leader() {
-            let leader = self.parts.node.leader().map(|leader| leader.host.clone());
+    fn handle_request(&mut self, request: Request, sender: oneshot::Sender<Outcome>) {
+        if !self.dependencies.node.is_leader() {
+            let leader = self
+                .dependencies
+                .node
+                .leader()
+                .map(|leader| leader.host.clone());
             let _ = sender.send(Err(Failure::NotCurrent { leader }));
             return;
         }
-        match question {
-            Question::Claim(claims) => self.claims.push((claims, sender)),
-            Question::Settle(settlements) => self.settlements.push((settlements, sender)),
-            // An apply is checked against the state, which a read makes sure to be current.
-            Question::Apply(request) => self.read(Read::Apply(Box::new(request)), sender),
-            read => self.read(Read::Question(Box::new(read)), sender),
+        match request {
+            Request::Claim(claims) => self.claims.push((claims, sender)),
+            Request::Settle(settlements) => self.settlements.push((settlements, sender)),
+            // An apply is checked against the state, so the state must be current.
+            Request::Apply(request) => self.read(Read::Apply(Box::new(request)), sender),
+            read => self.read(Read::Request(Box::new(read)), sender),
         }
     }
 
-    fn token(&mut self) -> Token {
-        self.tokens += 1;
-        Token(self.tokens)
+    fn next_token(&mut self) -> Token {
+        self.last_token += 1;
+        Token(self.last_token)
     }
 
     fn read(&mut self, read: Read, sender: oneshot::Sender<Outcome>) {
-        let token = self.token();
+        let token = self.next_token();
         self.reads.insert(token, (read, sender));
         self.step(Input::ConfirmRead { token });
     }
 
-    fn propose(&mut self, action: Action, waiting: Waiting) {
-        let stamp = self.stamper.stamp(self.parts.clock.now(), unix_ms());
+    fn propose(&mut self, action: Action, waiters: Waiters) {
+        let stamp = self.stamper.stamp(self.dependencies.clock.now(), unix_ms());
         let payload = Bytes::from(Command { stamp, action }.encode());
-        let token = self.token();
-        self.waiting.insert(token, waiting);
+        let token = self.next_token();
+        self.waiters.insert(token, waiters);
         self.step(Input::Propose(Proposal { token, payload }));
     }
 
     fn propose_batches(&mut self) {
         while !self.claims.is_empty() {
-            let (claims, waiting) = batch(&mut self.claims);
-            self.propose(Action::Claims(claims), Waiting::Claims(waiting));
+            let (claims, waiters) = take_batch(&mut self.claims);
+            self.propose(Action::Claims(claims), Waiters::Claims(waiters));
         }
         while !self.settlements.is_empty() {
-            let (settlements, waiting) = batch(&mut self.settlements);
-            self.propose(Action::Settle(settlements), Waiting::Settlements(waiting));
+            let (settlements, waiters) = take_batch(&mut self.settlements);
+            self.propose(Action::Settle(settlements), Waiters::Settlements(waiters));
         }
     }
 
     fn step(&mut self, input: Input) {
-        let now = self.parts.clock.now();
-        for output in self.parts.node.step(now, input) {
-            self.carry_out(output);
+        let now = self.dependencies.clock.now();
+        for output in self.dependencies.node.step(now, input) {
+            self.execute(output);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Send { to, message } => self.send(&to, &message),
-            Output::Persist(batch) => self.parts.writer.write(batch),
+            Output::Persist(batch) => self.dependencies.writer.write(batch),
             Output::Apply { index, payload, .. } => self.apply(index, &payload),
             Output::Restore(snapshot) => self.restore(snapshot.index, &snapshot.data),
-            Output::Proposed { token, outcome } => self.proposed(token, outcome),
-            Output::ReadConfirmed { token, .. } => self.confirmed(token),
-            Output::ReadRefused { token, leader } => self.refused(token, leader),
+            Output::Proposed { token, outcome } => self.handle_proposed(token, outcome),
+            Output::ReadConfirmed { token, .. } => self.handle_read_confirmed(token),
+            Output::ReadRefused { token, leader } => self.handle_read_refused(token, leader),
             Output::SnapshotWanted => {
                 let index = LogIndex(self.state.applied());
                 let data = Bytes::from(self.state.encode());
                 self.step(Input::Snapshot { index, data });
             }
             Output::BecameLeader { term } => {
-                // Time that passed while another replica led is that one's to count.
+                // Time under another leader was counted by that leader's stamps.
                 self.stamper = Stamper::default();
-                self.parts.metrics.leader.set(1);
-                info!(self.parts.logger, ""; "event" => "became_leader", "term" => %term);
+                self.dependencies.metrics.leader.set(1);
+                info!(self.dependencies.logger, ""; "event" => "became_leader", "term" => %term);
             }
             Output::SteppedDown { term, reason } => {
-                self.parts.metrics.leader.set(0);
+                self.dependencies.metrics.leader.set(0);
                 self.answers.clear();
-                info!(self.parts.logger, ""; "event" => "stepped_down", "term" => %term,
+                info!(self.dependencies.logger, ""; "event" => "stepped_down", "term" => %term,
                     "reason" => reason.as_str());
             }
             Output::Halted { reason } => {
-                error!(self.parts.logger, ""; "event" => "replica_halted", "reason" => reason);
+                error!(self.dependencies.logger, ""; "event" => "replica_halted", "reason" => reason);
             }
-            Output::Wake { at } => self.wake = at,
+            Output::Wake { at } => self.next_tick = at,
         }
     }
 
     fn send(&self, to: &HostId, message: &Message) {
         match postcard::to_allocvec(message) {
-            Ok(body) => self.parts.client.send(to, Channel::Consensus, body.into()),
-            Err(error) => error!(self.parts.logger, ""; "event" => "message_not_encoded",
+            Ok(body) => self
+                .dependencies
+                .client
+                .send(to, Channel::Consensus, body.into()),
+            Err(error) => error!(self.dependencies.logger, ""; "event" => "message_not_encoded",
                 "reason" => %error),
         }
     }
@@ -324,15 +332,15 @@
         match Command::decode(payload) {
             Ok(command) => {
                 let answer = self.state.apply(index.0, &command);
-                if self.parts.node.is_leader() {
+                if self.dependencies.node.is_leader() {
                     self.answers.insert(index, answer);
                 }
-                self.put_in_force();
+                self.publish_version();
             }
-            // A replica that skipped an entry of a later release would differ from the others.
+            // Skipping an entry of a later release would let the replicas diverge.
             Err(reason) => {
-                self.halted = true;
-                error!(self.parts.logger, ""; "event" => "replica_halted", "index" => %index,
+                self.is_halted = true;
+                error!(self.dependencies.logger, ""; "event" => "replica_halted", "index" => %index,
                     "reason" => %reason);
             }
         }
@@ -346,34 +354,34 @@
             match State::restore(data) {
                 Ok(state) => self.state = state,
                 Err(reason) => {
-                    self.halted = true;
-                    error!(self.parts.logger, ""; "event" => "replica_halted", "index" => %index,
+                    self.is_halted = true;
+                    error!(self.dependencies.logger, ""; "event" => "replica_halted", "index" => %index,
                         "reason" => %reason);
                 }
             }
         }
-        self.put_in_force();
+        self.publish_version();
     }
 
-    fn put_in_force(&mut self) {
-        if self.state.current() > self.told {
-            self.told = self.state.current();
-            self.parts.members.applied(&self.state.offer());
+    fn publish_version(&mut self) {
+        if self.state.current() > self.published {
+            self.published = self.state.current();
+            self.dependencies.members.publish(&self.state.offer());
         }
     }
 
-    /// Tells the spread where this replica is in touch with a majority and up to date.
-    fn tell_majority(&self) {
-        let status = self.parts.node.status();
-        let leads = status.role == RoleName::Leader;
-        let follows = status.role == RoleName::Follower && status.leader.is_some();
-        if (leads || follows) && status.applied == status.commit {
-            self.parts.members.majority();
+    /// Reports that this replica is in contact with a majority and up to date, if it is.
+    fn report_majority(&self) {
+        let status = self.dependencies.node.status();
+        let is_leader = status.role == RoleName::Leader;
+        let is_follower = status.role == RoleName::Follower && status.leader.is_some();
+        if (is_leader || is_follower) && status.applied == status.commit {
+            self.dependencies.members.record_majority();
         }
     }
 
-    fn proposed(&mut self, token: Token, outcome: ProposalOutcome) {
-        let Some(waiting) = self.waiting.swap_remove(&token) else {
+    fn handle_proposed(&mut self, token: Token, outcome: ProposalOutcome) {
+        let Some(waiters) = self.waiters.swap_remove(&token) else {
             return;
         };
         let answer = match outcome {
@@ -384,27 +392,27 @@
             ProposalOutcome::Busy => Err(Failure::Unavailable),
             ProposalOutcome::Unknown => Err(Failure::Unknown),
         };
-        tell(waiting, answer);
+        respond(waiters, answer);
     }
 
-    fn confirmed(&mut self, token: Token) {
+    fn handle_read_confirmed(&mut self, token: Token) {
         let Some((read, sender)) = self.reads.swap_remove(&token) else {
             return;
         };
         match read {
             Read::Apply(request) => match self.state.prepare(&request) {
                 Prepared::Answered(answer) => {
-                    let _ = sender.send(Ok(Answer::Apply(answer)));
+                    let _ = sender.send(Ok(Response::Apply(answer)));
                 }
-                Prepared::Propose(action) => self.propose(action, Waiting::Apply(sender)),
+                Prepared::Propose(action) => self.propose(action, Waiters::Apply(sender)),
             },
-            Read::Question(question) => {
-                let _ = sender.send(answered(&self.state, &question, Standing::Confirmed));
+            Read::Request(request) => {
+                let _ = sender.send(read_state(&self.state, &request, Standing::Confirmed));
             }
         }
     }
 
-    fn refused(&mut self, token: Token, leader: Option<ReplicaId>) {
+    fn handle_read_refused(&mut self, token: Token, leader: Option<ReplicaId>) {
         if let Some((_, sender)) = self.reads.swap_remove(&token) {
             let _ = sender.send(Err(not_current(leader)));
         }
--- a/crates/kumquatdrum_host/src/control/request.rs
+++ b/crates/kumquatdrum_host/src/control/request.rs
@@ -1,51 +1,51 @@
-//! What hosts ask the leading replica.
+//! Requests to the leading replica.
 
 use kumquatdrum_setup::claim::Held;
 use kumquatdrum_setup::control::Page;
 use kumquatdrum_setup::{
-    ApplyAnswer, Claim, ClaimAnswer, Failure, Request, Selector, SettleAnswer, Settlement, Shown,
+    ApplyAnswer, Claim, ClaimAnswer, Failure, Selector, SettleAnswer, Settlement, Shown,
 };
 use kumquatdrum_types::{IdempotencyKey, WorkspaceName};
 use serde::{Deserialize, Serialize};
 
-/// A question to a replica.
+/// A request to a replica.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Question {
+pub enum Request {
     /// Apply a declaration.
-    Apply(Request),
-    /// Read a declaration back.
+    Apply(kumquatdrum_setup::Request),
+    /// Read a declaration.
     Show(Selector),
-    /// A page of the audit trail.
+    /// Read a page of the audit trail.
     Audit {
-        /// The first entry.
+        /// The number of the first entry.
         from: u64,
-        /// The most entries.
+        /// The maximum number of entries.
         limit: u64,
     },
-    /// Claim keys.
+    /// Claim idempotency keys.
     Claim(Vec<Claim>),
     /// Settle claims.
     Settle(Vec<Settlement>),
-    /// What is known of a key.
+    /// Read the state of a key.
     Key(WorkspaceName, IdempotencyKey),
 }
 
-/// A replica's answer.
+/// The response to a [`Request`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Answer {
-    /// To an apply.
+pub enum Response {
+    /// The response to an apply.
     Apply(ApplyAnswer),
-    /// To a read.
+    /// The declaration read.
     Show(Shown),
-    /// To a question for the trail.
+    /// The page of the audit trail.
     Audit(Page),
-    /// To claims.
+    /// The responses to claims, in their order.
     Claim(Vec<ClaimAnswer>),
-    /// To settlements.
+    /// The responses to settlements, in their order.
     Settle(Vec<SettleAnswer>),
-    /// To a question for a key.
+    /// The state of the key, if one is known.
     Key(Option<Held>),
 }
 
-/// An answer, or why there is none.
-pub type Outcome = Result<Answer, Failure>;
+/// A response or the reason for its absence.
+pub type Outcome = Result<Response, Failure>;
--- a/crates/kumquatdrum_host/src/embedded.rs
+++ b/crates/kumquatdrum_host/src/embedded.rs
@@ -1,4 +1,4 @@
-//! Several hosts in one process on loopback, for the demo and for tests.
+//! Several hosts in one process on loopback, for the demo and tests.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,42 +9,43 @@
 use crate::host::{Host, StartError};
 use crate::settings::{Cluster, Drain, Limits, Listen, Operator, Settings};
 
-/// The key that embedded hosts expect of endpoints.
+/// The key with which endpoints announce themselves to embedded hosts.
 pub const ENDPOINT_KEY: &str = "embedded endpoint key";
 /// The key of the operator `embedded`.
 pub const OPERATOR_KEY: &str = "embedded operator key";
 
 const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// Nobody listens there; the real address is made known once the host has started.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+/// A placeholder for the address of a host that hasn't started.
+const UNKNOWN_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 
-/// One host to start.
+/// The specification of one host.
 #[derive(Debug, Clone)]
 pub struct Spec {
-    /// Its name.
+    /// The name of the host.
     pub host: HostId,
-    /// Where it stands.
+    /// The data centre of the host.
     pub data_centre: DataCentre,
-    /// Whether it keeps the replicated log.
-    pub replica: bool,
+    /// Whether the host has a replica of the log.
+    pub is_replica: bool,
 }
 
 impl Spec {
-    /// A host of a data centre.
-    pub fn new(host: impl AsRef<str>, data_centre: impl AsRef<str>, replica: bool) -> Self {
+    /// Specifies a host.
+    pub fn new(host: impl AsRef<str>, data_centre: impl AsRef<str>, is_replica: bool) -> Self {
         Self {
             host: HostId::new(host),
             data_centre: DataCentre::new(data_centre),
-            replica,
+            is_replica,
         }
     }
 }
 
-/// The settings of one host among several.
+/// Returns the settings of one host among several.
 pub fn settings(spec: &Spec, specs: &[Spec], folder: &Path) -> Settings {
     let others = specs.iter().filter(|other| other.host != spec.host);
-    let replicas = specs.iter().filter(|spec| spec.replica);
+    let replicas = specs.iter().filter(|spec| spec.is_replica);
     Settings {
         host: spec.host.clone(),
         data_centre: spec.data_centre.clone(),
@@ -63,11 +64,11 @@
             .map(|other| crate::settings::Host {
                 host: other.host.clone(),
                 data_centre: other.data_centre.clone(),
-                address: NOWHERE,
+                address: UNKNOWN_ADDRESS,
             })
             .collect(),
         replicas: replicas.map(|spec| spec.host.clone()).collect(),
-        data: spec.replica.then(|| folder.join(spec.host.as_str())),
+        data: spec.is_replica.then(|| folder.join(spec.host.as_str())),
         operators: vec![Operator {
             name: "embedded".to_owned(),
             sha256: digest::hex(OPERATOR_KEY.as_bytes()),
@@ -81,7 +82,7 @@
     }
 }
 
-/// Starts hosts and makes their addresses known to each other. `folder` takes the data folders.
+/// Starts hosts and connects them. Their data folders are created in `folder`.
 pub async fn start(
     specs: &[Spec],
     folder: &Path,
@@ -91,28 +92,28 @@
     for spec in specs {
         hosts.push(Host::start(settings(spec, specs, folder), logger).await?);
     }
-    introduce(&hosts);
+    connect(&hosts);
     Ok(hosts)
 }
 
-/// Makes the addresses of running hosts known to each other.
-pub fn introduce(hosts: &[Host]) {
+/// Sets the addresses of running hosts on each other.
+pub fn connect(hosts: &[Host]) {
     for host in hosts {
         for other in hosts {
-            host.introduce(other.name(), other.addresses.peers);
+            host.set_peer_address(other.name(), other.addresses.peers);
         }
     }
 }
 
-/// Applies a declaration over a version and waits until all hosts go by it.
+/// Applies a declaration to a base version and waits until it is in force on all hosts.
 pub async fn apply(hosts: &[Host], base: Version, text: &str) -> Result<ApplyAnswer, Failure> {
     let first = hosts.first().ok_or(Failure::Unavailable)?;
     let request = Request::new("embedded", base, text);
     let answer = first.control().apply(request).await?;
     if let ApplyAnswer::Accepted { version } = answer {
         for host in hosts {
-            let mut followed = host.in_force().follow();
-            let _ = followed.wait_for(|known| *known >= version).await;
+            let mut in_force = host.in_force().subscribe();
+            let _ = in_force.wait_for(|known| *known >= version).await;
         }
     }
     Ok(answer)
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -1,4 +1,4 @@
-//! The daemon as the callers' listener sees it.
+//! Admission of requests from the callers' listener.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
@@ -16,50 +16,54 @@
 use slog::warn;
 use tokio::sync::mpsc;
 
+use crate::context::Context;
 use crate::in_force::Current;
 use crate::key::Key;
-use crate::request::{Driver, Order};
-use crate::shell::Shell;
+use crate::request::{Driver, Job};
 
-/// Replies that wait for a slow caller.
-const REPLIES: usize = 256;
-/// Attempts of one request, the first included.
+/// The number of replies buffered for a slow caller.
+const REPLY_BUFFER: usize = 256;
+/// The maximum number of attempts per request, including the first.
 const MAX_ATTEMPTS: u32 = 3;
 /// How long the outcome of a keyed request is kept after its deadline.
-const RETAIN: Duration = Duration::from_secs(24 * 3_600);
+const KEY_RETENTION: Duration = Duration::from_secs(24 * 3_600);
 
-/// The frontend of one host.
+/// Admits the requests of one host.
 pub struct Frontend {
-    shell: Arc<Shell>,
+    context: Arc<Context>,
     connections: OnceLock<Connections>,
 }
 
 impl Frontend {
-    /// A frontend to the host.
-    pub const fn new(shell: Arc<Shell>) -> Self {
+    /// Creates a frontend of the host.
+    pub const fn new(context: Arc<Context>) -> Self {
         Self {
-            shell,
+            context,
             connections: OnceLock::new(),
         }
     }
 
-    /// The listener is open on this port.
-    pub fn opened(&self, port: u16) {
+    /// Sets the port of the callers' listener.
+    pub fn set_port(&self, port: u16) {
         let _ = self.connections.set(Connections::to(port));
     }
 
     fn current(&self, request: Option<&RequestId>) -> Result<Arc<Current>, Problem> {
         let refuse = || self.refuse(Refusal::NoDeclaration, request);
-        self.shell.in_force.current().ok_or_else(refuse)
+        self.context.in_force.current().ok_or_else(refuse)
     }
 
     fn refuse(&self, refusal: Refusal, request: Option<&RequestId>) -> Problem {
         let code = kumquatdrum_caller::admission::code(refusal);
-        self.shell.metrics.refused.with_label_values(&[&code]).inc();
+        self.context
+            .metrics
+            .refused
+            .with_label_values(&[&code])
+            .inc();
         Problem::refused(refusal, None, request.cloned())
     }
 
-    fn order(&self, caller: Caller, ask: Ask) -> Result<Order, Problem> {
+    fn admit(&self, caller: Caller, ask: Ask) -> Result<Job, Problem> {
         let current = self.current(Some(&caller.request))?;
         let index = &current.index;
         let refuse = |refusal| self.refuse(refusal, Some(&caller.request));
@@ -70,12 +74,13 @@
             .filter(|service| index.model_of(service).is_some() == ask.model)
             .ok_or_else(|| refuse(Refusal::UnknownService))?;
         let deadline = admission::resolve_deadline(service, ask.deadline);
-        let prompt_tokens = Self::prompt_tokens(index, service, &ask);
+        let prompt_tokens = Self::estimate_prompt_tokens(index, service, &ask);
         let model = index.model_of(service);
         if model.is_some_and(|model| prompt_tokens > model.max_prompt_tokens) {
             return Err(refuse(Refusal::PromptTooLong));
         }
-        let routing = self.routing(&caller, &ask, index, workspace, prompt_tokens, deadline)?;
+        let routing =
+            self.build_routing(&caller, &ask, index, workspace, prompt_tokens, deadline)?;
         let policy = Policy {
             deadline: routing.deadline,
             is_idempotent: admission::is_idempotent(
@@ -90,7 +95,7 @@
             max_attempts: MAX_ATTEMPTS,
         };
         let tokens = prompt_tokens + routing.expected_output_tokens;
-        let admitted = self.shell.quota.admit(&workspace.name, tokens);
+        let admitted = self.context.quota.admit(&workspace.name, tokens);
         let permit = admitted.map_err(|refused| {
             let mut problem = refuse(refused.reason);
             problem.retry_after_ms = Some(refused.retry_after.as_millis() as u64);
@@ -99,22 +104,22 @@
         let key = ask
             .key
             .as_ref()
-            .map(|key| self.key(&caller, &ask, key, service, deadline));
-        Ok(Order {
+            .map(|key| self.build_key(&caller, &ask, key, service, deadline));
+        Ok(Job {
             service: service.name.clone(),
             workspace: workspace.name.clone(),
             request: caller.request,
             routing,
             policy,
             key,
-            hold: caller.hold,
-            work: self.shell.drain.work(),
+            allocation: caller.hold,
+            work: self.context.drain.work(),
             permit,
             ask,
         })
     }
 
-    fn prompt_tokens(index: &Index, service: &Service, ask: &Ask) -> u64 {
+    fn estimate_prompt_tokens(index: &Index, service: &Service, ask: &Ask) -> u64 {
         let counted = ask.prompt_tokens.unwrap_or_default();
         match index.model_of(service) {
             _ if counted > 0 => counted,
@@ -125,7 +130,7 @@
         }
     }
 
-    fn routing(
+    fn build_routing(
         &self,
         caller: &Caller,
         ask: &Ask,
@@ -138,7 +143,7 @@
         let priority = match named.map(|name| index.priority(name)) {
             None => routing::Priority::default(),
             Some(Some(priority)) => routing::Priority {
-                // The router serves higher levels first, the file's lower ones go first.
+                // Higher levels go first in the router, lower ones in the declaration.
                 level: u8::MAX - priority.level,
                 aging: Duration::from_millis(priority.aging_ms),
             },
@@ -155,8 +160,8 @@
             priority,
             prompt_tokens,
             expected_output_tokens: ask.max_tokens.unwrap_or(admission::DEFAULT_OUTPUT_TOKENS),
-            prefix: prefix(ask),
-            deadline: self.shell.clock.now() + deadline,
+            prefix: hash_prefix(ask),
+            deadline: self.context.clock.now() + deadline,
             excluded: Vec::new(),
             work: if ask.model {
                 routing::Work::Model
@@ -166,7 +171,7 @@
         })
     }
 
-    fn key(
+    fn build_key(
         &self,
         caller: &Caller,
         ask: &Ask,
@@ -184,10 +189,10 @@
             workspace: caller.workspace.clone(),
             key: IdempotencyKey::new(key),
             fingerprint: Digest::of_parts(&parts),
-            host: self.shell.settings.host.clone(),
+            host: self.context.settings.host.clone(),
             attempt: AttemptId::new(caller.request.as_str()),
             deadline_ms: deadline.as_millis() as u64,
-            retain_ms: RETAIN.as_millis() as u64,
+            retain_ms: KEY_RETENTION.as_millis() as u64,
         };
         Key {
             claim,
@@ -199,29 +204,29 @@
 
 impl Admission for Frontend {
     fn open(&self, bearer: Option<&str>) -> Result<Caller, Problem> {
-        let request = self.shell.name();
+        let request = self.context.next_request_id();
         let current = self.current(Some(&request))?;
         let workspace = bearer.and_then(|key| current.index.workspace_by_key(key));
         let Some(workspace) = workspace else {
-            warn!(self.shell.logger, ""; "event" => "caller_refused", "request" => %request,
+            warn!(self.context.logger, ""; "event" => "caller_refused", "request" => %request,
                 "has_key" => bearer.is_some());
             return Err(self.refuse(Refusal::Unauthorized, Some(&request)));
         };
         Ok(Caller {
-            hold: self.shell.bodies.allocate(&workspace.name),
+            hold: self.context.bodies.allocate(&workspace.name),
             workspace: workspace.name.clone(),
-            body_limit: self.shell.settings.limits.body_bytes,
+            body_limit: self.context.settings.limits.body_bytes,
             workspace_limit: workspace.limits.body_bytes,
             request,
         })
     }
 
     fn enter(&self, caller: Caller, ask: Ask) -> Result<Exchange, Problem> {
-        let order = self.order(caller, ask)?;
-        let request = order.request.clone();
-        let (sender, replies) = mpsc::channel(REPLIES);
-        let driver = Driver::new(Arc::clone(&self.shell), order, sender);
-        self.shell.requests.spawn(driver.run());
+        let job = self.admit(caller, ask)?;
+        let request = job.request.clone();
+        let (sender, replies) = mpsc::channel(REPLY_BUFFER);
+        let driver = Driver::new(Arc::clone(&self.context), job, sender);
+        self.context.requests.spawn(driver.run());
         Ok(Exchange { request, replies })
     }
 
@@ -233,7 +238,7 @@
     ) -> Answer<'a, Problem> {
         Box::pin(async move {
             let key = IdempotencyKey::new(key);
-            crate::key::checked(&self.shell, workspace, &key, problem).await
+            crate::key::reconcile_problem(&self.context, workspace, &key, problem).await
         })
     }
 
@@ -250,7 +255,7 @@
         Box::pin(async move {
             let caller = self.open(bearer)?;
             let key = IdempotencyKey::new(key);
-            let found = self.shell.control.key(&caller.workspace, &key).await;
+            let found = self.context.control.key(&caller.workspace, &key).await;
             let held =
                 found.map_err(|_| self.refuse(Refusal::ClaimUnavailable, Some(&caller.request)))?;
             Ok(KeyState {
@@ -264,7 +269,7 @@
     }
 }
 
-fn prefix(ask: &Ask) -> Vec<routing::BlockHash> {
+fn hash_prefix(ask: &Ask) -> Vec<routing::BlockHash> {
     let blocks = kumquatdrum_daemon::prefix::hash_blocks(&ask.body[ask.prompt.clone()]);
     blocks.into_iter().map(routing::BlockHash).collect()
 }
--- a/crates/kumquatdrum_host/src/gauges.rs
+++ b/crates/kumquatdrum_host/src/gauges.rs
@@ -1,4 +1,4 @@
-//! Copies counts that other parts keep into the metrics.
+//! Copies counters of the peer client and the body budget into the metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,23 +6,27 @@
 use kumquatdrum_peer::{Channel, Counters};
 use tokio::sync::watch;
 
-use crate::shell::Shell;
+use crate::context::Context;
 
-const ROUND: Duration = Duration::from_secs(1);
+const COPY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Copies until `stopped` resolves.
-pub async fn run(shell: Arc<Shell>, counters: Arc<Counters>, mut stopped: watch::Receiver<bool>) {
+pub async fn run(
+    context: Arc<Context>,
+    counters: Arc<Counters>,
+    mut stopped: watch::Receiver<bool>,
+) {
     loop {
         tokio::select! {
-            () = tokio::time::sleep(ROUND) => copy(&shell, &counters),
+            () = tokio::time::sleep(COPY_INTERVAL) => copy(&context, &counters),
             _ = stopped.wait_for(|stopped| *stopped) => return,
         }
     }
 }
 
-fn copy(shell: &Shell, counters: &Counters) {
-    let metrics = &shell.metrics;
-    metrics.body_bytes.set(shell.bodies.used() as i64);
+fn copy(context: &Context, counters: &Counters) {
+    let metrics = &context.metrics;
+    metrics.body_bytes.set(context.bodies.used() as i64);
     for channel in Channel::ALL {
         let traffic = counters.read(channel);
         let set = |direction: &str, bytes: u64| {
--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping one host.
+//! Startup and shutdown of one host.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use kumquatdrum_daemon::body::Budget;
 use kumquatdrum_disk::{Report, Store as _, Writer};
 use kumquatdrum_membership::Member;
-use kumquatdrum_operator::{Context, Operators};
+use kumquatdrum_operator::Operators;
 use kumquatdrum_peer::{Client, Counters, Local};
 use kumquatdrum_process::{Metrics, face};
 use kumquatdrum_setup::Control;
@@ -22,7 +22,8 @@
 
 use crate::announce;
 use crate::caches;
-use crate::control::{Event, Handle, Link, Machine, Parts};
+use crate::context::Context;
+use crate::control::{self, Event, Handle, Proxy, Replica};
 use crate::frontend::Frontend;
 use crate::gauges;
 use crate::in_force::Store;
@@ -32,116 +33,115 @@
 use crate::peers::Inbox;
 use crate::quota::{self, Quota};
 use crate::settings::Settings;
-use crate::shell::Shell;
-use crate::web::{self, Web};
+use crate::web::{self, Server};
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_process::random;
 
-mod base;
+mod components;
 
-use base::Base;
+use components::Components;
 
-/// How long cancels may take to be confirmed at the end of a shutdown.
-const LAST_CANCELS: Duration = Duration::from_secs(2);
-/// How long a resigned replica stays to tell its successor.
-const HANDOVER: Duration = Duration::from_millis(300);
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// How long a shutdown waits for unconfirmed cancels.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a replica keeps running after it resigns, to transfer leadership.
+const RESIGNATION_TIME: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a host did not start.
+/// The reason why a host did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// A listener could not be opened.
     #[error(transparent)]
-    Listen(#[from] web::Failed),
+    Listen(#[from] web::Error),
     /// The listener for other daemons could not be opened.
     #[error("the peers listener can't be opened on {address}: {reason}")]
     Peers {
-        /// Where.
+        /// The address of the listener.
         address: SocketAddr,
-        /// Why.
+        /// The reason.
         reason: std::io::Error,
     },
     /// The data folder can't be used.
     #[error("the data folder can't be used: {0}")]
     Disk(String),
-    /// A client for endpoints could not be made.
-    #[error("no HTTP client: {0}")]
+    /// An HTTP client for endpoints could not be created.
+    #[error("the HTTP client can't be created: {0}")]
     Http(String),
-    /// The metrics clash.
+    /// The metrics could not be registered.
     #[error("the metrics can't be registered: {0}")]
     Metrics(String),
-    /// The operators in the settings are wrong.
+    /// The operators in the settings are invalid.
     #[error("the settings have findings: {0:?}")]
     Settings(Vec<kumquatdrum_types::Finding>),
 }
 
-/// Where a host listens, once it does.
+/// The addresses of a host's listeners.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// For callers.
+    /// The listener for callers.
     pub callers: SocketAddr,
-    /// For endpoints.
+    /// The listener for endpoints.
     pub endpoints: SocketAddr,
-    /// For operators.
+    /// The listener for operators.
     pub operators: SocketAddr,
-    /// For other daemons.
+    /// The listener for other daemons.
     pub peers: SocketAddr,
-    /// For the platform.
+    /// The listener for the platform.
     pub platform: SocketAddr,
 }
 
 /// A running host.
 pub struct Host {
-    /// Where it listens.
+    /// The addresses of the listeners.
     pub addresses: Addresses,
-    shell: Arc<Shell>,
+    context: Arc<Context>,
     client: Arc<Client>,
     replica: Option<Handle>,
     counters: Arc<Counters>,
     stopped: watch::Sender<bool>,
     tasks: JoinSet<()>,
-    callers: Option<Web>,
-    others: Vec<Web>,
+    caller_server: Option<Server>,
+    other_servers: Vec<Server>,
 }
 
 impl Host {
-    /// Starts a host and waits until it listens everywhere.
+    /// Starts a host and waits until all listeners are open.
     pub async fn start(settings: Settings, logger: &slog::Logger) -> Result<Self, StartError> {
-        let base = Base::new(&settings, logger)?;
-        let parts = base.members_parts();
-        let Base {
+        let components = Components::new(&settings, logger)?;
+        let dependencies = components.members_dependencies();
+        let Components {
             clock,
             boot,
             metrics,
             drain,
             in_force,
-            fleet,
+            routers,
             engine,
             plain,
             canceller,
-            gangs,
+            reservations,
             local,
             client,
             logger,
-        } = base;
+        } = components;
         let (stopped, stop) = watch::channel(false);
         let mut tasks = JoinSet::new();
-        tasks.spawn(fleet.clone().run(stop.clone()));
+        tasks.spawn(routers.clone().run(stop.clone()));
         tasks.spawn(canceller.clone().run(stop.clone()));
-        tasks.spawn(gangs.clone().run(stop.clone()));
+        tasks.spawn(reservations.clone().run(stop.clone()));
 
-        let peers = listen(settings.listen.peers).await?;
+        let peers = bind_peers(settings.listen.peers).await?;
         let peers_address = peers.local_addr().unwrap_or(settings.listen.peers);
-        let members = Arc::new(members(&settings, boot, peers_address, parts));
+        let members = Arc::new(build_members(&settings, boot, peers_address, dependencies));
         tasks.spawn(members.clone().run(stop.clone()));
         let replica = match start_replica(&settings, clock, &members, &metrics, &client, &logger)? {
-            Some((handle, machine, received)) => {
-                tasks.spawn(machine.run(received, stop.clone()));
+            Some((handle, replica, received)) => {
+                tasks.spawn(replica.run(received, stop.clone()));
                 Some(handle)
             }
             None => None,
         };
-        let link: Arc<dyn Control> = Arc::new(Link::new(
+        let proxy: Arc<dyn Control> = Arc::new(Proxy::new(
             settings.host.clone(),
             settings.replicas.clone(),
             replica.clone(),
@@ -149,7 +149,9 @@
             in_force.clone(),
             members.clone(),
         ));
-        let quota = Arc::new(quota(&settings, boot, clock, &client, &in_force, &members));
+        let quota = Arc::new(build_quota(
+            &settings, boot, clock, &client, &in_force, &members,
+        ));
         tasks.spawn(quota.clone().run(stop.clone()));
         let inbox = Arc::new(Inbox {
             replica: replica.clone(),
@@ -160,141 +162,141 @@
         let counters = local.counters.clone();
         tasks.spawn(serve_peers(peers, inbox, local, stop.clone()));
 
-        let shell = Arc::new(Shell {
+        let context = Arc::new(Context {
             boot,
             clock,
             metrics,
             drain,
             in_force,
-            fleet,
+            routers,
             engine,
             plain,
             canceller,
-            gangs,
-            control: link,
+            reservations,
+            control: proxy,
             quota,
             members: members.clone(),
             bodies: Budget::new(settings.limits.held_body_bytes),
             requests: TaskTracker::new(),
-            names: AtomicU64::new(0),
+            request_count: AtomicU64::new(0),
             logger,
             settings,
         });
-        tasks.spawn(gauges::run(shell.clone(), counters.clone(), stop.clone()));
-        spawn_rounds(&mut tasks, &shell, &members, replica.clone(), &stop);
-        let (callers, others) = open(&shell, &members).await?;
+        tasks.spawn(gauges::run(context.clone(), counters.clone(), stop.clone()));
+        spawn_engine_tasks(&mut tasks, &context, &members, replica.clone(), &stop);
+        let (caller_server, other_servers) = open_listeners(&context, &members).await?;
         let addresses = Addresses {
-            callers: callers.address,
-            endpoints: others[0].address,
-            operators: others[1].address,
-            platform: others[2].address,
+            callers: caller_server.address,
+            endpoints: other_servers[0].address,
+            operators: other_servers[1].address,
+            platform: other_servers[2].address,
             peers: peers_address,
         };
-        info!(shell.logger, ""; "event" => "started", "callers" => %addresses.callers,
+        info!(context.logger, ""; "event" => "started", "callers" => %addresses.callers,
             "endpoints" => %addresses.endpoints, "operators" => %addresses.operators,
             "peers" => %addresses.peers, "platform" => %addresses.platform);
         Ok(Self {
             addresses,
-            shell,
+            context,
             client,
             replica,
             counters,
             stopped,
             tasks,
-            callers: Some(callers),
-            others,
+            caller_server: Some(caller_server),
+            other_servers,
         })
     }
 
-    /// The host's name.
+    /// Returns the host's name.
     pub fn name(&self) -> &HostId {
-        &self.shell.settings.host
+        &self.context.settings.host
     }
 
-    /// Makes another host's address known.
-    pub fn introduce(&self, host: &HostId, address: SocketAddr) {
+    /// Sets the address of another host.
+    pub fn set_peer_address(&self, host: &HostId, address: SocketAddr) {
         if host != self.name() {
             self.client.set_address(host, address);
         }
     }
 
-    /// The control plane as this host reaches it.
+    /// Returns the control plane as seen from this host.
     pub fn control(&self) -> &Arc<dyn Control> {
-        &self.shell.control
+        &self.context.control
     }
 
-    /// The declaration in force on this host.
+    /// Returns the declaration in force on this host.
     pub fn in_force(&self) -> &Arc<Store> {
-        &self.shell.in_force
+        &self.context.in_force
     }
 
-    /// What passed between this host and others, by channel.
+    /// Returns the message and byte counters of the peer channels.
     pub fn traffic(&self) -> &Counters {
         &self.counters
     }
 
-    /// Ends the host as a crash would: nothing is drained, handed over or told.
+    /// Stops the host as a crash would, without drain or transfer of leadership.
     pub async fn kill(mut self) {
         self.stopped.send_replace(true);
         self.tasks.abort_all();
         while self.tasks.join_next().await.is_some() {}
-        for web in self
-            .callers
+        for server in self
+            .caller_server
             .take()
             .into_iter()
-            .chain(std::mem::take(&mut self.others))
+            .chain(std::mem::take(&mut self.other_servers))
         {
-            web.kill().await;
+            server.kill().await;
         }
         self.client.shutdown().await;
     }
 
-    /// Bytes of request bodies that this host holds.
+    /// Returns the bytes of request bodies that this host holds.
     pub fn body_bytes(&self) -> u64 {
-        self.shell.bodies.used()
+        self.context.bodies.used()
     }
 
-    /// What this host has counted.
+    /// Returns the host's metrics.
     pub fn metrics(&self) -> &Arc<Metrics> {
-        &self.shell.metrics
+        &self.context.metrics
     }
 
-    /// Stops without cutting off a request: the health turns red, new requests are served for a
-    /// while, those under way run to their ends, then everything that was spawned is joined.
+    /// Stops gracefully: readiness turns false, new requests are served for a while, requests in
+    /// flight run to their end, then all tasks are joined.
     pub async fn stop(mut self) {
-        let drain = &self.shell.settings.drain;
-        info!(self.shell.logger, ""; "event" => "draining", "under_way" => self.shell.drain.under_way());
-        self.shell.drain.begin();
+        let drain = &self.context.settings.drain;
+        info!(self.context.logger, ""; "event" => "draining", "under_way" => self.context.drain.under_way());
+        self.context.drain.begin();
         tokio::time::sleep(Duration::from_millis(drain.notice_ms)).await;
-        let longest = Duration::from_millis(drain.longest_ms);
-        let _ = tokio::time::timeout(longest, self.shell.drain.idle()).await;
-        if let Some(callers) = self.callers.take() {
-            callers.stop().await;
+        let drain_timeout = Duration::from_millis(drain.longest_ms);
+        let _ = tokio::time::timeout(drain_timeout, self.context.drain.idle()).await;
+        if let Some(server) = self.caller_server.take() {
+            server.stop().await;
         }
-        let _ = tokio::time::timeout(LAST_CANCELS, self.cancels_confirmed()).await;
-        self.shell.requests.close();
-        self.shell.requests.wait().await;
-        for web in std::mem::take(&mut self.others) {
-            web.stop().await;
+        let _ = tokio::time::timeout(CANCEL_TIMEOUT, self.wait_for_cancels()).await;
+        self.context.requests.close();
+        self.context.requests.wait().await;
+        for server in std::mem::take(&mut self.other_servers) {
+            server.stop().await;
         }
         if let Some(replica) = &self.replica {
             replica.resign();
-            tokio::time::sleep(HANDOVER).await;
+            tokio::time::sleep(RESIGNATION_TIME).await;
         }
         self.stopped.send_replace(true);
         while self.tasks.join_next().await.is_some() {}
         self.client.shutdown().await;
-        info!(self.shell.logger, ""; "event" => "stopped");
+        info!(self.context.logger, ""; "event" => "stopped");
     }
 
-    async fn cancels_confirmed(&self) {
-        while !(self.shell.canceller.is_idle() && self.shell.gangs.is_idle()) {
-            tokio::time::sleep(LOOK_AGAIN).await;
+    async fn wait_for_cancels(&self) {
+        while !(self.context.canceller.is_idle() && self.context.reservations.is_idle()) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-fn quota(
+fn build_quota(
     settings: &Settings,
     boot: BootId,
     clock: Clock,
@@ -302,11 +304,11 @@
     in_force: &Arc<Store>,
     members: &Arc<Members>,
 ) -> Quota {
-    Quota::new(quota::Parts {
+    Quota::new(quota::Dependencies {
         host: settings.host.clone(),
         boot,
         hosts: settings.hosts.len() + 1,
-        longest_request: Duration::from_millis(settings.drain.longest_ms),
+        max_request_time: Duration::from_millis(settings.drain.longest_ms),
         clock,
         client: client.clone(),
         in_force: in_force.clone(),
@@ -314,31 +316,31 @@
     })
 }
 
-/// Spawns what watches and mends engines in rounds.
-fn spawn_rounds(
+/// Spawns the tasks that poll and reconcile engines.
+fn spawn_engine_tasks(
     tasks: &mut JoinSet<()>,
-    shell: &Arc<Shell>,
+    context: &Arc<Context>,
     members: &Arc<Members>,
     replica: Option<Handle>,
     stop: &watch::Receiver<bool>,
 ) {
-    let (shell, members) = (shell.clone(), members.clone());
-    tasks.spawn(caches::run(shell.clone(), stop.clone()));
-    tasks.spawn(orphans::run(shell.clone(), members.clone(), stop.clone()));
-    tasks.spawn(orders::run(shell, members, replica, stop.clone()));
+    let (context, members) = (context.clone(), members.clone());
+    tasks.spawn(caches::run(context.clone(), stop.clone()));
+    tasks.spawn(orphans::run(context.clone(), members.clone(), stop.clone()));
+    tasks.spawn(orders::run(context, members, replica, stop.clone()));
 }
 
-async fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
+async fn bind_peers(address: SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(address)
         .await
         .map_err(|reason| StartError::Peers { address, reason })
 }
 
-fn members(
+fn build_members(
     settings: &Settings,
     boot: BootId,
     address: SocketAddr,
-    parts: members::Parts,
+    dependencies: members::Dependencies,
 ) -> Members {
     let local = Member {
         host: settings.host.clone(),
@@ -352,29 +354,42 @@
         address: host.address,
         boot: BootId(0),
     });
-    Members::new(local, others.collect(), settings.replicas.clone(), parts)
+    Members::new(
+        local,
+        others.collect(),
+        settings.replicas.clone(),
+        dependencies,
+    )
 }
 
-async fn open(shell: &Arc<Shell>, members: &Arc<Members>) -> Result<(Web, Vec<Web>), StartError> {
-    let listen = &shell.settings.listen;
-    let operators: Vec<_> = shell.settings.operators.iter().map(operator).collect();
-    let context = Context {
-        control: shell.control.clone(),
+async fn open_listeners(
+    context: &Arc<Context>,
+    members: &Arc<Members>,
+) -> Result<(Server, Vec<Server>), StartError> {
+    let listen = &context.settings.listen;
+    let operators: Vec<_> = context
+        .settings
+        .operators
+        .iter()
+        .map(convert_operator)
+        .collect();
+    let operator_context = kumquatdrum_operator::Context {
+        control: context.control.clone(),
         operators: Operators::new("/operators", &operators).map_err(StartError::Settings)?,
-        logger: shell.logger.clone(),
+        logger: context.logger.clone(),
     };
     let endpoints = web::build(listen.endpoints)
-        .manage(shell.clone())
+        .manage(context.clone())
         .manage(members.clone())
-        .mount("/", announce::all());
+        .mount("/", announce::routes());
     let operators = web::build(listen.operators)
-        .manage(context)
+        .manage(operator_context)
         .mount("/", kumquatdrum_operator::routes());
     let platform = web::build(listen.platform)
-        .manage(shell.drain.clone())
-        .manage(shell.metrics.clone())
+        .manage(context.drain.clone())
+        .manage(context.metrics.clone())
         .mount("/", face::all());
-    let frontend = Arc::new(Frontend::new(shell.clone()));
+    let frontend = Arc::new(Frontend::new(context.clone()));
     let callers =
         web::build(listen.callers).mount("/", kumquatdrum_caller::routes::all(frontend.clone()));
     let others = vec![
@@ -383,11 +398,11 @@
         web::launch("platform", listen.platform, platform).await?,
     ];
     let callers = web::launch("callers", listen.callers, callers).await?;
-    frontend.opened(callers.address.port());
+    frontend.set_port(callers.address.port());
     Ok((callers, others))
 }
 
-fn operator(operator: &crate::settings::Operator) -> kumquatdrum_operator::Operator {
+fn convert_operator(operator: &crate::settings::Operator) -> kumquatdrum_operator::Operator {
     kumquatdrum_operator::Operator {
         name: operator.name.clone(),
         sha256: operator.sha256.clone(),
@@ -409,9 +424,9 @@
     }
 }
 
-type Replica = (Handle, Machine, mpsc::UnboundedReceiver<Event>);
+type Task = (Handle, Replica, mpsc::UnboundedReceiver<Event>);
 
-/// The replica of a host with a data folder.
+/// Restores the replica of a host with a data folder.
 fn start_replica(
     settings: &Settings,
     clock: Clock,
@@ -419,7 +434,7 @@
     metrics: &Arc<Metrics>,
     client: &Arc<Client>,
     logger: &slog::Logger,
-) -> Result<Option<Replica>, StartError> {
+) -> Result<Option<Task>, StartError> {
     let Some(folder) = &settings.data else {
         return Ok(None);
     };
@@ -436,7 +451,7 @@
     node.initial.clone_from(&settings.replicas);
     let (handle, events, received) = Handle::new();
     let report: Report = Box::new(move |written| events.send(Event::from(written)).is_ok());
-    let parts = Parts {
+    let dependencies = control::Dependencies {
         node: Node::new(node, stored, clock.now(), random::number()),
         writer: Writer::start(Box::new(store), report).map_err(|error| disk(&error))?,
         client: client.clone(),
@@ -445,5 +460,5 @@
         logger: logger.clone(),
         metrics: metrics.clone(),
     };
-    Ok(Some((handle, Machine::new(parts), received)))
+    Ok(Some((handle, Replica::new(dependencies), received)))
 }
--- a/crates/kumquatdrum_host/src/host/components.rs
+++ b/crates/kumquatdrum_host/src/host/components.rs
@@ -1,4 +1,4 @@
-//! The parts of a host that need no running task.
+//! Construction of the components that need no running task.
 
 use std::sync::Arc;
 
@@ -9,31 +9,31 @@
 
 use super::StartError;
 use crate::canceller::Canceller;
-use crate::fleet::Fleet;
-use crate::gangs::Gangs;
 use crate::in_force::Store;
 use crate::members;
+use crate::reservations::Reservations;
+use crate::routers::Routers;
 use crate::settings::Settings;
 use kumquatdrum_process::clock::{Clock, unix_ms};
 
-/// The parts that need no running task.
-pub(super) struct Base {
+/// The components that need no running task.
+pub(super) struct Components {
     pub(super) clock: Clock,
     pub(super) boot: BootId,
     pub(super) metrics: Arc<Metrics>,
     pub(super) drain: Arc<Drain>,
     pub(super) in_force: Arc<Store>,
-    pub(super) fleet: Arc<Fleet>,
+    pub(super) routers: Arc<Routers>,
     pub(super) engine: Arc<kumquatdrum_engine::Client>,
     pub(super) plain: Arc<kumquatdrum_service::Client>,
     pub(super) canceller: Arc<Canceller>,
-    pub(super) gangs: Arc<Gangs>,
+    pub(super) reservations: Arc<Reservations>,
     pub(super) local: Local,
     pub(super) client: Arc<Client>,
     pub(super) logger: slog::Logger,
 }
 
-impl Base {
+impl Components {
     pub(super) fn new(settings: &Settings, logger: &slog::Logger) -> Result<Self, StartError> {
         let http = |error: reqwest::Error| StartError::Http(error.to_string());
         let logger = logger.new(o!("host" => settings.host.to_string()));
@@ -42,19 +42,23 @@
         let metrics = Metrics::new().map_err(|error| StartError::Metrics(error.to_string()))?;
         let metrics = Arc::new(metrics);
         let engine = Arc::new(kumquatdrum_engine::Client::new().map_err(http)?);
-        let fleet = Fleet::new(clock, settings.host.clone(), owners(settings), boot.0);
-        let local = local(settings, boot, &logger);
+        let routers = Routers::new(clock, settings.host.clone(), list_owners(settings), boot.0);
+        let local = build_local(settings, boot, &logger);
         let client = Arc::new(Client::new(local.clone()));
         for host in &settings.hosts {
             client.set_address(&host.host, host.address);
         }
         Ok(Self {
             canceller: Arc::new(Canceller::new(clock, engine.clone(), metrics.clone())),
-            gangs: Arc::new(Gangs::new(settings.host.clone(), clock, engine.clone())),
+            reservations: Arc::new(Reservations::new(
+                settings.host.clone(),
+                clock,
+                engine.clone(),
+            )),
             plain: Arc::new(kumquatdrum_service::Client::new().map_err(http)?),
             drain: Arc::default(),
             in_force: Arc::default(),
-            fleet: Arc::new(fleet),
+            routers: Arc::new(routers),
             clock,
             boot,
             metrics,
@@ -65,13 +69,13 @@
         })
     }
 
-    pub(super) fn members_parts(&self) -> members::Parts {
-        members::Parts {
+    pub(super) fn members_dependencies(&self) -> members::Dependencies {
+        members::Dependencies {
             clock: self.clock,
             client: self.client.clone(),
-            fleet: self.fleet.clone(),
+            routers: self.routers.clone(),
             canceller: self.canceller.clone(),
-            gangs: self.gangs.clone(),
+            reservations: self.reservations.clone(),
             in_force: self.in_force.clone(),
             drain: self.drain.clone(),
             metrics: self.metrics.clone(),
@@ -80,14 +84,15 @@
     }
 }
 
-fn owners(settings: &Settings) -> Vec<String> {
-    let same = |host: &&crate::settings::Host| host.data_centre == settings.data_centre;
-    let others = settings.hosts.iter().filter(same);
+/// Returns the hosts of the data centre, which share its endpoints.
+fn list_owners(settings: &Settings) -> Vec<String> {
+    let is_local = |host: &&crate::settings::Host| host.data_centre == settings.data_centre;
+    let others = settings.hosts.iter().filter(is_local);
     let others = others.map(|host| host.host.to_string());
     others.chain([settings.host.to_string()]).collect()
 }
 
-fn local(settings: &Settings, boot: BootId, logger: &slog::Logger) -> Local {
+fn build_local(settings: &Settings, boot: BootId, logger: &slog::Logger) -> Local {
     Local {
         cluster: settings.cluster.name.clone(),
         secret: Secret::new(&settings.cluster.secret),
--- a/crates/kumquatdrum_host/src/in_force.rs
+++ b/crates/kumquatdrum_host/src/in_force.rs
@@ -1,4 +1,4 @@
-//! The declaration that this host goes by.
+//! The declaration in force on this host.
 
 use std::sync::Arc;
 
@@ -8,16 +8,16 @@
 use parking_lot::RwLock;
 use tokio::sync::watch;
 
-/// One version, ready for look-ups.
+/// A version of the declaration with its index.
 #[derive(Debug)]
 pub struct Current {
-    /// What was accepted.
+    /// The accepted text and its version.
     pub offer: Offer,
-    /// Look-ups into it.
+    /// The index of the declaration.
     pub index: Index,
 }
 
-/// The version in force on this host. It only ever rises.
+/// Holds the version in force on this host, which never decreases.
 #[derive(Debug)]
 pub struct Store {
     current: RwLock<Option<Arc<Current>>>,
@@ -34,41 +34,41 @@
 }
 
 impl Store {
-    /// The version in force, once one is known.
+    /// Returns the version in force, once one is known.
     pub fn current(&self) -> Option<Arc<Current>> {
         self.current.read().clone()
     }
 
-    /// Takes a version if it is higher than the one in force; tells whether it was.
+    /// Puts a version in force if it is higher than the current one. Returns whether it was.
     pub fn offer(&self, offer: Offer) -> bool {
         let known = self.current().map(|current| current.offer.version);
         if known.is_some_and(|known| known >= offer.version) {
             return false;
         }
-        let declaration = read(&offer.text);
+        let declaration = parse(&offer.text);
         let next = Arc::new(Current {
             index: Index::new(Arc::new(declaration)),
             offer,
         });
         let mut current = self.current.write();
-        let newer = current
+        let is_newer = current
             .as_ref()
             .is_none_or(|current| current.offer.version < next.offer.version);
-        if newer {
+        if is_newer {
             let version = next.offer.version;
             *current = Some(next);
             self.changed.send_replace(version);
         }
-        newer
+        is_newer
     }
 
-    /// Follows the version in force.
-    pub fn follow(&self) -> watch::Receiver<Version> {
+    /// Subscribes to the version in force.
+    pub fn subscribe(&self) -> watch::Receiver<Version> {
         self.changed.subscribe()
     }
 }
 
-/// An accepted text has no findings; the empty text of version 0 declares nothing.
-fn read(text: &str) -> Declaration {
+/// Parses an accepted text, which has no findings. The empty text of version 0 declares nothing.
+fn parse(text: &str) -> Declaration {
     kumquatdrum_declaration::parse(text).unwrap_or_default()
 }
--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys: claimed in the replicated log before the dispatch, settled after the end.
+//! Idempotency keys: claimed in the replicated log before dispatch and settled after the end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,123 +14,131 @@
 };
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::shell::Shell;
+use crate::context::Context;
 
-/// The wait before a claim or settlement whose outcome is unknown is sent again, at first.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
-/// How long a settlement may hold up the last word.
-const SETTLE_BEFORE_ANSWER: Duration = Duration::from_millis(500);
-/// How long a settlement is tried in all.
-const SETTLE_FOR: Duration = Duration::from_secs(24 * 3_600);
-/// Attempts of one request that an engine may know.
-const ATTEMPTS: u32 = 4;
+/// The initial backoff of a claim or settlement whose outcome is unknown.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// How long a settlement can delay the last reply to the caller.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a claim or settlement is retried.
+const RETRY_PERIOD: Duration = Duration::from_secs(24 * 3_600);
+/// The maximum number of attempts per request that are searched at engines.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// One request's key with what its claim needs.
+/// The idempotency key of one request with its claim.
 #[derive(Debug, Clone)]
 pub struct Key {
-    /// The claim as it goes into the log; its attempt is the request's name.
+    /// The claim for the log; its attempt is the name of the request.
     pub claim: Claim,
-    /// The service, to look for the attempt of an earlier request.
+    /// The service, used to find the attempt of an earlier request.
     pub service: ServiceName,
-    /// Whether engines can be asked about attempts.
+    /// Whether the service's endpoints support probes.
     pub is_resumable: bool,
 }
 
-/// What a claim came to.
+/// The outcome of a claim.
 #[derive(Debug)]
-pub enum Claimed {
-    /// The request may be dispatched.
+pub enum Outcome {
+    /// The key is claimed, so the request can be dispatched.
     Granted,
-    /// It is certain that the claim doesn't stand.
+    /// The claim failed or is being released.
     Refused(Refusal, Option<Duration>),
-    /// An earlier request with the key runs or has run there.
+    /// An earlier request with the same key has this attempt at this endpoint.
     Follow(Target, AttemptId),
-    /// The caller is to be told this.
-    Told(Problem),
+    /// The request ends with this problem.
+    Problem(Problem),
 }
 
 impl Key {
-    /// Claims the key. Where the log gives no answer nothing is dispatched, and the caller is told
-    /// so at once; a claim that may stand all the same is freed on the side.
-    pub async fn claim(self, shell: &Arc<Shell>, deadline: Moment) -> Claimed {
-        let left = deadline - shell.clock.now();
+    /// Claims the key. If the outcome in the log is unknown, the request is refused and the claim is
+    /// released in the background.
+    pub async fn claim(self, context: &Arc<Context>, deadline: Moment) -> Outcome {
+        let time_left = deadline - context.clock.now();
         let claims = vec![self.claim.clone()];
-        match timeout(left, shell.control.claim(claims)).await {
-            Ok(Ok(answers)) => self.answered(shell, answers.into_iter().next()).await,
+        match timeout(time_left, context.control.claim(claims)).await {
+            Ok(Ok(answers)) => {
+                self.handle_answer(context, answers.into_iter().next())
+                    .await
+            }
             Ok(Err(Failure::Unavailable | Failure::NotCurrent { .. })) => {
-                Claimed::Refused(Refusal::ClaimUnavailable, None)
+                Outcome::Refused(Refusal::ClaimUnavailable, None)
             }
             Ok(Err(_)) | Err(_) => {
-                self.free(shell);
-                Claimed::Refused(Refusal::ClaimUnavailable, None)
+                self.release(context);
+                Outcome::Refused(Refusal::ClaimUnavailable, None)
             }
         }
     }
 
-    async fn answered(&self, shell: &Arc<Shell>, answer: Option<ClaimAnswer>) -> Claimed {
+    async fn handle_answer(&self, context: &Arc<Context>, answer: Option<ClaimAnswer>) -> Outcome {
         match answer {
-            Some(ClaimAnswer::Granted) => Claimed::Granted,
-            Some(ClaimAnswer::Held(held)) => self.held(shell, held).await,
-            Some(ClaimAnswer::Mismatch) => Claimed::Told(told(
+            Some(ClaimAnswer::Granted) => Outcome::Granted,
+            Some(ClaimAnswer::Held(held)) => self.handle_held(context, held).await,
+            Some(ClaimAnswer::Mismatch) => Outcome::Problem(problem(
                 "key_mismatch",
                 422,
                 Class::NotRun,
                 "the idempotency key belongs to another request",
             )),
-            Some(ClaimAnswer::Full) | None => Claimed::Refused(Refusal::ClaimUnavailable, None),
+            Some(ClaimAnswer::Full) | None => Outcome::Refused(Refusal::ClaimUnavailable, None),
         }
     }
 
-    /// The key's earlier request is looked for at the engines.
-    async fn held(&self, shell: &Arc<Shell>, held: Held) -> Claimed {
+    /// Follows the earlier request's attempt if an engine still holds it.
+    async fn handle_held(&self, context: &Arc<Context>, held: Held) -> Outcome {
         let followed = match held.settled {
-            Settled::NotRun => return Claimed::Refused(Refusal::ClaimUnavailable, None),
+            Settled::NotRun => return Outcome::Refused(Refusal::ClaimUnavailable, None),
             _ if !self.is_resumable => None,
-            _ => self.seek(shell, &held.attempt).await,
+            _ => self.find_attempt(context, &held.attempt).await,
         };
         match followed {
-            Some((target, attempt)) => Claimed::Follow(target, attempt),
-            None => Claimed::Told(standing(self.taken_over(shell, &held))),
+            Some((target, attempt)) => Outcome::Follow(target, attempt),
+            None => Outcome::Problem(key_problem(self.settle_if_orphaned(context, &held))),
         }
     }
 
-    /// Where a claim's host is dead and no engine knows the attempt, nobody will ever learn more.
-    fn taken_over(&self, shell: &Arc<Shell>, held: &Held) -> Settled {
-        let is_orphan = !shell.members.live_hosts().contains(&held.host);
+    /// Settles a running claim as unknown if its host is dead: no engine holds the attempt, so its
+    /// outcome can't be determined.
+    fn settle_if_orphaned(&self, context: &Arc<Context>, held: &Held) -> Settled {
+        let is_orphan = !context.members.live_hosts().contains(&held.host);
         if held.settled != Settled::Running || !is_orphan {
             return held.settled;
         }
         let mut orphan = self.clone();
         orphan.claim.attempt = held.attempt.clone();
-        let shared = Arc::clone(shell);
-        shell.requests.spawn(async move {
-            orphan.keep_settling(&shared, Settled::Unknown).await;
+        let shared = Arc::clone(context);
+        context.requests.spawn(async move {
+            orphan.settle_with_retries(&shared, Settled::Unknown).await;
         });
         Settled::Unknown
     }
 
-    async fn seek(&self, shell: &Shell, request: &AttemptId) -> Option<(Target, AttemptId)> {
-        let targets = shell.fleet.targets(&self.service);
+    async fn find_attempt(
+        &self,
+        context: &Context,
+        request: &AttemptId,
+    ) -> Option<(Target, AttemptId)> {
+        let targets = context.routers.targets(&self.service);
         let pairs = targets.iter().flat_map(|target| {
-            (0..ATTEMPTS).map(move |number| {
+            (0..MAX_ATTEMPTS).map(move |number| {
                 let attempt = AttemptId::new(format!("{request}.k{number}"));
                 (target.clone(), attempt)
             })
         });
-        let asked = pairs.map(|(target, attempt)| async move {
-            let standing = shell.engine.probe(&target, &attempt).await.ok()?;
-            let lives = matches!(
+        let probes = pairs.map(|(target, attempt)| async move {
+            let standing = context.engine.probe(&target, &attempt).await.ok()?;
+            let is_held = matches!(
                 standing.state,
                 State::Waiting | State::Running | State::Finished
             );
-            lives.then_some((target, attempt))
+            is_held.then_some((target, attempt))
         });
-        join_all(asked).await.into_iter().flatten().next()
+        join_all(probes).await.into_iter().flatten().next()
     }
 
-    /// Tells the log how the request ended, before the caller is told where that is quick.
-    pub async fn settle(self, shell: &Arc<Shell>, ending: &Ending) {
+    /// Settles the key in the log. Waits for a short time, then continues in the background.
+    pub async fn settle(self, context: &Arc<Context>, ending: &Ending) {
         let settled = match ending {
             Ending::Finished => Settled::Finished,
             Ending::NotRun {
@@ -140,86 +148,91 @@
             Ending::NotRun { .. } => Settled::NotRun,
             Ending::Failed(_) | Ending::Unknown(_) | Ending::CallerGone => Settled::Unknown,
         };
-        let job = shell.requests.spawn({
-            let shell = Arc::clone(shell);
-            async move { self.keep_settling(&shell, settled).await }
+        let job = context.requests.spawn({
+            let context = Arc::clone(context);
+            async move { self.settle_with_retries(&context, settled).await }
         });
-        let _ = timeout(SETTLE_BEFORE_ANSWER, job).await;
+        let _ = timeout(SETTLE_TIMEOUT, job).await;
     }
 
-    async fn keep_settling(self, shell: &Shell, settled: Settled) {
+    async fn settle_with_retries(self, context: &Context, settled: Settled) {
         let settlement = Settlement {
             workspace: self.claim.workspace.clone(),
             key: self.claim.key.clone(),
             attempt: self.claim.attempt.clone(),
-            by: shell.settings.host.clone(),
+            by: context.settings.host.clone(),
             settled,
         };
-        let mut patience = Patience::new();
-        while patience.lasts(shell).await {
-            if shell.control.settle(vec![settlement.clone()]).await.is_ok() {
+        let mut backoff = Backoff::new();
+        while backoff.wait(context).await {
+            if context
+                .control
+                .settle(vec![settlement.clone()])
+                .await
+                .is_ok()
+            {
                 return;
             }
         }
-        slog::warn!(shell.logger, ""; "event" => "settlement_lost",
+        slog::warn!(context.logger, ""; "event" => "settlement_lost",
             "request" => %self.claim.attempt);
     }
 
-    /// The claim may stand in the log although nothing was or will be dispatched under it: it is
-    /// made certain, then settled as not run.
-    pub fn free(self, shell: &Arc<Shell>) {
-        let shared = Arc::clone(shell);
-        shell.requests.spawn(async move {
-            let mut patience = Patience::new();
-            while patience.lasts(&shared).await {
+    /// Releases a claim that may be in the log although nothing was dispatched: repeats the claim
+    /// until it is confirmed, then settles it as not run.
+    pub fn release(self, context: &Arc<Context>) {
+        let shared = Arc::clone(context);
+        context.requests.spawn(async move {
+            let mut backoff = Backoff::new();
+            while backoff.wait(&shared).await {
                 if shared.control.claim(vec![self.claim.clone()]).await.is_ok() {
-                    return self.keep_settling(&shared, Settled::NotRun).await;
+                    return self.settle_with_retries(&shared, Settled::NotRun).await;
                 }
             }
         });
     }
 }
 
-/// How long something is told to the log again and again: through a long partition, and for a few
-/// seconds of a shutdown.
-struct Patience {
+/// Backoff of claims and settlements: retries through a long partition, but only a few times during
+/// a shutdown.
+struct Backoff {
     until: Instant,
-    wait: Duration,
-    tries_of_shutdown: u32,
+    delay: Duration,
+    shutdown_retries: u32,
 }
 
-impl Patience {
+impl Backoff {
     fn new() -> Self {
         Self {
-            until: Instant::now() + SETTLE_FOR,
-            wait: Duration::ZERO,
-            tries_of_shutdown: 3,
+            until: Instant::now() + RETRY_PERIOD,
+            delay: Duration::ZERO,
+            shutdown_retries: 3,
         }
     }
 
-    /// Waits until the next try is due; `false` where there should be none.
-    async fn lasts(&mut self, shell: &Shell) -> bool {
-        if shell.drain.is_draining() {
-            self.wait = self.wait.min(FIRST_WAIT);
-            self.tries_of_shutdown = self.tries_of_shutdown.saturating_sub(1);
+    /// Waits until the next retry is due. Returns `false` if retries are exhausted.
+    async fn wait(&mut self, context: &Context) -> bool {
+        if context.drain.is_draining() {
+            self.delay = self.delay.min(INITIAL_BACKOFF);
+            self.shutdown_retries = self.shutdown_retries.saturating_sub(1);
         }
-        sleep(self.wait).await;
-        self.wait = (self.wait * 2).clamp(FIRST_WAIT, LONGEST_WAIT);
-        Instant::now() < self.until && self.tries_of_shutdown > 0
+        sleep(self.delay).await;
+        self.delay = (self.delay * 2).clamp(INITIAL_BACKOFF, MAX_BACKOFF);
+        Instant::now() < self.until && self.shutdown_retries > 0
     }
 }
 
-/// What a caller is told of a key whose request can't be followed.
-fn standing(settled: Settled) -> Problem {
+/// Returns the problem for a key whose earlier request can't be followed.
+fn key_problem(settled: Settled) -> Problem {
     match settled {
-        Settled::Finished => told(
+        Settled::Finished => problem(
             "key_finished",
             409,
             Class::Failed,
             "the key's request ran to its end; its answer is no longer held",
         ),
         Settled::Running => {
-            let mut problem = told(
+            let mut problem = problem(
                 "key_running",
                 409,
                 Class::Unknown,
@@ -228,7 +241,7 @@
             problem.retry_after_ms = Some(1_000);
             problem
         }
-        Settled::NotRun | Settled::Unknown => told(
+        Settled::NotRun | Settled::Unknown => problem(
             "key_unknown",
             409,
             Class::Unknown,
@@ -237,10 +250,9 @@
     }
 }
 
-/// What the caller of a keyed request may be told where this sending of it was not run: an
-/// earlier sending may have been.
-pub async fn checked(
-    shell: &Shell,
+/// Replaces a "not run" problem if an earlier request with the same key may have run.
+pub async fn reconcile_problem(
+    context: &Context,
     workspace: &WorkspaceName,
     key: &IdempotencyKey,
     problem: Problem,
@@ -249,15 +261,15 @@
     if problem.class != Class::NotRun || problem.code == unclaimed {
         return problem;
     }
-    match shell.control.key(workspace, key).await {
+    match context.control.key(workspace, key).await {
         Ok(None) => problem,
         Ok(Some(held)) if held.settled == Settled::NotRun => problem,
-        Ok(Some(held)) => standing(held.settled),
+        Ok(Some(held)) => key_problem(held.settled),
         Err(_) => Problem::refused(Refusal::ClaimUnavailable, None, problem.request),
     }
 }
 
-fn told(code: &str, status: u16, class: Class, message: &str) -> Problem {
+fn problem(code: &str, status: u16, class: Class, message: &str) -> Problem {
     Problem {
         code: code.to_owned(),
         class,
--- a/crates/kumquatdrum_host/src/lib.rs
+++ b/crates/kumquatdrum_host/src/lib.rs
@@ -1,13 +1,12 @@
-//! The shell of one host: sockets, timers, disk and threads around the daemon's core.
+//! The daemon of one host: listeners, timers, storage and tasks around the core crates.
 
 pub mod announce;
 pub mod caches;
 pub mod canceller;
+pub mod context;
 pub mod control;
 pub mod embedded;
-pub mod fleet;
 pub mod frontend;
-pub mod gangs;
 pub mod gauges;
 pub mod host;
 pub mod in_force;
@@ -19,8 +18,9 @@
 pub mod problem;
 pub mod quota;
 pub mod request;
+pub mod reservations;
+pub mod routers;
 pub mod settings;
-pub mod shell;
 pub mod web;
 
 pub use host::{Host, StartError};
--- a/crates/kumquatdrum_host/src/members.rs
+++ b/crates/kumquatdrum_host/src/members.rs
@@ -1,4 +1,4 @@
-//! Hosts, endpoints and the spread of the setup in force: the cores and what they tell the rest.
+//! Runs the membership and setup distribution cores and applies their outputs to the host.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use kumquatdrum_peer::{Channel, Client, Identity};
 use kumquatdrum_process::{Drain, Metrics};
 use kumquatdrum_routing::Health;
-use kumquatdrum_setup::control::Condition as Shown;
+use kumquatdrum_setup::control;
 use kumquatdrum_setup::in_force::Offer;
 use kumquatdrum_setup::{Digest, in_force};
 use kumquatdrum_types::{
@@ -23,77 +23,83 @@
 use tokio::sync::{Notify, oneshot, watch};
 
 use crate::canceller::Canceller;
-use crate::fleet::Fleet;
-use crate::gangs::Gangs;
 use crate::in_force::Store;
+use crate::reservations::Reservations;
+use crate::routers::Routers;
 use kumquatdrum_process::clock::{Clock, unix_ms};
 
 mod report;
 
-use report::shown;
+use report::endpoint_condition;
 
-/// How long a leaving notice may take to spread before the endpoint is told to try again.
-const NOTICE_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long an announcement can take to be acknowledged before the endpoint must repeat it.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(4);
 
-type Notice = (EndpointId, BootId, u64);
+type AnnouncementId = (EndpointId, BootId, u64);
 
-/// What the cores need of the rest of the host.
-pub struct Parts {
+/// The dependencies of the members.
+pub struct Dependencies {
     /// The daemon's clock.
     pub clock: Clock,
-    /// The way to the other hosts.
+    /// The client for other hosts.
     pub client: Arc<Client>,
-    /// The routers.
-    pub fleet: Arc<Fleet>,
-    /// Cancels under way.
+    /// The routers of all services.
+    pub routers: Arc<Routers>,
+    /// The cancels that await confirmation.
     pub canceller: Arc<Canceller>,
-    /// Memory reserved at several engines.
-    pub gangs: Arc<Gangs>,
+    /// The reservations that span several engines.
+    pub reservations: Arc<Reservations>,
     /// The declaration in force.
     pub in_force: Arc<Store>,
     /// The state of the shutdown.
     pub drain: Arc<Drain>,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
-    /// Where events go.
+    /// The logger of events.
     pub logger: slog::Logger,
 }
 
 struct Cores {
     membership: Membership,
     spread: Spread,
-    waiting: IndexMap<Notice, oneshot::Sender<bool>>,
+    unacknowledged: IndexMap<AnnouncementId, oneshot::Sender<bool>>,
     services: IndexMap<EndpointId, (ServiceName, BootId)>,
-    ready: bool,
+    is_ready: bool,
 }
 
-/// What this host knows of the others.
+/// The hosts and endpoints known to this host.
 pub struct Members {
     local: Member,
-    parts: Parts,
+    dependencies: Dependencies,
     cores: Mutex<Cores>,
-    /// Orphaned work that a live host of the data centre should end.
+    /// Owners of attempts that may have to be cancelled.
     orphans: Mutex<VecDeque<Orphan>>,
-    orphaned: Notify,
+    orphan_added: Notify,
 }
 
-/// Something whose owner may be gone.
+/// A source of orphaned attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Orphan {
-    /// A host of the data centre died; what it asked of engines is to be ended.
+    /// A host of the data centre died, and its attempts at engines are orphaned.
     Host(HostId),
-    /// An engine appeared; what an earlier life of this host asked of it is to be ended.
+    /// An engine joined that may hold attempts of an earlier boot of this host.
     Engine(EndpointId),
 }
 
+/// An input for one of the cores.
 enum Step {
-    Members(Input),
+    Membership(Input),
     Spread(spread::Input),
 }
 
 impl Members {
-    /// A host that knows the others by its settings.
-    pub fn new(local: Member, others: Vec<Member>, replicas: Vec<HostId>, parts: Parts) -> Self {
+    /// Creates the members with the other hosts of the settings.
+    pub fn new(
+        local: Member,
+        others: Vec<Member>,
+        replicas: Vec<HostId>,
+        dependencies: Dependencies,
+    ) -> Self {
         let config = spread::Config {
             host: local.host.clone(),
             data_centre: local.data_centre.clone(),
@@ -102,65 +108,70 @@
         };
         let mut spread = Spread::new(config);
         let mut out = Vec::new();
-        let now = parts.clock.now();
+        let now = dependencies.clock.now();
         for member in &others {
-            spread.step(now, known(member, true), &mut out);
+            spread.step(now, host_input(member, true), &mut out);
         }
         spread.step(now, spread::Input::Control(replicas), &mut out);
         let cores = Cores {
             membership: Membership::new(local.clone(), others),
             spread,
-            waiting: IndexMap::new(),
+            unacknowledged: IndexMap::new(),
             services: IndexMap::new(),
-            ready: false,
+            is_ready: false,
         };
         Self {
             local,
-            parts,
+            dependencies,
             cores: Mutex::new(cores),
             orphans: Mutex::default(),
-            orphaned: Notify::new(),
+            orphan_added: Notify::new(),
         }
     }
 
-    /// This host's data centre.
+    /// Returns this host's data centre.
     pub const fn data_centre(&self) -> &DataCentre {
         &self.local.data_centre
     }
 
-    /// Keeps the cores' time until `stopped` resolves.
+    /// Ticks the cores until `stopped` resolves.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
         let mut slots = tokio::time::interval(timing::SLOT);
         slots.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = slots.tick() => {
-                    self.step([Step::Members(Input::Tick), Step::Spread(spread::Input::Tick)]);
+                    self.step([Step::Membership(Input::Tick), Step::Spread(spread::Input::Tick)]);
                 }
                 _ = stopped.wait_for(|stopped| *stopped) => return,
             }
         }
     }
 
-    /// Takes in an announcement; a leaving notice is taken once enough hosts hold it.
+    /// Handles an announcement and returns whether it was accepted. A leaving notice is accepted once
+    /// enough hosts hold it.
     pub async fn announce(&self, announcement: Announcement) -> bool {
-        let notice = (
+        let id = (
             announcement.endpoint.clone(),
             announcement.boot,
             announcement.sequence,
         );
-        let (sender, taken) = oneshot::channel();
-        self.cores.lock().waiting.insert(notice.clone(), sender);
-        self.step([Step::Members(Input::Announce(announcement))]);
-        let taken = tokio::time::timeout(NOTICE_TIMEOUT, taken).await;
-        self.cores.lock().waiting.swap_remove(&notice);
-        matches!(taken, Ok(Ok(true)))
+        let (sender, accepted) = oneshot::channel();
+        self.cores.lock().unacknowledged.insert(id.clone(), sender);
+        self.step([Step::Membership(Input::Announce(announcement))]);
+        let accepted = tokio::time::timeout(ANNOUNCEMENT_TIMEOUT, accepted).await;
+        self.cores.lock().unacknowledged.swap_remove(&id);
+        matches!(accepted, Ok(Ok(true)))
     }
 
-    /// Takes in a message about hosts and endpoints.
-    pub fn members_message(&self, from: &Identity, body: &[u8]) -> Result<(), postcard::Error> {
+    /// Handles a membership message of another host.
+    pub fn handle_membership_message(
+        &self,
+        from: &Identity,
+        body: &[u8],
+    ) -> Result<(), postcard::Error> {
         let message = postcard::from_bytes(body)?;
-        self.step([Step::Members(Input::Peer {
+        self.step([Step::Membership(Input::Peer {
             from: from.host.clone(),
             boot: from.boot,
             message,
@@ -168,8 +179,12 @@
         Ok(())
     }
 
-    /// Takes in a message about the setup in force.
-    pub fn setup_message(&self, from: &Identity, body: &[u8]) -> Result<(), postcard::Error> {
+    /// Handles a setup distribution message of another host.
+    pub fn handle_setup_message(
+        &self,
+        from: &Identity,
+        body: &[u8],
+    ) -> Result<(), postcard::Error> {
         let message = postcard::from_bytes(body)?;
         self.step([Step::Spread(spread::Input::Peer {
             from: from.host.clone(),
@@ -179,41 +194,41 @@
         Ok(())
     }
 
-    /// This host's replica has applied a version.
-    pub fn applied(&self, offer: &Offer) {
+    /// Distributes a version that this host's replica has applied.
+    pub fn publish(&self, offer: &Offer) {
         let setup = Setup::new(offer.version, Bytes::copy_from_slice(offer.text.as_bytes()));
         self.step([Step::Spread(spread::Input::Offer(setup))]);
     }
 
-    /// This host's replica is in touch with a majority and up to date.
-    pub fn majority(&self) {
+    /// Records that this host's replica is in contact with a majority and up to date.
+    pub fn record_majority(&self) {
         self.step([Step::Spread(spread::Input::Majority)]);
     }
 
-    /// A dispatch failed in a way that speaks against the endpoint.
-    pub fn failed(&self, endpoint: &EndpointId) {
+    /// Reports a failed dispatch that makes the endpoint suspect.
+    pub fn report_failure(&self, endpoint: &EndpointId) {
         let endpoint = endpoint.clone();
-        self.step([Step::Members(Input::Failed { endpoint })]);
+        self.step([Step::Membership(Input::Failed { endpoint })]);
     }
 
     fn step(&self, steps: impl IntoIterator<Item = Step>) {
-        let now = self.parts.clock.now();
+        let now = self.dependencies.clock.now();
         let mut cores = self.cores.lock();
         let mut steps: VecDeque<Step> = steps.into_iter().collect();
         while let Some(step) = steps.pop_front() {
             match step {
-                Step::Members(input) => {
+                Step::Membership(input) => {
                     let mut out = Vec::new();
                     cores.membership.step(now, input, &mut out);
                     for output in out {
-                        steps.extend(self.members_output(&mut cores, output));
+                        steps.extend(self.execute_membership(&mut cores, output));
                     }
                 }
                 Step::Spread(input) => {
                     let mut out = Vec::new();
                     cores.spread.step(now, input, &mut out);
                     for output in out {
-                        steps.extend(self.spread_output(&mut cores, output));
+                        steps.extend(self.execute_spread(&mut cores, output));
                     }
                 }
             }
@@ -222,24 +237,29 @@
 
     fn send(&self, to: &HostId, channel: Channel, message: &impl Serialize) {
         match postcard::to_allocvec(message) {
-            Ok(body) => self.parts.client.send(to, channel, Bytes::from(body)),
-            Err(reason) => error!(self.parts.logger, ""; "event" => "message_not_encoded",
+            Ok(body) => self
+                .dependencies
+                .client
+                .send(to, channel, Bytes::from(body)),
+            Err(reason) => error!(self.dependencies.logger, ""; "event" => "message_not_encoded",
                 "reason" => %reason),
         }
     }
 
-    fn members_output(&self, cores: &mut Cores, output: Output) -> Option<Step> {
+    fn execute_membership(&self, cores: &mut Cores, output: Output) -> Option<Step> {
         match output {
             Output::Send { to, message } => self.send(&to, Channel::Membership, &message),
-            Output::Endpoint { id, change } => self.endpoint(cores, &id, change),
-            Output::Host { id, condition } => return self.host(cores, &id, condition),
+            Output::Endpoint { id, change } => self.update_endpoint(cores, &id, change),
+            Output::Host { id, condition } => return self.update_host(cores, &id, condition),
             Output::DataCentre { id, reach } => {
-                warn!(self.parts.logger, ""; "event" => "data_centre_reach",
+                warn!(self.dependencies.logger, ""; "event" => "data_centre_reach",
                     "data_centre" => %id, "reach" => ?reach);
             }
             Output::Member(member) => {
-                self.parts.client.set_address(&member.host, member.address);
-                return Some(Step::Spread(known(&member, true)));
+                self.dependencies
+                    .client
+                    .set_address(&member.host, member.address);
+                return Some(Step::Spread(host_input(&member, true)));
             }
             Output::Setup { from, boot, status } => {
                 return Some(Step::Spread(spread::Input::Status { from, boot, status }));
@@ -248,30 +268,30 @@
                 endpoint,
                 boot,
                 sequence,
-            } => tell(cores, (endpoint, boot, sequence), true),
+            } => acknowledge(cores, (endpoint, boot, sequence), true),
             Output::RefuseAnnounce {
                 endpoint,
                 boot,
                 sequence,
                 reason,
             } => {
-                warn!(self.parts.logger, ""; "event" => "announcement_refused",
+                warn!(self.dependencies.logger, ""; "event" => "announcement_refused",
                     "endpoint" => %endpoint, "boot" => %boot, "reason" => ?reason);
-                tell(cores, (endpoint, boot, sequence), false);
+                acknowledge(cores, (endpoint, boot, sequence), false);
             }
             Output::Summary(_) => {}
         }
         None
     }
 
-    fn endpoint(&self, cores: &mut Cores, id: &EndpointId, change: Change) {
+    fn update_endpoint(&self, cores: &mut Cores, id: &EndpointId, change: Change) {
         let health = match change {
             Change::Refreshed(announcement) => {
-                self.parts.fleet.announce(&announcement);
+                self.dependencies.routers.announce(&announcement);
                 return;
             }
             Change::Joined(announcement) => {
-                self.joined(cores, id, &announcement);
+                self.add_endpoint(cores, id, &announcement);
                 return;
             }
             Change::Suspect => Health::Suspect,
@@ -279,106 +299,115 @@
             Change::Leaving => Health::Leaving,
             Change::Gone => Health::Gone,
         };
-        info!(self.parts.logger, ""; "event" => "endpoint_changed", "endpoint" => %id,
+        info!(self.dependencies.logger, ""; "event" => "endpoint_changed", "endpoint" => %id,
             "health" => ?health);
         let Some((service, boot)) = cores.services.get(id).cloned() else {
             return;
         };
-        self.parts.fleet.health(&service, id, health);
+        self.dependencies.routers.health(&service, id, health);
         if health == Health::Gone {
-            self.parts.canceller.engine_gone(id, boot);
-            self.parts.gangs.gone(id);
+            self.dependencies.canceller.remove_engine(id, boot);
+            self.dependencies.reservations.remove_engine(id);
             cores.services.swap_remove(id);
         }
         self.count_endpoints(cores);
     }
 
-    fn joined(&self, cores: &mut Cores, id: &EndpointId, announcement: &Announcement) {
-        info!(self.parts.logger, ""; "event" => "endpoint_joined", "endpoint" => %id,
+    fn add_endpoint(&self, cores: &mut Cores, id: &EndpointId, announcement: &Announcement) {
+        info!(self.dependencies.logger, ""; "event" => "endpoint_joined", "endpoint" => %id,
             "service" => %announcement.service, "boot" => %announcement.boot,
             "address" => %announcement.address);
         let entry = (announcement.service.clone(), announcement.boot);
         let previous = cores.services.insert(id.clone(), entry);
         if let Some((service, boot)) = previous.filter(|(_, boot)| *boot < announcement.boot) {
-            self.parts.fleet.health(&service, id, Health::Gone);
-            self.parts.canceller.engine_gone(id, boot);
-            self.parts.gangs.gone(id);
+            self.dependencies.routers.health(&service, id, Health::Gone);
+            self.dependencies.canceller.remove_engine(id, boot);
+            self.dependencies.reservations.remove_engine(id);
         }
-        self.parts.fleet.announce(announcement);
+        self.dependencies.routers.announce(announcement);
         if announcement.leaving {
             let service = &announcement.service;
-            self.parts.fleet.health(service, id, Health::Leaving);
+            self.dependencies
+                .routers
+                .health(service, id, Health::Leaving);
         }
-        self.orphan(Orphan::Engine(id.clone()));
+        self.push_orphan(Orphan::Engine(id.clone()));
         self.count_endpoints(cores);
     }
 
     fn count_endpoints(&self, cores: &Cores) {
-        let count = |condition: Shown| {
+        let count = |condition: control::Condition| {
             let records = cores.membership.endpoints();
-            records.filter(|record| shown(record) == condition).count() as i64
+            records
+                .filter(|record| endpoint_condition(record) == condition)
+                .count() as i64
         };
-        let gauge = &self.parts.metrics.endpoints;
-        gauge.with_label_values(&["alive"]).set(count(Shown::Alive));
+        let gauge = &self.dependencies.metrics.endpoints;
+        gauge
+            .with_label_values(&["alive"])
+            .set(count(control::Condition::Alive));
         gauge
             .with_label_values(&["suspect"])
-            .set(count(Shown::Suspect));
+            .set(count(control::Condition::Suspect));
         gauge
             .with_label_values(&["leaving"])
-            .set(count(Shown::Leaving));
+            .set(count(control::Condition::Leaving));
     }
 
-    fn host(&self, cores: &Cores, id: &HostId, condition: Condition) -> Option<Step> {
-        info!(self.parts.logger, ""; "event" => "host_changed", "other" => %id,
+    fn update_host(&self, cores: &Cores, id: &HostId, condition: Condition) -> Option<Step> {
+        info!(self.dependencies.logger, ""; "event" => "host_changed", "other" => %id,
             "condition" => ?condition);
         let views: Vec<_> = cores.membership.hosts().collect();
-        let near = |view: &&kumquatdrum_membership::View<'_>| {
+        let is_local = |view: &&kumquatdrum_membership::View<'_>| {
             view.member.data_centre == self.local.data_centre
         };
         let alive = views
             .iter()
-            .filter(near)
+            .filter(is_local)
             .filter(|view| view.condition != Condition::Dead);
         let owners = alive.map(|view| view.member.host.to_string());
-        self.parts
-            .fleet
+        self.dependencies
+            .routers
             .set_owners(owners.chain([self.local.host.to_string()]).collect());
         let view = views.iter().find(|view| view.member.host == *id)?;
         if condition == Condition::Dead && view.member.data_centre == self.local.data_centre {
-            self.orphan(Orphan::Host(id.clone()));
+            self.push_orphan(Orphan::Host(id.clone()));
         }
         let is_alive = condition == Condition::Alive;
-        Some(Step::Spread(known(view.member, is_alive)))
+        Some(Step::Spread(host_input(view.member, is_alive)))
     }
 
-    fn spread_output(&self, cores: &mut Cores, output: spread::Output) -> Option<Step> {
+    fn execute_spread(&self, cores: &mut Cores, output: spread::Output) -> Option<Step> {
         match output {
             spread::Output::Send { to, message } => self.send(&to, Channel::Setup, &message),
-            spread::Output::InForce(setup) => self.in_force(setup),
+            spread::Output::InForce(setup) => self.put_in_force(setup),
             spread::Output::Ready { is_confirmed } => {
-                info!(self.parts.logger, ""; "event" => "ready", "is_confirmed" => is_confirmed);
-                cores.ready = true;
+                info!(self.dependencies.logger, ""; "event" => "ready", "is_confirmed" => is_confirmed);
+                cores.is_ready = true;
             }
-            spread::Output::Status(status) => return Some(Step::Members(Input::Setup(status))),
+            spread::Output::Status(status) => return Some(Step::Membership(Input::Setup(status))),
             spread::Output::Holds { .. } => {}
             spread::Output::CutOff { since } => {
-                self.parts.metrics.cut_off.set(i64::from(since.is_some()));
-                warn!(self.parts.logger, ""; "event" => "cut_off", "is_cut_off" => since.is_some());
+                self.dependencies
+                    .metrics
+                    .cut_off
+                    .set(i64::from(since.is_some()));
+                warn!(self.dependencies.logger, ""; "event" => "cut_off", "is_cut_off" => since.is_some());
             }
             spread::Output::Conflict { version, from } => {
-                error!(self.parts.logger, ""; "event" => "version_conflict",
+                error!(self.dependencies.logger, ""; "event" => "version_conflict",
                     "version" => %version, "from" => %from);
             }
         }
-        let ready = cores.ready && cores.spread.version() > Version(0);
-        self.parts.drain.set_ready(ready);
+        let is_ready = cores.is_ready && cores.spread.version() > Version(0);
+        self.dependencies.drain.set_ready(is_ready);
         None
     }
 
-    fn in_force(&self, setup: Setup) {
+    fn put_in_force(&self, setup: Setup) {
         let version = setup.version;
         let Ok(text) = std::str::from_utf8(&setup.text) else {
-            error!(self.parts.logger, ""; "event" => "version_not_text", "version" => %version);
+            error!(self.dependencies.logger, ""; "event" => "version_not_text", "version" => %version);
             return;
         };
         let offer = in_force::Offer {
@@ -387,15 +416,15 @@
             accepted_unix_ms: 0,
             text: Arc::from(text),
         };
-        if self.parts.in_force.offer(offer) {
-            self.parts.metrics.version.set(version.0 as i64);
-            info!(self.parts.logger, ""; "event" => "in_force", "version" => %version);
+        if self.dependencies.in_force.offer(offer) {
+            self.dependencies.metrics.version.set(version.0 as i64);
+            info!(self.dependencies.logger, ""; "event" => "in_force", "version" => %version);
         }
     }
 
-    fn orphan(&self, orphan: Orphan) {
+    fn push_orphan(&self, orphan: Orphan) {
         self.orphans.lock().push_back(orphan);
-        self.orphaned.notify_one();
+        self.orphan_added.notify_one();
     }
 
     /// Waits for the next orphan.
@@ -404,17 +433,17 @@
             if let Some(orphan) = self.orphans.lock().pop_front() {
                 return orphan;
             }
-            self.orphaned.notified().await;
+            self.orphan_added.notified().await;
         }
     }
 
-    /// Whether this host is the one to end what a dead host of its data centre left behind: the
-    /// first one alive, by name.
-    pub fn is_heir(&self) -> bool {
+    /// Whether this host cancels the orphaned attempts of dead hosts of its data centre: it is the
+    /// first live host by name.
+    pub fn is_reaper(&self) -> bool {
         self.cores.lock().membership.is_relay()
     }
 
-    /// The hosts that are not known to be dead, this one included.
+    /// Returns the hosts that aren't known to be dead, including this one.
     pub fn live_hosts(&self) -> Vec<HostId> {
         let cores = self.cores.lock();
         let others = cores.membership.hosts();
@@ -423,25 +452,27 @@
         live.chain([self.local.host.clone()]).collect()
     }
 
-    /// Whether no majority of the replicas has been heard for long.
+    /// Whether this host has lost contact with the majority of the replicas.
     pub fn is_cut_off(&self) -> bool {
         self.cores.lock().spread.cut_off_since().is_some()
     }
 
-    /// When a majority of the replicas was last heard of; now, unless this host is cut off.
-    pub fn majority_heard_unix_ms(&self) -> Option<u64> {
+    /// Returns the time of the last contact with a majority; now, unless this host is cut off.
+    pub fn last_majority_unix_ms(&self) -> Option<u64> {
         let since = self.cores.lock().spread.cut_off_since();
-        let ago = since.map_or(Duration::ZERO, |since| self.parts.clock.now() - since);
+        let ago = since.map_or(Duration::ZERO, |since| {
+            self.dependencies.clock.now() - since
+        });
         Some(unix_ms().saturating_sub(ago.as_millis() as u64))
     }
 
-    /// Data centres of which no host can be reached.
-    pub fn cut_off(&self) -> Vec<DataCentre> {
+    /// Returns the data centres without a reachable host.
+    pub fn unreachable_data_centres(&self) -> Vec<DataCentre> {
         self.cores.lock().membership.cut_off().cloned().collect()
     }
 }
 
-fn known(member: &Member, is_alive: bool) -> spread::Input {
+fn host_input(member: &Member, is_alive: bool) -> spread::Input {
     spread::Input::Host {
         host: member.host.clone(),
         data_centre: member.data_centre.clone(),
@@ -449,8 +480,8 @@
     }
 }
 
-fn tell(cores: &mut Cores, notice: Notice, taken: bool) {
-    if let Some(waiting) = cores.waiting.swap_remove(&notice) {
-        let _ = waiting.send(taken);
+fn acknowledge(cores: &mut Cores, id: AnnouncementId, is_accepted: bool) {
+    if let Some(sender) = cores.unacknowledged.swap_remove(&id) {
+        let _ = sender.send(is_accepted);
     }
 }
--- a/crates/kumquatdrum_host/src/members/report.rs
+++ b/crates/kumquatdrum_host/src/members/report.rs
@@ -1,43 +1,43 @@
-//! What this host tells operators of the others.
+//! Status of hosts and endpoints for operators.
 
 use indexmap::IndexMap;
 use kumquatdrum_consensus::Status as NodeStatus;
 use kumquatdrum_membership::{Condition, Member, Record, State};
-use kumquatdrum_setup::control::{Condition as Shown, EndpointStatus, HostStatus, Replica};
+use kumquatdrum_setup::control::{self, EndpointStatus, HostStatus, Replica};
 use kumquatdrum_types::{Announcement, HostId};
 
 use super::Members;
 
 impl Members {
-    /// All hosts, this one included.
+    /// Returns the status of all hosts, including this one.
     pub fn host_statuses(&self, node: Option<&NodeStatus>, replicas: &[HostId]) -> Vec<HostStatus> {
         let cores = self.cores.lock();
         let versions: IndexMap<_, _> = cores.spread.holdings().collect();
-        let status = |member: &Member, reachable: bool| HostStatus {
+        let status = |member: &Member, is_reachable: bool| HostStatus {
             host: member.host.clone(),
             data_centre: member.data_centre.clone(),
-            replica: part(&member.host, node, replicas),
-            reachable,
+            replica: replica_role(&member.host, node, replicas),
+            reachable: is_reachable,
             version: versions.get(&member.host).map(|holding| holding.version),
         };
-        let mut own = status(&self.local, true);
-        own.version = Some(cores.spread.version());
+        let mut local = status(&self.local, true);
+        local.version = Some(cores.spread.version());
         let others = cores.membership.hosts();
         let others = others.map(|view| status(view.member, view.condition != Condition::Dead));
-        std::iter::once(own).chain(others).collect()
+        std::iter::once(local).chain(others).collect()
     }
 
-    /// All endpoints of the data centre; declared ones that never came are told too.
+    /// Returns the status of the data centre's endpoints, including declared but unknown ones.
     pub fn endpoint_statuses(&self) -> Vec<EndpointStatus> {
         let cores = self.cores.lock();
         let known = cores.membership.endpoints().map(|record| EndpointStatus {
             endpoint: record.announcement.endpoint.clone(),
             service: record.announcement.service.clone(),
             data_centre: record.announcement.data_centre.clone(),
-            condition: shown(record),
+            condition: endpoint_condition(record),
         });
         let mut statuses: Vec<_> = known.collect();
-        let current = self.parts.in_force.current();
+        let current = self.dependencies.in_force.current();
         let expected = current.iter().flat_map(|current| {
             let declared = current.index.declaration().endpoints.iter();
             declared.filter(|endpoint| endpoint.data_centre == self.local.data_centre)
@@ -48,32 +48,33 @@
                     endpoint: endpoint.name.clone(),
                     service: endpoint.service.clone(),
                     data_centre: endpoint.data_centre.clone(),
-                    condition: Shown::Expected,
+                    condition: control::Condition::Expected,
                 });
             }
         }
         statuses
     }
 
-    /// What live endpoints of the data centre announce, but for those that leave.
+    /// Returns the announcements of the data centre's endpoints that are alive and not leaving.
     pub fn live_endpoints(&self) -> Vec<Announcement> {
         let cores = self.cores.lock();
         let records = cores.membership.endpoints();
-        let alive = records.filter(|record| shown(record) == Shown::Alive);
+        let alive =
+            records.filter(|record| endpoint_condition(record) == control::Condition::Alive);
         alive.map(|record| record.announcement.clone()).collect()
     }
 }
 
-pub(super) fn shown(record: &Record) -> Shown {
+pub(super) fn endpoint_condition(record: &Record) -> control::Condition {
     match record.state {
-        State::Gone => Shown::Gone,
-        _ if record.announcement.leaving => Shown::Leaving,
-        State::Suspect => Shown::Suspect,
-        State::Alive => Shown::Alive,
+        State::Gone => control::Condition::Gone,
+        _ if record.announcement.leaving => control::Condition::Leaving,
+        State::Suspect => control::Condition::Suspect,
+        State::Alive => control::Condition::Alive,
     }
 }
 
-fn part(host: &HostId, node: Option<&NodeStatus>, replicas: &[HostId]) -> Replica {
+fn replica_role(host: &HostId, node: Option<&NodeStatus>, replicas: &[HostId]) -> Replica {
     let Some(node) = node else {
         return if replicas.contains(host) {
             Replica::Voter
@@ -81,18 +82,18 @@
             Replica::None
         };
     };
-    let of = |members: &[kumquatdrum_consensus::Member]| {
+    let find = |members: &[kumquatdrum_consensus::Member]| {
         let member = members.iter().find(|member| member.id.host == *host);
         member.map(|member| member.id.clone())
     };
     let replicas = &node.replicas;
-    let voter = of(&replicas.voters);
-    // Until a change is settled, the majority of the voters before it counts too.
-    let joins = replicas.is_joint() && voter != of(&replicas.outgoing);
+    let voter = find(&replicas.voters);
+    // A joint configuration also needs the majority of its outgoing voters.
+    let is_joining = replicas.is_joint() && voter != find(&replicas.outgoing);
     match () {
-        // The voter of a host that came back with a new disk is its lost predecessor.
+        // The voter on this host is an earlier incarnation whose disk was lost.
         () if node.id.host == *host && !replicas.is_voter(&node.id) => Replica::Learner,
-        () if joins || of(&replicas.learners).is_some() => Replica::Learner,
+        () if is_joining || find(&replicas.learners).is_some() => Replica::Learner,
         () if voter.is_some() => Replica::Voter,
         () => Replica::None,
     }
--- a/crates/kumquatdrum_host/src/orders.rs
+++ b/crates/kumquatdrum_host/src/orders.rs
@@ -1,5 +1,4 @@
-//! Gives orders to engines while this host's replica leads: carries messages to and from the
-//! reconciler, which decides.
+//! Runs the reconciler of engines while this host's replica leads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,26 +12,26 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
+use crate::context::Context;
 use crate::control::Handle;
 use crate::members::Members;
-use crate::shell::Shell;
 
-/// How often leadership, engines and the declaration are looked at.
-const ROUND: Duration = Duration::from_millis(100);
+/// How often leadership, engines and the declaration are read.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-struct Orders {
+struct Runner {
     replica: Handle,
-    shell: Arc<Shell>,
+    context: Arc<Context>,
     members: Arc<Members>,
-    core: Reconciler,
-    declared: Version,
+    reconciler: Reconciler,
+    declared_version: Version,
     targets: IndexMap<EndpointId, Target>,
-    under_way: JoinSet<Input>,
+    calls: JoinSet<Input>,
 }
 
-/// Gives orders until `stopped` resolves; a host without a replica never leads.
+/// Runs until `stopped` resolves. A host without a replica never leads.
 pub async fn run(
-    shell: Arc<Shell>,
+    context: Arc<Context>,
     members: Arc<Members>,
     replica: Option<Handle>,
     mut stopped: watch::Receiver<bool>,
@@ -41,50 +40,50 @@
         return;
     };
     let settings = Settings {
-        loads_per_minute: shell.settings.limits.loads_per_minute,
+        loads_per_minute: context.settings.limits.loads_per_minute,
         ..Settings::default()
     };
-    let mut orders = Orders {
+    let mut runner = Runner {
         replica,
-        shell,
+        context,
         members,
-        core: Reconciler::new(settings),
-        declared: Version(0),
+        reconciler: Reconciler::new(settings),
+        declared_version: Version(0),
         targets: IndexMap::new(),
-        under_way: JoinSet::new(),
+        calls: JoinSet::new(),
     };
-    let mut round = tokio::time::interval(ROUND);
+    let mut interval = tokio::time::interval(UPDATE_INTERVAL);
     loop {
         tokio::select! {
-            _ = round.tick() => orders.round().await,
-            Some(Ok(input)) = orders.under_way.join_next() => orders.step(input),
+            _ = interval.tick() => runner.update().await,
+            Some(Ok(input)) = runner.calls.join_next() => runner.step(input),
             () = async { stopped.wait_for(|stopped| *stopped).await.ok(); } => break,
         }
     }
-    orders.under_way.shutdown().await;
+    runner.calls.shutdown().await;
 }
 
-impl Orders {
-    async fn round(&mut self) {
+impl Runner {
+    async fn update(&mut self) {
         let leadership = self.replica.leadership().await;
         if leadership.is_some() {
-            self.follow_declaration();
-            self.follow_engines();
+            self.update_declaration();
+            self.update_engines();
         }
         self.step(Input::Leadership(leadership));
     }
 
-    fn follow_declaration(&mut self) {
-        let current = self.shell.in_force.current();
-        let newer = current.filter(|current| current.offer.version > self.declared);
+    fn update_declaration(&mut self) {
+        let current = self.context.in_force.current();
+        let newer = current.filter(|current| current.offer.version > self.declared_version);
         if let Some(current) = newer {
-            self.declared = current.offer.version;
+            self.declared_version = current.offer.version;
             let declaration = current.index.declaration().clone();
-            self.step(Input::Declared(self.declared, declaration));
+            self.step(Input::Declared(self.declared_version, declaration));
         }
     }
 
-    fn follow_engines(&mut self) {
+    fn update_engines(&mut self) {
         let live = self.members.live_endpoints();
         let live = live.into_iter();
         let engines = live.filter(|live| matches!(live.kind, Kind::Engine(_)));
@@ -113,12 +112,12 @@
     }
 
     fn step(&mut self, input: Input) {
-        for output in self.core.step(self.shell.clock.now(), input) {
+        for output in self.reconciler.step(self.context.clock.now(), input) {
             match output {
                 Output::Send(order) => self.send(order),
-                Output::Probe(endpoint) => self.ask(endpoint),
-                Output::Audit(record) => self.log(&record),
-                // Leadership is told every round, which is soon enough.
+                Output::Probe(endpoint) => self.probe(endpoint),
+                Output::Audit(record) => self.log_record(&record),
+                // Leadership is passed on every interval, which also triggers reconciliation.
                 Output::Wake(_) => {}
             }
         }
@@ -127,36 +126,36 @@
     fn send(&mut self, order: Order) {
         let Some(target) = self.targets.get(&order.endpoint) else {
             let answer = kumquatdrum_orders::Answer::NotSent;
-            self.under_way
+            self.calls
                 .spawn(std::future::ready(Input::Answered(order.id, answer)));
             return;
         };
-        let clock = self.shell.clock;
+        let clock = self.context.clock;
         let id = order.id;
-        let checked = order.clone();
-        let check = Box::new(move || checked.can_be_sent(clock.now()));
-        let answer = self.shell.engine.order(target, &order, check);
-        self.under_way
+        let checked_order = order.clone();
+        let check = Box::new(move || checked_order.can_be_sent(clock.now()));
+        let answer = self.context.engine.order(target, &order, check);
+        self.calls
             .spawn(async move { Input::Answered(id, answer.await) });
     }
 
-    fn ask(&mut self, endpoint: EndpointId) {
+    fn probe(&mut self, endpoint: EndpointId) {
         let Some(target) = self.targets.get(&endpoint) else {
-            self.under_way
+            self.calls
                 .spawn(std::future::ready(Input::Reported(endpoint, None)));
             return;
         };
-        let report = self.shell.engine.order_report(target);
-        self.under_way
+        let report = self.context.engine.order_report(target);
+        self.calls
             .spawn(async move { Input::Reported(endpoint, report.await.ok()) });
     }
 
-    fn log(&self, record: &Record) {
+    fn log_record(&self, record: &Record) {
         let order = record.order.map(|order| order.to_string());
         let order = order.unwrap_or_default();
         let event = record.event.name();
         let (endpoint, action) = (&record.endpoint, &record.action);
-        let logger = &self.shell.logger;
+        let logger = &self.context.logger;
         match &record.event {
             Event::Sent | Event::Done => info!(logger, ""; "event" => event,
                 "endpoint" => %endpoint, "order" => order, "action" => %action),
--- a/crates/kumquatdrum_host/src/orphans.rs
+++ b/crates/kumquatdrum_host/src/orphans.rs
@@ -1,7 +1,7 @@
-//! Ends at engines what nobody waits for: the work of dead hosts and of this host's earlier lives.
+//! Cancels orphaned attempts at engines: those of dead hosts and of this host's earlier boots.
 //!
-//! Keyed requests run on, as their callers may come back for the answer; their attempts carry a
-//! mark in their names.
+//! Attempts of keyed requests keep running, because their callers may retry. The number in such an
+//! attempt's name is prefixed by `k`.
 
 use std::sync::Arc;
 
@@ -10,51 +10,51 @@
 use slog::info;
 use tokio::sync::watch;
 
+use crate::context::Context;
 use crate::members::{Members, Orphan};
-use crate::shell::Shell;
 
-/// Takes over orphans until `stopped` resolves.
-pub async fn run(shell: Arc<Shell>, members: Arc<Members>, mut stopped: watch::Receiver<bool>) {
+/// Cancels orphaned attempts until `stopped` resolves.
+pub async fn run(context: Arc<Context>, members: Arc<Members>, mut stopped: watch::Receiver<bool>) {
     loop {
         let orphan = tokio::select! {
             orphan = members.next_orphan() => orphan,
             _ = stopped.wait_for(|stopped| *stopped) => return,
         };
         match orphan {
-            Orphan::Host(host) if members.is_heir() => {
-                for (_, target) in shell.engines() {
-                    end(&shell, &target, &host, |_| true).await;
+            Orphan::Host(host) if members.is_reaper() => {
+                for (_, target) in context.engines() {
+                    cancel_orphans(&context, &target, &host, |_| true).await;
                 }
             }
             Orphan::Host(_) => {}
             Orphan::Engine(engine) => {
-                let life = format!("{}-{:x}-", shell.settings.host, shell.boot.0);
-                let mut engines = shell.engines();
+                let prefix = format!("{}-{:x}-", context.settings.host, context.boot.0);
+                let mut engines = context.engines();
                 engines.retain(|(_, target)| target.endpoint == engine);
                 for (_, target) in &engines {
-                    let host = shell.settings.host.clone();
-                    let earlier = |attempt: &AttemptId| !attempt.as_str().starts_with(&life);
-                    end(&shell, target, &host, earlier).await;
+                    let host = context.settings.host.clone();
+                    let is_earlier = |attempt: &AttemptId| !attempt.as_str().starts_with(&prefix);
+                    cancel_orphans(&context, target, &host, is_earlier).await;
                 }
             }
         }
     }
 }
 
-async fn end(
-    shell: &Shell,
+async fn cancel_orphans(
+    context: &Context,
     target: &Target,
     owner: &HostId,
     is_orphan: impl Fn(&AttemptId) -> bool,
 ) {
-    let Ok(running) = shell.engine.running(target, owner).await else {
+    let Ok(running) = context.engine.running(target, owner).await else {
         return;
     };
     for attempt in running.into_iter().map(|running| running.id) {
         if is_orphan(&attempt) && !is_keyed(&attempt) {
-            info!(shell.logger, ""; "event" => "orphan_ended", "attempt" => %attempt,
+            info!(context.logger, ""; "event" => "orphan_ended", "attempt" => %attempt,
                 "endpoint" => %target.endpoint, "owner" => %owner);
-            shell.canceller.abandon(target.clone(), attempt);
+            context.canceller.enqueue(target.clone(), attempt);
         }
     }
 }
--- a/crates/kumquatdrum_host/src/peers.rs
+++ b/crates/kumquatdrum_host/src/peers.rs
@@ -1,4 +1,4 @@
-//! What arrives from other daemons, handed to the part that it is for.
+//! Handler of messages and requests from other daemons.
 
 use std::sync::Arc;
 
@@ -12,20 +12,20 @@
 use crate::members::Members;
 use crate::quota::Quota;
 
-/// The handler of one host.
+/// Passes messages and requests of other daemons to the host's components.
 pub struct Inbox {
-    /// This host's replica, where it keeps one.
+    /// This host's replica, if it has one.
     pub replica: Option<control::Handle>,
-    /// Hosts and endpoints.
+    /// The hosts and endpoints known to this host.
     pub members: Arc<Members>,
     /// The workspaces' limits.
     pub quota: Arc<Quota>,
-    /// Where events go.
+    /// The logger of events.
     pub logger: slog::Logger,
 }
 
 impl Inbox {
-    fn not_decoded(&self, from: &Identity, channel: Channel, error: &postcard::Error) {
+    fn log_decode_error(&self, from: &Identity, channel: Channel, error: &postcard::Error) {
         warn!(self.logger, ""; "event" => "peer_message_not_decoded", "from" => %from.host,
             "channel" => channel.name(), "reason" => %error);
     }
@@ -33,34 +33,36 @@
 
 impl Handler for Inbox {
     fn deliver(&self, from: &Identity, channel: Channel, body: Bytes) {
-        let taken = match (channel, &self.replica) {
+        let result = match (channel, &self.replica) {
             (Channel::Consensus, Some(replica)) => {
-                postcard::from_bytes(&body).map(|message| replica.message(message))
+                postcard::from_bytes(&body).map(|message| replica.deliver(message))
             }
-            (Channel::Membership, _) => self.members.members_message(from, &body),
-            (Channel::Limits, _) => self.quota.message(&from.host, &body),
-            (Channel::Setup, _) => self.members.setup_message(from, &body),
+            (Channel::Membership, _) => self.members.handle_membership_message(from, &body),
+            (Channel::Limits, _) => self.quota.handle_message(&from.host, &body),
+            (Channel::Setup, _) => self.members.handle_setup_message(from, &body),
             _ => Ok(()),
         };
-        if let Err(error) = taken {
-            self.not_decoded(from, channel, &error);
+        if let Err(error) = result {
+            self.log_decode_error(from, channel, &error);
         }
     }
 
     fn answer(&self, from: &Identity, channel: Channel, body: Bytes) -> Answer<'_> {
-        let question = match (channel, postcard::from_bytes(&body)) {
-            (Channel::Control, Ok(question)) => question,
+        let request = match (channel, postcard::from_bytes(&body)) {
+            (Channel::Control, Ok(request)) => request,
             (_, Ok(_)) => {
-                return Box::pin(async { Err(Error::Handler("no such question".into())) });
+                return Box::pin(async {
+                    Err(Error::Handler("the channel takes no requests".into()))
+                });
             }
             (_, Err(error)) => {
-                self.not_decoded(from, channel, &error);
+                self.log_decode_error(from, channel, &error);
                 return Box::pin(async move { Err(Error::Handler(error.to_string())) });
             }
         };
         Box::pin(async move {
             let outcome = match &self.replica {
-                Some(replica) => replica.ask(question).await,
+                Some(replica) => replica.request(request).await,
                 None => Err(Failure::NotCurrent { leader: None }),
             };
             let body = postcard::to_allocvec(&outcome);
--- a/crates/kumquatdrum_host/src/problem.rs
+++ b/crates/kumquatdrum_host/src/problem.rs
@@ -1,4 +1,4 @@
-//! Endings in the words of the callers' interface.
+//! Conversion of request endings to replies for callers.
 
 use kumquatdrum_caller::Reply;
 use kumquatdrum_caller::admission::Problem;
@@ -8,7 +8,7 @@
 const BAD_GATEWAY: u16 = 502;
 const GATEWAY_TIMEOUT: u16 = 504;
 
-/// The name of an ending in metrics and logs.
+/// Returns the name of an ending in metrics and logs.
 pub const fn ending_name(ending: &Ending) -> &'static str {
     match ending {
         Ending::Finished => "finished",
@@ -19,7 +19,7 @@
     }
 }
 
-/// The last reply of a request that ended so; a caller that has left gets none.
+/// Returns the last reply of a request, or `None` if the caller has disconnected.
 pub fn last_reply(ending: Ending, request: &RequestId) -> Option<Reply> {
     match ending {
         Ending::Finished => Some(Reply::Finished),
@@ -31,23 +31,31 @@
             let problem = Problem::refused(refusal, retry_after, Some(request.clone()));
             Some(Reply::Problem(problem))
         }
-        Ending::Failed(cause) => Some(Reply::Problem(dispatched(Class::Failed, cause, request))),
-        Ending::Unknown(cause) => Some(Reply::Problem(dispatched(Class::Unknown, cause, request))),
+        Ending::Failed(cause) => Some(Reply::Problem(failure_problem(
+            Class::Failed,
+            cause,
+            request,
+        ))),
+        Ending::Unknown(cause) => Some(Reply::Problem(failure_problem(
+            Class::Unknown,
+            cause,
+            request,
+        ))),
     }
 }
 
-fn dispatched(class: Class, cause: Cause, request: &RequestId) -> Problem {
+fn failure_problem(class: Class, cause: Cause, request: &RequestId) -> Problem {
     let (code, status, message, relayed) = match cause {
         Cause::Deadline => (
             "deadline",
             GATEWAY_TIMEOUT,
-            "the deadline came before the answer was whole",
+            "the deadline passed before the answer was complete",
             None,
         ),
         Cause::EndpointLost => (
             "endpoint_lost",
             BAD_GATEWAY,
-            "the endpoint was lost before the answer was whole",
+            "the endpoint was lost before the answer was complete",
             None,
         ),
         Cause::Rejected { status, body } => (
--- a/crates/kumquatdrum_host/src/quota.rs
+++ b/crates/kumquatdrum_host/src/quota.rs
@@ -1,4 +1,4 @@
-//! The workspaces' limits on this host: what it may admit, and what it grants to others.
+//! Workspace limits on this host: admission of requests and grants to other hosts.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,18 +16,17 @@
 use crate::members::Members;
 use kumquatdrum_process::clock::Clock;
 
-/// Stewards are chosen among so many hosts, so that demands travel together. Which hosts these are
-/// may differ from view to view, as the set of live hosts may.
-const STEWARDS: usize = 9;
+/// The maximum number of hosts that act as stewards, so that demands can be sent in few messages.
+const MAX_STEWARDS: usize = 9;
 
-/// What hosts say to each other about limits.
+/// A message between hosts about limits.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
     Demands(Vec<Demand>),
     Grants(Vec<Grant>),
 }
 
-/// The limits on one host.
+/// The workspace limits on one host.
 pub struct Quota {
     host: HostId,
     clock: Clock,
@@ -38,7 +37,7 @@
     steward: Mutex<Steward>,
 }
 
-/// One admitted request's slot in its workspace's limits; dropping it gives the slot back.
+/// An admitted request's share of its workspace's limits; dropping it releases the share.
 pub struct Permit {
     quota: Arc<Quota>,
     workspace: WorkspaceName,
@@ -46,49 +45,49 @@
     used: AtomicU64,
 }
 
-/// What a quota is made of.
-pub struct Parts {
-    /// This host.
+/// The dependencies of a quota.
+pub struct Dependencies {
+    /// The name of this host.
     pub host: HostId,
-    /// This life of its daemon.
+    /// The boot of this daemon.
     pub boot: BootId,
-    /// How many hosts the settings name, this one included.
+    /// The number of hosts in the settings, including this one.
     pub hosts: usize,
-    /// No request runs longer.
-    pub longest_request: Duration,
+    /// The longest time that a request can run.
+    pub max_request_time: Duration,
     /// The daemon's clock.
     pub clock: Clock,
-    /// The way to the other hosts.
+    /// The client for other hosts.
     pub client: Arc<Client>,
     /// The declaration in force.
     pub in_force: Arc<Store>,
-    /// Hosts and endpoints.
+    /// The hosts and endpoints known to this host.
     pub members: Arc<Members>,
 }
 
 impl Quota {
-    /// A quota without grants.
-    pub fn new(parts: Parts) -> Self {
-        let now = parts.clock.now();
-        let holder = Holder::new(parts.host.clone(), parts.hosts, now);
+    /// Creates a quota without grants.
+    pub fn new(dependencies: Dependencies) -> Self {
+        let now = dependencies.clock.now();
+        let holder = Holder::new(dependencies.host.clone(), dependencies.hosts, now);
         let steward = Steward::new(
-            parts.host.clone(),
-            parts.boot,
-            parts.hosts,
-            parts.longest_request,
+            dependencies.host.clone(),
+            dependencies.boot,
+            dependencies.hosts,
+            dependencies.max_request_time,
         );
         Self {
-            host: parts.host,
-            clock: parts.clock,
-            client: parts.client,
-            in_force: parts.in_force,
-            members: parts.members,
+            host: dependencies.host,
+            clock: dependencies.clock,
+            client: dependencies.client,
+            in_force: dependencies.in_force,
+            members: dependencies.members,
             holder: Mutex::new(holder),
             steward: Mutex::new(steward),
         }
     }
 
-    /// Admits a request of so many tokens, or says why not and when to come back.
+    /// Admits a request of `tokens`, or returns the reason for the refusal and when to retry.
     pub fn admit(
         self: &Arc<Self>,
         workspace: &WorkspaceName,
@@ -104,28 +103,28 @@
         })
     }
 
-    /// Takes in a message of another host.
-    pub fn message(&self, from: &HostId, body: &[u8]) -> Result<(), postcard::Error> {
+    /// Handles a message of another host.
+    pub fn handle_message(&self, from: &HostId, body: &[u8]) -> Result<(), postcard::Error> {
         match postcard::from_bytes(body)? {
             Message::Demands(demands) => {
-                let grants = self.grants(&demands);
+                let grants = self.compute_grants(&demands);
                 self.send(from, &Message::Grants(grants));
             }
-            Message::Grants(grants) => self.take(&grants),
+            Message::Grants(grants) => self.apply_grants(&grants),
         }
         Ok(())
     }
 
-    /// Tells demands and follows the declaration until `stopped` resolves.
+    /// Sends demands and applies the declared limits until `stopped` resolves.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
-        let mut version = self.in_force.follow();
-        let mut rounds = tokio::time::interval(INTERVAL);
+        let mut version = self.in_force.subscribe();
+        let mut interval = tokio::time::interval(INTERVAL);
         loop {
             tokio::select! {
-                _ = rounds.tick() => self.tell_demands(),
+                _ = interval.tick() => self.send_demands(),
                 Ok(()) = version.changed() => {
                     if let Some(current) = self.in_force.current() {
-                        self.declared(&current);
+                        self.apply_limits(&current);
                     }
                 }
                 _ = stopped.wait_for(|stopped| *stopped) => return,
@@ -133,8 +132,8 @@
         }
     }
 
-    /// Sets the limits of a declaration.
-    pub fn declared(&self, current: &Current) {
+    /// Applies the limits of a declaration.
+    pub fn apply_limits(&self, current: &Current) {
         let now = self.clock.now();
         for workspace in &current.index.declaration().workspaces {
             let declared = &workspace.limits;
@@ -149,10 +148,10 @@
         }
     }
 
-    fn tell_demands(&self) {
+    fn send_demands(&self) {
         let mut live = self.members.live_hosts();
         live.sort();
-        live.truncate(STEWARDS);
+        live.truncate(MAX_STEWARDS);
         let demands = self.holder.lock().demands(self.clock.now(), &live);
         let mut by_steward: IndexMap<HostId, Vec<Demand>> = IndexMap::new();
         for (steward, demand) in demands {
@@ -160,21 +159,21 @@
         }
         for (steward, demands) in by_steward {
             if steward == self.host {
-                self.take(&self.grants(&demands));
+                self.apply_grants(&self.compute_grants(&demands));
             } else {
                 self.send(&steward, &Message::Demands(demands));
             }
         }
     }
 
-    fn grants(&self, demands: &[Demand]) -> Vec<Grant> {
+    fn compute_grants(&self, demands: &[Demand]) -> Vec<Grant> {
         let now = self.clock.now();
         let mut steward = self.steward.lock();
         let grants = demands.iter().map(|demand| steward.demand(now, demand));
         grants.flatten().collect()
     }
 
-    fn take(&self, grants: &[Grant]) {
+    fn apply_grants(&self, grants: &[Grant]) {
         let now = self.clock.now();
         let mut holder = self.holder.lock();
         for grant in grants {
@@ -190,8 +189,8 @@
 }
 
 impl Permit {
-    /// Notes the tokens that the request really took.
-    pub fn used(&self, tokens: u64) {
+    /// Sets the tokens that the request really used.
+    pub fn set_used(&self, tokens: u64) {
         self.used.store(tokens, Ordering::Relaxed);
     }
 }
