--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -1,4 +1,4 @@
-//! Carries out what a flight decides: one task for each request.
+//! Drives the life cycle of one request, in a task of its own.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -14,121 +14,123 @@
 use slog::debug;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::fleet::{Decision, Placement};
-use crate::key::Claimed;
-use crate::shell::Shell;
+use crate::context::Context;
+use crate::key;
+use crate::routers::{Decision, Placement};
 
 mod ending;
-mod order;
+mod job;
 
-pub use order::Order;
+pub use job::Job;
 
-/// Names the reservation whose memory an attempt takes over.
+/// The header with the name of the reservation whose memory an attempt takes over.
 const RESERVATION_HEADER: &str = "x-reservation";
 
-type Question = Pin<Box<dyn Future<Output = Told> + Send>>;
+/// A claim, probe, cancel, reservation or retry decision in flight.
+type Operation = Pin<Box<dyn Future<Output = Completion> + Send>>;
 
-/// The answer to a question that the driver asked on the side.
-enum Told {
+/// The result of an [`Operation`].
+enum Completion {
     Input(Input),
-    Claimed(Claimed),
+    Claim(key::Outcome),
 }
 
-/// What a driver waits for.
-enum Happening {
+/// An event that a driver waits for.
+enum Signal {
     CallerGone,
-    Told(Told),
+    Completed(Completion),
     Decided(Option<Decision>),
     Event(Option<Event>),
-    PartLost(bool),
-    Sent,
+    ReservationLost(bool),
+    ReplySent,
     Tick,
 }
 
-/// How the claim of this request's own key stands.
+/// The state of this request's claim of its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ClaimState {
-    /// None is in the log.
+    /// The log holds no claim.
     None,
-    /// It is under way and may be in the log.
-    Open,
-    /// It stands.
+    /// The claim is in flight and may be in the log.
+    InFlight,
+    /// The log holds the claim.
     Granted,
 }
 
-/// Carries out one request.
+/// Drives one request to its end.
 pub struct Driver {
-    shell: Arc<Shell>,
-    order: Order,
+    context: Arc<Context>,
+    job: Job,
     lifecycle: Lifecycle,
     replies: mpsc::Sender<Reply>,
     pending: Option<Reply>,
     placement: Option<oneshot::Receiver<Decision>>,
-    question: Option<Question>,
+    operation: Option<Operation>,
     events: Option<Events>,
-    /// The router's number of the attempt under way.
+    /// The router's number for the current attempt.
     attempt: Option<u64>,
     target: Option<Target>,
-    /// The attempt for which memory is reserved at several engines.
-    gang: Option<AttemptId>,
-    part_lost: Option<oneshot::Receiver<()>>,
+    /// The attempt that holds a reservation at several engines.
+    reserved_attempt: Option<AttemptId>,
+    reservation_lost: Option<oneshot::Receiver<()>>,
     priority: u8,
-    made: u32,
+    dispatches: u32,
+    /// The number of tokens or pieces received from the current attempt.
     received: u64,
     usage: Usage,
     arrived: Moment,
-    first_token: bool,
-    caller_gone: bool,
+    has_first_token: bool,
+    is_caller_gone: bool,
     claim: ClaimState,
 }
 
 impl Driver {
-    /// A driver for a request that was just admitted.
-    pub fn new(shell: Arc<Shell>, order: Order, replies: mpsc::Sender<Reply>) -> Self {
-        let arrived = shell.clock.now();
+    /// Creates the driver of a request that was just admitted.
+    pub fn new(context: Arc<Context>, job: Job, replies: mpsc::Sender<Reply>) -> Self {
+        let arrived = context.clock.now();
         Self {
-            lifecycle: Lifecycle::new(order.policy.clone(), Timing::default()),
-            shell,
-            order,
+            lifecycle: Lifecycle::new(job.policy.clone(), Timing::default()),
+            context,
+            job,
             replies,
             pending: None,
             placement: None,
-            question: None,
+            operation: None,
             events: None,
             attempt: None,
             target: None,
-            gang: None,
-            part_lost: None,
+            reserved_attempt: None,
+            reservation_lost: None,
             priority: 0,
-            made: 0,
+            dispatches: 0,
             received: 0,
             usage: Usage::default(),
             arrived,
-            first_token: false,
-            caller_gone: false,
+            has_first_token: false,
+            is_caller_gone: false,
             claim: ClaimState::None,
         }
     }
 
-    /// Carries the request to its end.
+    /// Runs the request to its end.
     pub async fn run(mut self) {
-        self.shell.metrics.admitted.inc();
-        self.shell.metrics.in_flight.inc();
-        self.shell.fleet.request(&self.order.service);
+        self.context.metrics.admitted.inc();
+        self.context.metrics.in_flight.inc();
+        self.context.routers.request(&self.job.service);
         let mut outputs = self.lifecycle.start();
         loop {
             for output in outputs {
                 if let Output::End(ending) = output {
                     return self.end(ending).await;
                 }
-                self.carry_out(output);
+                self.execute(output);
             }
-            let input = self.next().await;
-            outputs = self.lifecycle.step(self.shell.clock.now(), input);
+            let input = self.next_input().await;
+            outputs = self.lifecycle.step(self.context.clock.now(), input);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Place { excluded } => self.place(excluded),
             Output::Retry { excluded } => self.retry(excluded),
@@ -136,156 +138,162 @@
             Output::Claim => self.claim(),
             Output::Dispatch(target, attempt) => self.dispatch(target, attempt),
             Output::Probe(target, attempt) => {
-                let asked = self.shell.engine.probe(&target, &attempt);
-                self.ask(async move { asked.await.map_or(Input::Unreachable, Input::Probed) });
+                let probe = self.context.engine.probe(&target, &attempt);
+                self.start_operation(async move {
+                    probe.await.map_or(Input::Unreachable, Input::Probed)
+                });
             }
             Output::Cancel(target, attempt) => {
                 self.events = None;
-                self.shell.engine.shed(&target);
-                let asked = self.shell.engine.cancel(&target, &attempt);
-                self.ask(async move { asked.await.map_or(Input::Unreachable, Input::Cancelled) });
+                self.context.engine.shed(&target);
+                let cancel = self.context.engine.cancel(&target, &attempt);
+                self.start_operation(async move {
+                    cancel.await.map_or(Input::Unreachable, Input::Cancelled)
+                });
             }
             Output::Resume(target, attempt, from) => {
-                self.shell.metrics.resumes.inc();
-                self.shell.engine.shed(&target);
-                self.events = Some(self.shell.engine.resume(&target, &attempt, from));
+                self.context.metrics.resumes.inc();
+                self.context.engine.shed(&target);
+                self.events = Some(self.context.engine.resume(&target, &attempt, from));
             }
-            Output::Abandon(target, attempt) if self.order.policy.is_resumable => {
-                self.shell.canceller.abandon(target, attempt);
+            Output::Abandon(target, attempt) if self.job.policy.is_resumable => {
+                self.context.canceller.enqueue(target, attempt);
             }
-            // A plain service can't be told; closing the connection is all there is.
+            // Plain services support no cancel, so only the connection is closed.
             Output::Abandon(..) | Output::End(_) => self.events = None,
         }
     }
 
-    fn ask(&mut self, question: impl Future<Output = Input> + Send + 'static) {
-        self.question = Some(Box::pin(async move { Told::Input(question.await) }));
+    fn start_operation(&mut self, operation: impl Future<Output = Input> + Send + 'static) {
+        self.operation = Some(Box::pin(async move { Completion::Input(operation.await) }));
     }
 
     fn place(&mut self, excluded: Vec<EndpointId>) {
         self.settle_attempt(Progress::Failed(Failure::Broken));
         self.events = None;
-        self.question = None;
-        let mut ask = self.order.routing.clone();
+        self.operation = None;
+        let mut ask = self.job.routing.clone();
         ask.excluded = excluded;
-        self.placement = Some(self.shell.fleet.submit(&self.order.service, ask));
+        self.placement = Some(self.context.routers.submit(&self.job.service, ask));
     }
 
     fn retry(&mut self, excluded: Vec<EndpointId>) {
-        if self.shell.fleet.retry(&self.order.service) {
-            self.shell.metrics.retries.inc();
+        if self.context.routers.retry(&self.job.service) {
+            self.context.metrics.retries.inc();
             return self.place(excluded);
         }
         self.settle_attempt(Progress::Failed(Failure::Broken));
         self.events = None;
-        self.question = Some(Box::pin(async { Told::Input(Input::RetryDenied) }));
+        self.operation = Some(Box::pin(async { Completion::Input(Input::RetryDenied) }));
     }
 
     fn withdraw(&mut self) {
-        self.shell
-            .fleet
-            .withdraw(&self.order.service, &self.order.request);
-        let decided = self
+        self.context
+            .routers
+            .withdraw(&self.job.service, &self.job.request);
+        let decision = self
             .placement
             .take()
-            .and_then(|mut waiting| waiting.try_recv().ok());
-        if let Some(Decision::Placed(placement)) = decided {
+            .and_then(|mut receiver| receiver.try_recv().ok());
+        if let Some(Decision::Placed(placement)) = decision {
             self.attempt = Some(placement.attempt);
         }
         self.settle_attempt(Progress::Failed(Failure::Cancelled));
     }
 
     fn claim(&mut self) {
-        let Some(key) = self.order.key.clone() else {
+        let Some(key) = self.job.key.clone() else {
             return;
         };
-        self.claim = ClaimState::Open;
-        let shell = Arc::clone(&self.shell);
-        let deadline = self.order.policy.deadline;
-        self.question = Some(Box::pin(async move {
-            Told::Claimed(key.claim(&shell, deadline).await)
+        self.claim = ClaimState::InFlight;
+        let context = Arc::clone(&self.context);
+        let deadline = self.job.policy.deadline;
+        self.operation = Some(Box::pin(async move {
+            Completion::Claim(key.claim(&context, deadline).await)
         }));
     }
 
     fn dispatch(&mut self, target: Target, attempt: AttemptId) {
         self.received = 0;
-        self.pending = match self.made {
+        self.pending = match self.dispatches {
             0 => None,
             _ => Some(Reply::Restart),
         };
-        self.made += 1;
-        self.shell.metrics.attempts.inc();
-        debug!(self.shell.logger, ""; "event" => "dispatched", "request" => %self.order.request,
+        self.dispatches += 1;
+        self.context.metrics.attempts.inc();
+        debug!(self.context.logger, ""; "event" => "dispatched", "request" => %self.job.request,
             "attempt" => %attempt, "endpoint" => %target.endpoint);
-        let mut headers = self.order.ask.headers.clone();
-        if self.gang.as_ref() == Some(&attempt) {
+        let mut headers = self.job.ask.headers.clone();
+        if self.reserved_attempt.as_ref() == Some(&attempt) {
             headers.push((RESERVATION_HEADER.to_owned(), attempt.to_string()));
-            self.shell.gangs.dispatched(&attempt, &target.endpoint);
+            self.context
+                .reservations
+                .set_head(&attempt, &target.endpoint);
         }
         let call = Call {
             target,
             attempt,
-            owner: self.shell.settings.host.clone(),
+            owner: self.context.settings.host.clone(),
             owner_attempt: self.attempt.unwrap_or_default(),
-            method: self.order.ask.method.clone(),
-            path: self.order.ask.path.clone(),
+            method: self.job.ask.method.clone(),
+            path: self.job.ask.path.clone(),
             headers,
-            body: self.order.ask.body.clone(),
-            prompt_tokens: self.order.routing.prompt_tokens,
+            body: self.job.ask.body.clone(),
+            prompt_tokens: self.job.routing.prompt_tokens,
             priority: self.priority,
-            time_left: self.order.policy.deadline - self.shell.clock.now(),
+            time_left: self.job.policy.deadline - self.context.clock.now(),
         };
-        self.events = Some(if self.order.policy.is_resumable {
-            self.shell.engine.dispatch(call)
+        self.events = Some(if self.job.policy.is_resumable {
+            self.context.engine.dispatch(call)
         } else {
-            self.shell.plain.call(call)
+            self.context.plain.call(call)
         });
     }
 
-    /// Tells the router that the attempt under way needs nothing any more.
+    /// Reports the final progress of the current attempt and releases its reservation.
     fn settle_attempt(&mut self, progress: Progress) {
-        self.part_lost = None;
-        if let Some(gang) = self.gang.take() {
-            self.shell.gangs.end(&gang);
+        self.reservation_lost = None;
+        if let Some(attempt) = self.reserved_attempt.take() {
+            self.context.reservations.release(&attempt);
         }
         if let Some(attempt) = self.attempt.take() {
-            self.shell
-                .fleet
-                .progress(&self.order.service, attempt, progress);
+            self.context
+                .routers
+                .progress(&self.job.service, attempt, progress);
         }
     }
 
     fn progress(&self, progress: Progress) {
         if let Some(attempt) = self.attempt {
-            self.shell
-                .fleet
-                .progress(&self.order.service, attempt, progress);
+            self.context
+                .routers
+                .progress(&self.job.service, attempt, progress);
         }
     }
 
-    /// Waits for the next thing that the flight must know.
-    async fn next(&mut self) -> Input {
+    /// Waits for the next input of the life cycle.
+    async fn next_input(&mut self) -> Input {
         loop {
-            let input = match self.happening().await {
-                Happening::CallerGone => {
-                    self.caller_gone = true;
+            let input = match self.next_signal().await {
+                Signal::CallerGone => {
+                    self.is_caller_gone = true;
                     Some(Input::CallerGone)
                 }
-                Happening::Told(told) => {
-                    self.question = None;
-                    self.told(told)
+                Signal::Completed(completion) => {
+                    self.operation = None;
+                    self.handle_completion(completion)
                 }
-                Happening::Decided(decision) => {
+                Signal::Decided(decision) => {
                     self.placement = None;
-                    self.decided(decision)
+                    self.handle_decision(decision)
                 }
-                Happening::Event(event) => self.event(event),
-                Happening::PartLost(is_lost) => {
-                    self.part_lost = None;
+                Signal::Event(event) => self.handle_event(event),
+                Signal::ReservationLost(is_lost) => {
+                    self.reservation_lost = None;
                     is_lost.then_some(Input::ReservationLost)
                 }
-                Happening::Sent => None,
-                Happening::Tick => Some(Input::Tick),
+                Signal::ReplySent => None,
+                Signal::Tick => Some(Input::Tick),
             };
             if let Some(input) = input {
                 return input;
@@ -293,57 +301,59 @@
         }
     }
 
-    async fn happening(&mut self) -> Happening {
-        if self.caller_gone {
+    async fn next_signal(&mut self) -> Signal {
+        if self.is_caller_gone {
             self.pending = None;
         }
-        let wake = self.shell.clock.instant(self.lifecycle.next_tick());
+        let next_tick = self.context.clock.instant(self.lifecycle.next_tick());
         let (replies, pending) = (&self.replies, &mut self.pending);
-        let takes = pending.is_none();
+        let can_receive = pending.is_none();
         tokio::select! {
             biased;
-            () = replies.closed(), if !self.caller_gone => Happening::CallerGone,
-            Some(told) = opt(self.question.as_mut()) => Happening::Told(told),
-            Some(decision) = opt(self.placement.as_mut()) => Happening::Decided(decision.ok()),
-            Ok(permit) = replies.reserve(), if !takes => {
+            () = replies.closed(), if !self.is_caller_gone => Signal::CallerGone,
+            Some(completion) = or_pending(self.operation.as_mut()) => Signal::Completed(completion),
+            Some(decision) = or_pending(self.placement.as_mut()) => Signal::Decided(decision.ok()),
+            Ok(permit) = replies.reserve(), if !can_receive => {
                 if let Some(reply) = pending.take() {
                     permit.send(reply);
                 }
-                Happening::Sent
+                Signal::ReplySent
             }
-            Some(lost) = opt(self.part_lost.as_mut()) => Happening::PartLost(lost.is_ok()),
-            event = next_event(&mut self.events), if takes => Happening::Event(event),
-            () = tokio::time::sleep_until(wake) => Happening::Tick,
+            Some(lost) = or_pending(self.reservation_lost.as_mut()) => {
+                Signal::ReservationLost(lost.is_ok())
+            },
+            event = next_event(&mut self.events), if can_receive => Signal::Event(event),
+            () = tokio::time::sleep_until(next_tick) => Signal::Tick,
         }
     }
 
-    fn told(&mut self, told: Told) -> Option<Input> {
-        match told {
-            Told::Input(input) => {
-                self.speaks_against(matches!(input, Input::Unreachable));
+    fn handle_completion(&mut self, completion: Completion) -> Option<Input> {
+        match completion {
+            Completion::Input(input) => {
+                self.report_failure_if(matches!(input, Input::Unreachable));
                 Some(input)
             }
-            Told::Claimed(claimed) => self.claimed(claimed),
+            Completion::Claim(outcome) => self.handle_claim(outcome),
         }
     }
 
-    fn decided(&mut self, decision: Option<Decision>) -> Option<Input> {
+    fn handle_decision(&mut self, decision: Option<Decision>) -> Option<Input> {
         match decision {
-            Some(Decision::Placed(placement)) => self.placed(placement),
+            Some(Decision::Placed(placement)) => self.handle_placement(placement),
             Some(Decision::Refused(refusal, wait)) => Some(Input::Refused(refusal, wait)),
             None => Some(Input::Refused(Refusal::Draining, None)),
         }
     }
 
-    fn placed(&mut self, placement: Placement) -> Option<Input> {
+    fn handle_placement(&mut self, placement: Placement) -> Option<Input> {
         self.attempt = Some(placement.attempt);
         self.priority = placement.priority;
         let Some((target, _)) = placement.targets.first().cloned() else {
             return Some(Input::Fault(Fault::NotSent));
         };
         self.target = Some(target.clone());
-        let mark = if self.order.key.is_some() { "k" } else { "" };
-        let id = AttemptId::new(format!("{}.{mark}{}", self.order.request, self.made));
+        let prefix = if self.job.key.is_some() { "k" } else { "" };
+        let id = AttemptId::new(format!("{}.{prefix}{}", self.job.request, self.dispatches));
         if placement.targets.len() > 1 {
             self.reserve(target, id, placement.targets);
             return None;
@@ -351,49 +361,49 @@
         Some(Input::Placed(target, id))
     }
 
-    /// Reserves memory at several engines; the first one gets the attempt.
+    /// Reserves memory at several engines. The first one runs the attempt.
     fn reserve(&mut self, head: Target, id: AttemptId, targets: Vec<(Target, u64)>) {
-        let tokens = self.order.routing.prompt_tokens + self.order.routing.expected_output_tokens;
+        let tokens = self.job.routing.prompt_tokens + self.job.routing.expected_output_tokens;
         let memory: Vec<u64> = targets.iter().map(|(_, memory)| *memory).collect();
         let shares = routing::gang::split(tokens, &memory).unwrap_or(memory);
         let targets = targets.into_iter().map(|(target, _)| target);
         let parts = targets.zip(shares).collect();
-        let reserved = self
-            .shell
-            .gangs
-            .reserve(&id, parts, self.order.policy.deadline);
-        self.gang = Some(id.clone());
-        self.part_lost = Some(reserved.lost);
-        self.question = Some(Box::pin(async move {
-            Told::Input(match reserved.ready.await {
+        let reservation = self
+            .context
+            .reservations
+            .reserve(&id, parts, self.job.policy.deadline);
+        self.reserved_attempt = Some(id.clone());
+        self.reservation_lost = Some(reservation.lost);
+        self.operation = Some(Box::pin(async move {
+            Completion::Input(match reservation.ready.await {
                 Ok(()) => Input::Placed(head, id),
                 Err(_) => Input::Refused(Refusal::Overloaded, None),
             })
         }));
     }
 
-    fn claimed(&mut self, claimed: Claimed) -> Option<Input> {
-        match claimed {
-            Claimed::Granted => {
+    fn handle_claim(&mut self, outcome: key::Outcome) -> Option<Input> {
+        match outcome {
+            key::Outcome::Granted => {
                 self.claim = ClaimState::Granted;
                 Some(Input::Claimed)
             }
-            Claimed::Refused(refusal, wait) => {
+            key::Outcome::Refused(refusal, wait) => {
                 self.claim = ClaimState::None;
                 Some(Input::ClaimRefused(refusal, wait))
             }
-            Claimed::Follow(target, attempt) => {
+            key::Outcome::Follow(target, attempt) => {
                 self.settle_attempt(Progress::Failed(Failure::Cancelled));
-                let policy = self.order.policy.clone();
+                let policy = self.job.policy.clone();
                 let lifecycle = Lifecycle::attach(policy, Timing::default(), target, attempt);
                 self.lifecycle = lifecycle;
                 self.claim = ClaimState::None;
                 for output in self.lifecycle.start() {
-                    self.carry_out(output);
+                    self.execute(output);
                 }
                 None
             }
-            Claimed::Told(problem) => {
+            key::Outcome::Problem(problem) => {
                 self.settle_attempt(Progress::Failed(Failure::Cancelled));
                 self.claim = ClaimState::None;
                 self.pending = Some(Reply::Problem(problem));
@@ -402,7 +412,7 @@
         }
     }
 
-    fn event(&mut self, event: Option<Event>) -> Option<Input> {
+    fn handle_event(&mut self, event: Option<Event>) -> Option<Input> {
         let Some(event) = event else {
             self.events = None;
             return Some(Input::Fault(Fault::Broken));
@@ -410,7 +420,7 @@
         match event {
             Event::Accepted(head) => {
                 self.progress(Progress::Started);
-                if !self.order.policy.is_resumable {
+                if !self.job.policy.is_resumable {
                     self.pending = Some(Reply::Head(head));
                 }
                 Some(Input::Accepted)
@@ -421,7 +431,7 @@
                 Some(Input::Fault(Fault::Broken))
             }
             Event::Token { data, .. } => {
-                self.token();
+                self.record_token();
                 self.pending = Some(Reply::Token(data));
                 Some(Input::Progress(self.received))
             }
@@ -431,39 +441,43 @@
                 None
             }
             Event::Piece(bytes) => {
-                self.token();
+                self.record_token();
                 self.pending = Some(Reply::Piece(bytes));
                 Some(Input::Progress(self.received))
             }
             Event::Finished => Some(Input::Finished),
             Event::Fault(fault) => {
                 self.events = None;
-                self.speaks_against(fault == Fault::NotSent);
+                self.report_failure_if(fault == Fault::NotSent);
                 Some(Input::Fault(fault))
             }
         }
     }
 
-    /// Several such failures in a short time make membership suspect the endpoint.
-    fn speaks_against(&self, does: bool) {
-        if let Some(target) = self.target.as_ref().filter(|_| does) {
-            self.shell.members.failed(&target.endpoint);
+    /// Reports a failure of the endpoint to membership, which suspects it after several in a short
+    /// time.
+    fn report_failure_if(&self, has_failed: bool) {
+        if let Some(target) = self.target.as_ref().filter(|_| has_failed) {
+            self.context.members.report_failure(&target.endpoint);
         }
     }
 
-    fn token(&mut self) {
+    fn record_token(&mut self) {
         self.received += 1;
-        if !self.first_token {
-            self.first_token = true;
+        if !self.has_first_token {
+            self.has_first_token = true;
             self.progress(Progress::FirstToken);
-            let waited = self.shell.clock.now() - self.arrived;
-            self.shell.metrics.first_token.observe(waited.as_secs_f64());
+            let latency = self.context.clock.now() - self.arrived;
+            self.context
+                .metrics
+                .first_token
+                .observe(latency.as_secs_f64());
         }
     }
 }
 
-/// A future that may not be there never resolves.
-async fn opt<F: Future + Unpin>(future: Option<&mut F>) -> Option<F::Output> {
+/// Resolves with the future's output, or never if there is no future.
+async fn or_pending<F: Future + Unpin>(future: Option<&mut F>) -> Option<F::Output> {
     match future {
         Some(future) => Some(future.await),
         None => std::future::pending().await,
--- a/crates/kumquatdrum_host/src/request/ending.rs
+++ b/crates/kumquatdrum_host/src/request/ending.rs
@@ -1,4 +1,4 @@
-//! The end of a request: what is settled, counted, logged and told.
+//! The end of a request: settlement, metrics, log and last reply.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 use crate::key;
 use crate::problem;
 
-/// How long the last word to a slow caller may take.
-const LAST_WORD: Duration = Duration::from_secs(2);
+/// The timeout of the last reply to a slow caller.
+const LAST_REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Driver {
     pub(super) async fn end(mut self, ending: Ending) {
         self.events = None;
-        self.question = None;
+        self.operation = None;
         let progress = match ending {
             Ending::Finished => Progress::Finished(routing::Usage {
                 prompt_tokens: self.usage.prompt_tokens,
@@ -29,63 +29,63 @@
             _ => Progress::Failed(Failure::Broken),
         };
         self.settle_attempt(progress);
-        self.order.permit.used(self.tokens_used(&ending));
+        self.job.permit.set_used(self.count_used_tokens(&ending));
         let key = self.unclaimed_key();
         self.settle_key(&ending).await;
-        self.record(&ending);
+        self.record_ending(&ending);
         match self.pending.take() {
-            Some(reply @ Reply::Problem(_)) => last_word(&self.replies, Some(reply)).await,
+            Some(reply @ Reply::Problem(_)) => send_last_reply(&self.replies, Some(reply)).await,
             pending => {
-                last_word(&self.replies, pending).await;
-                let reply = problem::last_reply(ending, &self.order.request);
-                let reply = self.checked(key, reply).await;
-                last_word(&self.replies, reply).await;
+                send_last_reply(&self.replies, pending).await;
+                let reply = problem::last_reply(ending, &self.job.request);
+                let reply = self.reconcile(key, reply).await;
+                send_last_reply(&self.replies, reply).await;
             }
         }
     }
 
-    /// The key of a request that made no claim of its own.
+    /// Returns the key if this request holds no claim of it.
     fn unclaimed_key(&self) -> Option<IdempotencyKey> {
-        let key = self.order.key.as_ref()?;
+        let key = self.job.key.as_ref()?;
         (self.claim == ClaimState::None).then(|| key.claim.key.clone())
     }
 
-    async fn checked(
+    async fn reconcile(
         &mut self,
         key: Option<IdempotencyKey>,
         reply: Option<Reply>,
     ) -> Option<Reply> {
         match (key, reply) {
             (Some(key), Some(Reply::Problem(problem))) => {
-                let workspace = &self.order.workspace;
-                let checked = key::checked(&self.shell, workspace, &key, problem).await;
-                Some(Reply::Problem(checked))
+                let workspace = &self.job.workspace;
+                let problem = key::reconcile_problem(&self.context, workspace, &key, problem).await;
+                Some(Reply::Problem(problem))
             }
             (_, reply) => reply,
         }
     }
 
-    /// Tokens that count against the workspace's limit.
-    fn tokens_used(&self, ending: &Ending) -> u64 {
+    /// Returns the tokens that count against the workspace's limit.
+    fn count_used_tokens(&self, ending: &Ending) -> u64 {
         let counted = self.usage.prompt_tokens + self.usage.completion_tokens;
         match ending {
             Ending::NotRun { .. } => 0,
             _ if counted > 0 => counted,
             _ if self.received == 0 => 0,
-            _ => self.order.routing.prompt_tokens + self.received,
+            _ => self.job.routing.prompt_tokens + self.received,
         }
     }
 
     async fn settle_key(&mut self, ending: &Ending) {
-        match (self.order.key.take(), self.claim) {
-            (Some(key), ClaimState::Granted) => key.settle(&self.shell, ending).await,
-            (Some(key), ClaimState::Open) => key.free(&self.shell),
+        match (self.job.key.take(), self.claim) {
+            (Some(key), ClaimState::Granted) => key.settle(&self.context, ending).await,
+            (Some(key), ClaimState::InFlight) => key.release(&self.context),
             _ => {}
         }
     }
 
-    fn record(&self, ending: &Ending) {
-        let metrics = &self.shell.metrics;
+    fn record_ending(&self, ending: &Ending) {
+        let metrics = &self.context.metrics;
         let name = problem::ending_name(ending);
         metrics.in_flight.dec();
         metrics.ended.with_label_values(&[name]).inc();
@@ -97,17 +97,17 @@
             .target
             .as_ref()
             .map_or("", |target| target.endpoint.as_str());
-        info!(self.shell.logger, ""; "event" => "request_ended", "request" => %self.order.request,
-            "workspace" => %self.order.workspace, "service" => %self.order.service,
-            "ending" => name, "attempts" => self.made, "endpoint" => endpoint,
-            "prompt_tokens" => self.order.routing.prompt_tokens, "tokens" => self.received,
-            "millis" => (self.shell.clock.now() - self.arrived).as_millis() as u64);
+        info!(self.context.logger, ""; "event" => "request_ended", "request" => %self.job.request,
+            "workspace" => %self.job.workspace, "service" => %self.job.service,
+            "ending" => name, "attempts" => self.dispatches, "endpoint" => endpoint,
+            "prompt_tokens" => self.job.routing.prompt_tokens, "tokens" => self.received,
+            "millis" => (self.context.clock.now() - self.arrived).as_millis() as u64);
     }
 }
 
-/// A slow caller gets its last word within a bound, or a cut stream.
-async fn last_word(replies: &mpsc::Sender<Reply>, reply: Option<Reply>) {
+/// Sends the last reply. A caller that doesn't take it in time gets a truncated stream.
+async fn send_last_reply(replies: &mpsc::Sender<Reply>, reply: Option<Reply>) {
     if let Some(reply) = reply {
-        let _ = replies.send_timeout(reply, LAST_WORD).await;
+        let _ = replies.send_timeout(reply, LAST_REPLY_TIMEOUT).await;
     }
 }
--- a/crates/kumquatdrum_host/src/request/job.rs
+++ b/crates/kumquatdrum_host/src/request/job.rs
@@ -1,4 +1,4 @@
-//! What a request needs to be carried out.
+//! An admitted request.
 
 use kumquatdrum_caller::admission::Ask;
 use kumquatdrum_daemon::body::Allocation;
@@ -10,26 +10,26 @@
 use crate::key::Key;
 use crate::quota::Permit;
 
-/// One request with everything that it needs to be carried out.
-pub struct Order {
-    /// Its name.
+/// An admitted request with the resources that it holds.
+pub struct Job {
+    /// The name of the request.
     pub request: RequestId,
-    /// Whose it is.
+    /// The workspace of the caller.
     pub workspace: WorkspaceName,
-    /// What it asks for.
+    /// The request as the caller sent it.
     pub ask: Ask,
     /// The service.
     pub service: ServiceName,
-    /// What the router needs to know; excluded endpoints are filled in.
+    /// The request to the router; excluded endpoints are set for each attempt.
     pub routing: routing::Ask,
-    /// What is fixed from its start.
+    /// The policy of its life cycle.
     pub policy: Policy,
-    /// Its idempotency key, with what a claim needs.
+    /// The idempotency key, if the request has one.
     pub key: Option<Key>,
-    /// Bytes set aside for its body.
-    pub hold: Allocation,
-    /// What the shutdown waits for.
+    /// The memory allocated to the body.
+    pub allocation: Allocation,
+    /// The registration that delays a shutdown until the request has ended.
     pub work: Work,
-    /// The slot in its workspace's limits, returned at the end.
+    /// The share of the workspace's limits, released at the end.
     pub permit: Permit,
 }
--- a/crates/kumquatdrum_host/src/reservations.rs
+++ b/crates/kumquatdrum_host/src/reservations.rs
@@ -1,4 +1,4 @@
-//! Memory reserved at several engines for prompts that exceed one.
+//! Memory reservations at several engines for prompts that exceed the memory of one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,19 +14,19 @@
 
 use kumquatdrum_process::clock::Clock;
 
-const LONGEST_SLEEP: Duration = Duration::from_millis(500);
+const MAX_SLEEP: Duration = Duration::from_millis(500);
 
-/// One attempt's reservations as the request sees them.
-pub struct Reserved {
-    /// Resolves once all parts are reserved; an error where that failed.
+/// The reservation of one attempt.
+pub struct Reservation {
+    /// Resolves once all parts are reserved, with an error if that fails.
     pub ready: oneshot::Receiver<()>,
-    /// Resolves where a part is lost after that.
+    /// Resolves if a part is lost after that.
     pub lost: oneshot::Receiver<()>,
 }
 
-struct Waiting {
+struct Pending {
     targets: IndexMap<EndpointId, Target>,
-    /// Once dispatched, the attempt itself holds the memory at this engine.
+    /// The engine that the attempt was dispatched to, where it holds the memory itself.
     head: Option<EndpointId>,
     ready: Option<oneshot::Sender<()>>,
     lost: Option<oneshot::Sender<()>>,
@@ -35,45 +35,45 @@
 #[derive(Default)]
 struct State {
     table: Table,
-    waiting: IndexMap<AttemptId, Waiting>,
+    pending: IndexMap<AttemptId, Pending>,
 }
 
 /// All reservations of this host.
-pub struct Gangs {
+pub struct Reservations {
     host: HostId,
     clock: Clock,
     engine: Arc<dyn Engine>,
     state: Mutex<State>,
-    woken: Notify,
+    wake: Notify,
     calls: Mutex<JoinSet<()>>,
 }
 
-impl Gangs {
-    /// Nothing reserved.
+impl Reservations {
+    /// Creates a set without reservations.
     pub fn new(host: HostId, clock: Clock, engine: Arc<dyn Engine>) -> Self {
         Self {
             host,
             clock,
             engine,
             state: Mutex::default(),
-            woken: Notify::new(),
+            wake: Notify::new(),
             calls: Mutex::default(),
         }
     }
 
-    /// Reserves all parts, or none, by `expires`.
+    /// Reserves all parts or none until `expires`.
     pub fn reserve(
         self: &Arc<Self>,
         attempt: &AttemptId,
         parts: Vec<(Target, u64)>,
         expires: Moment,
-    ) -> Reserved {
+    ) -> Reservation {
         let (ready, is_ready) = oneshot::channel();
         let (lost, is_lost) = oneshot::channel();
         let targets = parts
             .iter()
             .map(|(target, _)| (target.endpoint.clone(), target.clone()));
-        let waiting = Waiting {
+        let entry = Pending {
             targets: targets.collect(),
             head: None,
             ready: Some(ready),
@@ -84,63 +84,61 @@
             tokens,
         });
         let mut state = self.state.lock();
-        state.waiting.insert(attempt.clone(), waiting);
+        state.pending.insert(attempt.clone(), entry);
         let now = self.clock.now();
         let outputs = state.table.begin(now, attempt.clone(), parts, expires);
-        self.carry_out(&mut state, outputs);
-        self.woken.notify_one();
-        Reserved {
+        self.execute(&mut state, outputs);
+        self.wake.notify_one();
+        Reservation {
             ready: is_ready,
             lost: is_lost,
         }
     }
 
-    /// The attempt was sent to this engine under its reservation there.
-    pub fn dispatched(&self, attempt: &AttemptId, head: &EndpointId) {
-        if let Some(waiting) = self.state.lock().waiting.get_mut(attempt) {
-            waiting.head = Some(head.clone());
+    /// Records the engine that an attempt was dispatched to.
+    pub fn set_head(&self, attempt: &AttemptId, head: &EndpointId) {
+        if let Some(entry) = self.state.lock().pending.get_mut(attempt) {
+            entry.head = Some(head.clone());
         }
     }
 
-    /// The attempt is over: everything is released.
-    pub fn end(self: &Arc<Self>, attempt: &AttemptId) {
+    /// Releases all parts of an attempt that has ended.
+    pub fn release(self: &Arc<Self>, attempt: &AttemptId) {
         let mut state = self.state.lock();
         let outputs = state.table.end(self.clock.now(), attempt);
-        self.carry_out(&mut state, outputs);
-        self.woken.notify_one();
+        self.execute(&mut state, outputs);
+        self.wake.notify_one();
     }
 
-    /// Whether nothing is reserved and nothing is left to release.
+    /// Whether nothing is reserved or awaits its release.
     pub fn is_idle(&self) -> bool {
         self.state.lock().table.is_empty()
     }
 
-    /// An engine is dead, and with it what was reserved there.
-    pub fn gone(self: &Arc<Self>, engine: &EndpointId) {
+    /// Removes an engine that is gone, with its reservations.
+    pub fn remove_engine(self: &Arc<Self>, engine: &EndpointId) {
         let mut state = self.state.lock();
         let outputs = state.table.gone(self.clock.now(), engine);
-        self.carry_out(&mut state, outputs);
-        self.woken.notify_one();
+        self.execute(&mut state, outputs);
+        self.wake.notify_one();
     }
 
-    /// Renews, repeats and gives up until `stopped` resolves.
+    /// Renews, retries and expires reservations until `stopped` resolves.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
         loop {
             let next = {
                 let mut state = self.state.lock();
                 let outputs = state.table.tick(self.clock.now());
-                self.carry_out(&mut state, outputs);
-                let State { table, waiting } = &mut *state;
-                waiting.retain(|attempt, _| table.contains(attempt));
+                self.execute(&mut state, outputs);
+                let State { table, pending } = &mut *state;
+                pending.retain(|attempt, _| table.contains(attempt));
                 table.next_wake()
             };
             while self.calls.lock().try_join_next().is_some() {}
-            let due = self
-                .clock
-                .instant(next.min(self.clock.now() + LONGEST_SLEEP));
+            let due = self.clock.instant(next.min(self.clock.now() + MAX_SLEEP));
             tokio::select! {
                 () = tokio::time::sleep_until(due) => {}
-                () = self.woken.notified() => {}
+                () = self.wake.notified() => {}
                 _ = stopped.wait_for(|stopped| *stopped) => break,
             }
         }
@@ -148,22 +146,22 @@
         calls.shutdown().await;
     }
 
-    fn carry_out(self: &Arc<Self>, state: &mut State, outputs: Vec<Output>) {
+    fn execute(self: &Arc<Self>, state: &mut State, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Ready(attempt) => {
-                    let waiting = state.waiting.get_mut(&attempt);
-                    if let Some(ready) = waiting.and_then(|waiting| waiting.ready.take()) {
+                    let entry = state.pending.get_mut(&attempt);
+                    if let Some(ready) = entry.and_then(|entry| entry.ready.take()) {
                         let _ = ready.send(());
                     }
                 }
                 Output::Failed(attempt) => {
-                    let Some(waiting) = state.waiting.get_mut(&attempt) else {
+                    let Some(entry) = state.pending.get_mut(&attempt) else {
                         continue;
                     };
-                    // A part that never came is told by dropping the sender.
-                    let was_ready = waiting.ready.take().is_none();
-                    if let Some(lost) = waiting.lost.take().filter(|_| was_ready) {
+                    // Dropping the `ready` sender reports that the reservation failed.
+                    let was_ready = entry.ready.take().is_none();
+                    if let Some(lost) = entry.lost.take().filter(|_| was_ready) {
                         let _ = lost.send(());
                     }
                 }
@@ -171,59 +169,65 @@
                     attempt,
                     part,
                     time_to_live,
-                } => self.ask(state, &attempt, part, time_to_live),
-                Output::Release { attempt, engine } => self.release(state, attempt, engine),
+                } => self.send_reserve(state, &attempt, part, time_to_live),
+                Output::Release { attempt, engine } => self.send_release(state, attempt, engine),
             }
         }
     }
 
-    fn ask(self: &Arc<Self>, state: &State, attempt: &AttemptId, part: Part, ttl: Duration) {
-        let Some(waiting) = state.waiting.get(attempt) else {
+    fn send_reserve(
+        self: &Arc<Self>,
+        state: &State,
+        attempt: &AttemptId,
+        part: Part,
+        ttl: Duration,
+    ) {
+        let Some(entry) = state.pending.get(attempt) else {
             return;
         };
-        let is_head = waiting.head.as_ref() == Some(&part.engine);
-        let Some(target) = waiting.targets.get(&part.engine).cloned() else {
+        let is_head = entry.head.as_ref() == Some(&part.engine);
+        let Some(target) = entry.targets.get(&part.engine).cloned() else {
             return;
         };
-        let gangs = Arc::clone(self);
+        let reservations = Arc::clone(self);
         let attempt = attempt.clone();
         self.calls.lock().spawn(async move {
             let granted = if is_head {
                 Ok(true)
             } else {
-                let owner = &gangs.host;
-                gangs
+                let owner = &reservations.host;
+                reservations
                     .engine
                     .reserve(&target, &attempt, owner, part.tokens, ttl)
                     .await
             };
             match granted {
-                Ok(true) => gangs.answered(&attempt, &part.engine, Answer::Granted),
-                Ok(false) => gangs.answered(&attempt, &part.engine, Answer::Busy),
+                Ok(true) => reservations.handle_answer(&attempt, &part.engine, Answer::Granted),
+                Ok(false) => reservations.handle_answer(&attempt, &part.engine, Answer::Busy),
                 Err(_) => {}
             }
         });
     }
 
-    fn release(self: &Arc<Self>, state: &State, attempt: AttemptId, engine: EndpointId) {
-        let waiting = state.waiting.get(&attempt);
-        let Some(target) = waiting.and_then(|waiting| waiting.targets.get(&engine).cloned()) else {
+    fn send_release(self: &Arc<Self>, state: &State, attempt: AttemptId, engine: EndpointId) {
+        let entry = state.pending.get(&attempt);
+        let Some(target) = entry.and_then(|entry| entry.targets.get(&engine).cloned()) else {
             return;
         };
-        let gangs = Arc::clone(self);
+        let reservations = Arc::clone(self);
         self.calls.lock().spawn(async move {
-            if gangs.engine.release(&target, &attempt).await.is_ok() {
-                gangs.answered(&attempt, &engine, Answer::Released);
+            if reservations.engine.release(&target, &attempt).await.is_ok() {
+                reservations.handle_answer(&attempt, &engine, Answer::Released);
             }
         });
     }
 
-    fn answered(self: &Arc<Self>, attempt: &AttemptId, engine: &EndpointId, answer: Answer) {
+    fn handle_answer(self: &Arc<Self>, attempt: &AttemptId, engine: &EndpointId, answer: Answer) {
         let mut state = self.state.lock();
         let outputs = state
             .table
             .answer(self.clock.now(), attempt, engine, answer);
-        self.carry_out(&mut state, outputs);
-        self.woken.notify_one();
+        self.execute(&mut state, outputs);
+        self.wake.notify_one();
     }
 }
--- a/crates/kumquatdrum_host/src/routers.rs
+++ b/crates/kumquatdrum_host/src/routers.rs
@@ -1,4 +1,4 @@
-//! The routers of all services, in shards, a lock each.
+//! The routers of all services, in shards with one lock each.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,28 +15,28 @@
 
 use kumquatdrum_process::clock::Clock;
 
-/// Shards; services spread over them by their names.
+/// The number of shards; a service's name selects its shard.
 const SHARDS: usize = 16;
-/// A router without a due time is looked at this often all the same.
-const LONGEST_SLEEP: Duration = Duration::from_secs(1);
+/// The longest time between two ticks of a shard.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Where a request goes, or why nowhere.
+/// The router's decision on a request.
 #[derive(Debug)]
 pub enum Decision {
-    /// Send it there.
+    /// The request is placed.
     Placed(Placement),
-    /// Nothing of it runs.
+    /// The request is refused and doesn't run.
     Refused(Refusal, Option<Duration>),
 }
 
-/// A dispatch that the router decided on.
+/// The placement of one attempt.
 #[derive(Debug, Clone)]
 pub struct Placement {
-    /// Where to, with each endpoint's memory in tokens; several for a prompt that exceeds one.
+    /// The endpoints and their memory in tokens; several if the prompt exceeds one engine.
     pub targets: Vec<(Target, u64)>,
-    /// The router's number of the attempt.
+    /// The router's number for the attempt.
     pub attempt: u64,
-    /// The priority for the engine; lower goes first.
+    /// The priority at the engine; lower goes first.
     pub priority: u8,
 }
 
@@ -51,12 +51,12 @@
 #[derive(Debug, Default)]
 struct Shard {
     services: Mutex<IndexMap<ServiceName, Service>>,
-    woken: Notify,
+    wake: Notify,
 }
 
-/// All routers of one daemon.
+/// The routers of all services of one daemon.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct Routers {
     clock: Clock,
     owner: HostId,
     owners: Mutex<Vec<String>>,
@@ -75,7 +75,7 @@
         }
     }
 
-    fn tell(&mut self, outputs: Vec<Output>) {
+    fn execute(&mut self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Dispatch(dispatch) => {
@@ -86,30 +86,29 @@
                         attempt: dispatch.attempt,
                         priority: u8::MAX - dispatch.engine_priority,
                     };
-                    self.decided(&dispatch.request, Decision::Placed(placement));
+                    self.send_decision(&dispatch.request, Decision::Placed(placement));
                 }
                 Output::Refuse(refuse) => {
                     let decision = Decision::Refused(refuse.reason, refuse.retry_after);
-                    self.decided(&refuse.request, decision);
+                    self.send_decision(&refuse.request, decision);
                 }
-                // Engines have no whole list to offer beyond the events that they still keep, which
-                // are read from the start after a restart. Until then the router halves what it
-                // believes of the endpoint.
+                // Engines have no snapshot of their cache, so a resync can't be requested. The
+                // router discounts its view of the cache until the engine restarts.
                 Output::Resync(_) => {}
             }
         }
     }
 
-    fn decided(&mut self, request: &RequestId, decision: Decision) {
+    fn send_decision(&mut self, request: &RequestId, decision: Decision) {
         if let Some(waiting) = self.waiting.swap_remove(request) {
-            // A request that is gone has withdrawn, and takes the decision out itself.
+            // The receiver is gone only if the request was withdrawn.
             let _ = waiting.send(decision);
         }
     }
 }
 
-impl Fleet {
-    /// Routers without endpoints.
+impl Routers {
+    /// Creates routers without endpoints.
     pub fn new(clock: Clock, owner: HostId, owners: Vec<String>, seed: u64) -> Self {
         Self {
             clock,
@@ -129,7 +128,11 @@
         &self.shards[hash % SHARDS]
     }
 
-    fn with<T>(&self, name: &ServiceName, work: impl FnOnce(&mut Service, Moment) -> T) -> T {
+    fn with_service<T>(
+        &self,
+        name: &ServiceName,
+        work: impl FnOnce(&mut Service, Moment) -> T,
+    ) -> T {
         let shard = self.shard(name.as_str());
         let mut services = shard.services.lock();
         let service = services
@@ -140,12 +143,12 @@
         let is_earlier = service.router.next_wake() < due;
         drop(services);
         if is_earlier {
-            shard.woken.notify_one();
+            shard.wake.notify_one();
         }
         result
     }
 
-    /// Sets the hosts that share the endpoints.
+    /// Sets the hosts that share the endpoints with this one.
     pub fn set_owners(&self, owners: Vec<String>) {
         for shard in &self.shards {
             for service in shard.services.lock().values_mut() {
@@ -155,9 +158,9 @@
         *self.owners.lock() = owners;
     }
 
-    /// Takes in an announcement.
+    /// Adds or updates an endpoint from its announcement.
     pub fn announce(&self, announcement: &Announcement) {
-        self.with(&announcement.service, |service, now| {
+        self.with_service(&announcement.service, |service, now| {
             let target = Target {
                 endpoint: announcement.endpoint.clone(),
                 boot: announcement.boot,
@@ -170,66 +173,66 @@
             let endpoint = announcement.endpoint.clone();
             service.targets.insert(endpoint, (target, memory));
             let outputs = service.router.announce(now, announcement);
-            service.tell(outputs);
+            service.execute(outputs);
         });
     }
 
-    /// Takes in what membership holds of an endpoint.
+    /// Sets the health of an endpoint.
     pub fn health(&self, name: &ServiceName, endpoint: &EndpointId, health: Health) {
-        self.with(name, |service, now| {
+        self.with_service(name, |service, now| {
             if health == Health::Gone {
                 service.targets.swap_remove(endpoint);
             }
             let outputs = service.router.health(now, endpoint, health);
-            service.tell(outputs);
+            service.execute(outputs);
         });
     }
 
-    /// Takes in a cache event; tells whether events were lost before it.
+    /// Applies a cache event of an engine. Returns whether events before it were lost.
     pub fn cache(&self, name: &ServiceName, endpoint: &EndpointId, event: &CacheEvent) -> bool {
-        self.with(name, |service, now| {
+        self.with_service(name, |service, now| {
             !service.router.cache(now, endpoint, event).is_empty()
         })
     }
 
-    /// Asks for a place; the decision arrives when it is made.
+    /// Submits a request for placement. The receiver resolves with the decision.
     pub fn submit(&self, name: &ServiceName, ask: Ask) -> oneshot::Receiver<Decision> {
         let (sender, receiver) = oneshot::channel();
-        self.with(name, |service, now| {
+        self.with_service(name, |service, now| {
             service.waiting.insert(ask.request.clone(), sender);
             let outputs = service.router.submit(now, ask);
-            service.tell(outputs);
+            service.execute(outputs);
         });
         receiver
     }
 
-    /// Takes a request back. Where the decision was already made it is in the receiver.
+    /// Withdraws a request. A decision that was already made is in the receiver.
     pub fn withdraw(&self, name: &ServiceName, request: &RequestId) {
-        self.with(name, |service, now| {
+        self.with_service(name, |service, now| {
             service.router.withdraw(now, request);
             service.waiting.swap_remove(request);
         });
     }
 
-    /// Tells the router how an attempt goes.
+    /// Reports the progress of an attempt.
     pub fn progress(&self, name: &ServiceName, attempt: u64, progress: Progress) {
-        self.with(name, |service, now| {
+        self.with_service(name, |service, now| {
             let outputs = service.router.progress(now, attempt, progress);
-            service.tell(outputs);
+            service.execute(outputs);
         });
     }
 
-    /// Notes a request in the service's retry budget.
+    /// Counts a request towards the service's retry budget.
     pub fn request(&self, name: &ServiceName) {
-        self.with(name, |service, _| service.budget.request());
+        self.with_service(name, |service, _| service.budget.request());
     }
 
-    /// Takes a retry out of the service's budget; `false` where none is left.
+    /// Takes a retry from the service's budget. Returns `false` if it is exhausted.
     pub fn retry(&self, name: &ServiceName) -> bool {
-        self.with(name, |service, _| service.budget.take())
+        self.with_service(name, |service, _| service.budget.take())
     }
 
-    /// The endpoints of a service that are not gone.
+    /// Returns the endpoints of a service that aren't gone.
     pub fn targets(&self, name: &ServiceName) -> Vec<Target> {
         let shard = self.shard(name.as_str());
         let services = shard.services.lock();
@@ -245,39 +248,39 @@
             .unwrap_or_default()
     }
 
-    /// Keeps the routers' times until `stopped` resolves.
+    /// Ticks the routers until `stopped` resolves.
     pub async fn run(self: Arc<Self>, mut stopped: tokio::sync::watch::Receiver<bool>) {
         let mut tasks = tokio::task::JoinSet::new();
-        for place in 0..SHARDS {
-            let fleet = Arc::clone(&self);
-            tasks.spawn(async move { fleet.keep_time(place).await });
+        for index in 0..SHARDS {
+            let routers = Arc::clone(&self);
+            tasks.spawn(async move { routers.run_shard(index).await });
         }
         let _ = stopped.wait_for(|stopped| *stopped).await;
         tasks.shutdown().await;
     }
 
-    async fn keep_time(&self, place: usize) {
-        let shard = &self.shards[place];
+    async fn run_shard(&self, index: usize) {
+        let shard = &self.shards[index];
         loop {
             let next = shard.tick(self.clock.now());
-            let longest = self.clock.now() + LONGEST_SLEEP;
-            let due = self.clock.instant(next.min(longest));
+            let latest = self.clock.now() + MAX_SLEEP;
+            let due = self.clock.instant(next.min(latest));
             tokio::select! {
                 () = tokio::time::sleep_until(due) => {}
-                () = shard.woken.notified() => {}
+                () = shard.wake.notified() => {}
             }
         }
     }
 }
 
 impl Shard {
-    /// Ticks the routers that are due and says when the next one is.
+    /// Ticks the routers that are due and returns the time of the next tick.
     fn tick(&self, now: Moment) -> Moment {
         let mut next = Moment::NEVER;
         for service in self.services.lock().values_mut() {
             if service.router.next_wake() <= now {
                 let outputs = service.router.tick(now);
-                service.tell(outputs);
+                service.execute(outputs);
             }
             next = next.min(service.router.next_wake());
         }
--- a/crates/kumquatdrum_host/src/settings.rs
+++ b/crates/kumquatdrum_host/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of one host.
+//! Types, parser and checks of a host's settings file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,46 +7,46 @@
 use kumquatdrum_types::{DataCentre, Finding, HostId, digest};
 use serde::Deserialize;
 
-/// Everything that one host must be told.
+/// The settings of one host.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// This host's name.
+    /// The name of this host.
     pub host: HostId,
-    /// Where it stands.
+    /// The data centre of this host.
     pub data_centre: DataCentre,
-    /// The cluster that it belongs to.
+    /// The cluster of this host.
     pub cluster: Cluster,
-    /// Where it listens.
+    /// The addresses of the listeners.
     pub listen: Listen,
-    /// The other hosts that it knows from the start.
+    /// The other hosts of the cluster that are known at startup.
     #[serde(default)]
     pub hosts: Vec<Host>,
-    /// The hosts that keep the replicated log: an odd number, 7 at most.
+    /// The hosts with a replica of the log: an odd number, at most 7.
     pub replicas: Vec<HostId>,
-    /// The data folder; required on replicas, and only there.
+    /// The data folder; required on replicas and refused elsewhere.
     #[serde(default)]
     pub data: Option<PathBuf>,
-    /// Who may apply and read back.
+    /// The operators that can apply and read declarations.
     #[serde(default)]
     pub operators: Vec<Operator>,
-    /// The digest of the key that endpoints announce themselves with.
+    /// The SHA-256 digest of the key with which endpoints announce themselves.
     pub endpoint_key_sha256: String,
-    /// Bounds of this host.
+    /// The limits of this host.
     #[serde(default)]
     pub limits: Limits,
-    /// Times of a graceful shutdown.
+    /// The timeouts of a graceful shutdown.
     #[serde(default)]
     pub drain: Drain,
 }
 
-/// The cluster.
+/// The cluster of a host.
 #[derive(Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cluster {
-    /// Its name.
+    /// The name of the cluster.
     pub name: String,
-    /// The secret that its daemons prove to each other.
+    /// The shared secret by which daemons authenticate each other.
     pub secret: String,
 }
 
@@ -58,56 +58,56 @@
     }
 }
 
-/// The listeners, one for each kind of peer.
+/// The addresses of the listeners, one per kind of client.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// The listener for callers.
     pub callers: SocketAddr,
-    /// For endpoints' announcements.
+    /// The listener for announcements of endpoints.
     pub endpoints: SocketAddr,
-    /// For operators.
+    /// The listener for operators.
     pub operators: SocketAddr,
-    /// For other daemons.
+    /// The listener for other daemons.
     pub peers: SocketAddr,
-    /// For the platform: health, liveness, metrics.
+    /// The listener for the platform: readiness, liveness and metrics.
     pub platform: SocketAddr,
 }
 
-/// Another host.
+/// Another host of the cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
-    /// Its name.
+    /// The name of the host.
     pub host: HostId,
-    /// Where it stands.
+    /// The data centre of the host.
     pub data_centre: DataCentre,
-    /// Its listener for other daemons.
+    /// The address of the host's listener for other daemons.
     pub address: SocketAddr,
 }
 
-/// An operator.
+/// An operator of the cluster.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// The name that the audit trail shows.
+    /// The operator's name in the audit trail.
     pub name: String,
     /// The SHA-256 digest of the operator's key, in lower-case hexadecimal digits.
     pub sha256: String,
 }
 
-/// Bounds of one host.
+/// The limits of one host.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The longest body, in bytes.
+    /// The maximum length of a request body.
     pub body_bytes: u64,
-    /// The most bytes of bodies held at once.
+    /// The maximum number of body bytes held at once.
     pub held_body_bytes: u64,
-    /// Threads for requests; 0 takes one for each core.
+    /// The number of worker threads; 0 means one per core.
     pub threads: usize,
-    /// Loads a minute that the weight store takes. Whichever host leads keeps it, so it should
-    /// be equal on all.
+    /// The number of loads per minute that the weight store permits. Enforced by the leader, so it
+    /// should be equal on all hosts.
     pub loads_per_minute: u32,
 }
 
@@ -122,13 +122,13 @@
     }
 }
 
-/// Times of a graceful shutdown.
+/// The timeouts of a graceful shutdown.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Drain {
-    /// How long new requests are served after the health turned red, in milliseconds.
+    /// How long new requests are served after readiness turns false, in milliseconds.
     pub notice_ms: u64,
-    /// The longest wait for requests under way, in milliseconds; above the longest deadline.
+    /// The longest wait for requests in flight, in milliseconds; must exceed the longest deadline.
     pub longest_ms: u64,
 }
 
@@ -141,12 +141,10 @@
     }
 }
 
-/// The most replicas.
-const MOST_REPLICAS: usize = 7;
-/// A shorter cluster secret is refused.
-const SHORTEST_SECRET: usize = 16;
+const MAX_REPLICAS: usize = 7;
+const MIN_SECRET_BYTES: usize = 16;
 
-/// Reads a settings file. All findings come at once, each with its place.
+/// Parses and checks the text of a settings file.
 ///
 /// ```
 /// let findings = kumquatdrum_host::settings::parse("{}").unwrap_err();
@@ -182,7 +180,7 @@
         .collect()
 }
 
-/// What is wrong with settings that could be read.
+/// Returns the findings of the semantic checks.
 pub fn check(settings: &Settings) -> Vec<Finding> {
     let mut findings = Vec::new();
     check_replicas(settings, &mut findings);
@@ -195,19 +193,20 @@
 
 fn check_replicas(settings: &Settings, findings: &mut Vec<Finding>) {
     let replicas = &settings.replicas;
-    if replicas.len().is_multiple_of(2) || replicas.len() > MOST_REPLICAS {
-        let message = format!("must name an odd number of hosts, {MOST_REPLICAS} at most");
+    if replicas.len().is_multiple_of(2) || replicas.len() > MAX_REPLICAS {
+        let message = format!("must name an odd number of hosts, at most {MAX_REPLICAS}");
         findings.push(Finding::new("/replicas", message));
     }
-    for (place, replica) in replicas.iter().enumerate() {
-        let known = *replica == settings.host || settings.hosts.iter().any(|h| h.host == *replica);
-        if !known {
-            let message = format!("host {replica} stands neither in /hosts nor in /host");
-            findings.push(Finding::new(format!("/replicas/{place}"), message));
+    for (index, replica) in replicas.iter().enumerate() {
+        let is_known =
+            *replica == settings.host || settings.hosts.iter().any(|h| h.host == *replica);
+        if !is_known {
+            let message = format!("host {replica} is neither in /hosts nor in /host");
+            findings.push(Finding::new(format!("/replicas/{index}"), message));
         }
-        if replicas[..place].contains(replica) {
-            let message = format!("host {replica} stands twice");
-            findings.push(Finding::new(format!("/replicas/{place}"), message));
+        if replicas[..index].contains(replica) {
+            let message = format!("host {replica} is listed twice");
+            findings.push(Finding::new(format!("/replicas/{index}"), message));
         }
     }
     let is_replica = replicas.contains(&settings.host);
@@ -222,10 +221,10 @@
 
 fn check_hosts(settings: &Settings, findings: &mut Vec<Finding>) {
     let mut seen = IndexSet::from([&settings.host]);
-    for (place, host) in settings.hosts.iter().enumerate() {
+    for (index, host) in settings.hosts.iter().enumerate() {
         if !seen.insert(&host.host) {
-            let message = format!("host {} stands twice", host.host);
-            findings.push(Finding::new(format!("/hosts/{place}/host"), message));
+            let message = format!("host {} is listed twice", host.host);
+            findings.push(Finding::new(format!("/hosts/{index}/host"), message));
         }
     }
 }
@@ -239,10 +238,10 @@
         ("peers", listen.peers),
         ("platform", listen.platform),
     ];
-    for (place, (name, address)) in named.iter().enumerate() {
-        let taken = named[..place].iter().any(|(_, other)| other == address);
-        if taken && address.port() != 0 {
-            let message = format!("{address} is another listener's too");
+    for (index, (name, address)) in named.iter().enumerate() {
+        let is_taken = named[..index].iter().any(|(_, other)| other == address);
+        if is_taken && address.port() != 0 {
+            let message = format!("{address} is also the address of another listener");
             findings.push(Finding::new(format!("/listen/{name}"), message));
         }
     }
@@ -250,16 +249,16 @@
 
 fn check_secrets(settings: &Settings, findings: &mut Vec<Finding>) {
     const DIGEST: &str = "must be a SHA-256 digest in 64 lower-case hexadecimal digits";
-    if settings.cluster.secret.len() < SHORTEST_SECRET {
-        let message = format!("must have at least {SHORTEST_SECRET} bytes");
+    if settings.cluster.secret.len() < MIN_SECRET_BYTES {
+        let message = format!("must have at least {MIN_SECRET_BYTES} bytes");
         findings.push(Finding::new("/cluster/secret", message));
     }
     if !digest::is_hex(&settings.endpoint_key_sha256) {
         findings.push(Finding::new("/endpoint_key_sha256", DIGEST));
     }
-    for (place, operator) in settings.operators.iter().enumerate() {
+    for (index, operator) in settings.operators.iter().enumerate() {
         if !digest::is_hex(&operator.sha256) {
-            let place = format!("/operators/{place}/sha256");
+            let place = format!("/operators/{index}/sha256");
             findings.push(Finding::new(place, DIGEST));
         }
     }
--- a/crates/kumquatdrum_host/src/web.rs
+++ b/crates/kumquatdrum_host/src/web.rs
@@ -1,4 +1,4 @@
-//! Launching a rocket instance on one listener.
+//! HTTP servers, one per listener.
 
 use std::net::SocketAddr;
 
@@ -8,29 +8,29 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// rocket waits this long for answers under way once it is told to stop; it is told only after
-/// the daemon's own work has run out.
+/// How long a server waits for responses in flight at shutdown. The daemon stops it only after its
+/// requests have ended.
 const GRACE_SECONDS: u32 = 5;
 const MERCY_SECONDS: u32 = 1;
 
-/// A listener that serves.
-pub struct Web {
-    /// Where it listens.
+/// A running HTTP server.
+pub struct Server {
+    /// The address of the listener.
     pub address: SocketAddr,
     shutdown: rocket::Shutdown,
     task: JoinHandle<Result<Rocket<Ignite>, rocket::Error>>,
 }
 
-/// A listener could not be opened.
+/// The error for a listener that can't be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("the {name} listener can't be opened on {address}: {reason}")]
-pub struct Failed {
+pub struct Error {
     name: &'static str,
     address: SocketAddr,
     reason: String,
 }
 
-/// A rocket that leaves signals and logs to the daemon.
+/// Builds a server that leaves signal handling and logging to the daemon.
 pub fn build(address: SocketAddr) -> Rocket<Build> {
     let mut shutdown = Shutdown {
         ctrlc: false,
@@ -52,13 +52,13 @@
     rocket::custom(config)
 }
 
-/// Launches a rocket and waits until it listens.
+/// Launches a server and waits until it listens.
 pub async fn launch(
     name: &'static str,
     address: SocketAddr,
     rocket: Rocket<Build>,
-) -> Result<Web, Failed> {
-    let failed = |reason: String| Failed {
+) -> Result<Server, Error> {
+    let failed = |reason: String| Error {
         name,
         address,
         reason,
@@ -77,26 +77,26 @@
     let shutdown = ignited.shutdown();
     let task = tokio::spawn(ignited.launch());
     match listens.await {
-        Ok(address) => Ok(Web {
+        Ok(address) => Ok(Server {
             address,
             shutdown,
             task,
         }),
         Err(_) => match task.await {
             Ok(Err(error)) => Err(failed(error.to_string())),
-            _ => Err(failed("it stopped at once".to_owned())),
+            _ => Err(failed("the server stopped at once".to_owned())),
         },
     }
 }
 
-impl Web {
-    /// Ends the listener at once.
+impl Server {
+    /// Aborts the server.
     pub async fn kill(self) {
         self.task.abort();
         let _ = self.task.await;
     }
 
-    /// Stops listening, lets answers under way end, and joins the listener.
+    /// Stops listening and waits for the responses in flight.
     pub async fn stop(self) {
         self.shutdown.notify();
         let _ = self.task.await;
--- a/crates/kumquatdrum_host/tests/callers.rs
+++ b/crates/kumquatdrum_host/tests/callers.rs
@@ -1,11 +1,11 @@
-//! What callers may and may not: keys, bad input, bounds.
+//! Authorization, validation and limits of callers' requests.
 
 mod support;
 
 use kumquatdrum_host::embedded::{ENDPOINT_KEY, OPERATOR_KEY};
 use kumquatdrum_types::Version;
 use serde_json::{Value, json};
-use support::{CALLER_KEY, Got, System, answer, call, completion, got};
+use support::{CALLER_KEY, Response, System, answer, call, completion, send};
 
 fn post(url: &str, key: Option<&str>, body: impl Into<reqwest::Body>) -> reqwest::RequestBuilder {
     let request = reqwest::Client::new().post(url).body(body);
@@ -33,18 +33,18 @@
         (&endpoints, Some(CALLER_KEY)),
     ];
     for (url, key) in wrong {
-        let got = got(post(url, key, "{}")).await;
-        assert_eq!(got.status, 401, "{url} {key:?} {got:?}");
+        let response = send(post(url, key, "{}")).await;
+        assert_eq!(response.status, 401, "{url} {key:?} {response:?}");
     }
     system.stop().await;
 }
 
-async fn refused(system: &System, body: Value, headers: &[(&str, &str)]) -> Got {
+async fn send_with_headers(system: &System, body: Value, headers: &[(&str, &str)]) -> Response {
     let mut request = call(system.callers(0), &body);
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    got(request).await
+    send(request).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -119,15 +119,19 @@
         ),
     ];
     for (body, headers, status, code, message) in cases {
-        let got = refused(&system, body, &headers).await;
-        assert_eq!((got.status, got.code().as_str()), (status, code), "{got:?}");
-        assert_eq!(got.class(), "not_run", "{got:?}");
-        assert!(got.body.contains(message), "{message}: {got:?}");
-        assert_eq!(got.retry_after, None, "{got:?}");
+        let response = send_with_headers(&system, body, &headers).await;
+        assert_eq!(
+            (response.status, response.code().as_str()),
+            (status, code),
+            "{response:?}"
+        );
+        assert_eq!(response.class(), "not_run", "{response:?}");
+        assert!(response.body.contains(message), "{message}: {response:?}");
+        assert_eq!(response.retry_after, None, "{response:?}");
     }
     assert_eq!(engine.counts().received, 0);
-    let got = got(call(system.callers(0), &good)).await;
-    assert_eq!(got.text(), answer("shade", 2));
+    let response = send(call(system.callers(0), &good)).await;
+    assert_eq!(response.text(), answer("shade", 2));
     engine.shutdown().await;
     system.stop().await;
 }
@@ -140,9 +144,9 @@
     let request = post(&url, Some(CALLER_KEY), "abc")
         .header("x-attempt-id", "forged")
         .header("x-owner", "forged");
-    let got = got(request).await;
-    assert_eq!(got.status, 200, "{got:?}");
-    assert!(!got.body.contains("forged"), "{got:?}");
+    let response = send(request).await;
+    assert_eq!(response.status, 200, "{response:?}");
+    assert!(!response.body.contains("forged"), "{response:?}");
     service.shutdown().await;
     system.stop().await;
 }
@@ -153,7 +157,7 @@
     let body = vec![b'x'; 33 << 20];
     let url = format!("http://{}/v1/completions", system.callers(0));
     let sent = post(&url, Some(CALLER_KEY), body).send().await;
-    // The answer may come while the body is still being sent, and then the connection ends.
+    // The response may arrive while the body is being sent; the connection is then closed.
     if let Ok(response) = sent {
         assert_eq!(response.status().as_u16(), 413);
     }
@@ -178,26 +182,26 @@
     let body = completion(&prompt, 1, false).to_string();
     let address = system.callers(0);
     let client = reqwest::Client::new();
-    let asked: Vec<_> = (0..PROMPTS)
+    let pending: Vec<_> = (0..PROMPTS)
         .map(|_| {
             let request = client
                 .post(format!("http://{address}/v1/completions"))
                 .bearer_auth(CALLER_KEY)
                 .header("x-deadline-ms", "60000")
                 .body(body.clone());
-            tokio::spawn(got(request))
+            tokio::spawn(send(request))
         })
         .collect();
     let (mut finished, mut refused) = (0, 0);
-    for asked in asked {
-        let got = asked.await.expect("the caller lives");
+    for pending in pending {
+        let response = pending.await.expect("the caller finishes");
         assert!(system.hosts[0].body_bytes() <= 64 << 20);
-        if got.status == 200 {
+        if response.status == 200 {
             finished += 1;
             continue;
         }
-        assert_eq!(got.class(), "not_run", "{}", got.body);
-        assert!(got.retry_after.is_some(), "{}", got.body);
+        assert_eq!(response.class(), "not_run", "{}", response.body);
+        assert!(response.retry_after.is_some(), "{}", response.body);
         refused += 1;
     }
     assert_eq!(finished + refused, PROMPTS);
@@ -223,24 +227,24 @@
     let text = declaration.to_string();
     let applied = kumquatdrum_host::embedded::apply(&system.hosts, Version(1), &text).await;
     applied.expect("the declaration is accepted");
-    let asked: Vec<_> = (0..12)
+    let pending: Vec<_> = (0..12)
         .map(|_| {
-            tokio::spawn(got(call(
+            tokio::spawn(send(call(
                 system.callers(0),
                 &completion("shade", 20, false),
             )))
         })
         .collect();
     let mut refused = 0;
-    for asked in asked {
-        let got = asked.await.expect("the caller lives");
-        if got.status != 200 {
+    for pending in pending {
+        let response = pending.await.expect("the caller finishes");
+        if response.status != 200 {
             assert_eq!(
-                (got.status, got.code().as_str()),
+                (response.status, response.code().as_str()),
                 (429, "concurrency_limited"),
-                "{got:?}"
+                "{response:?}"
             );
-            assert!(got.retry_after.is_some());
+            assert!(response.retry_after.is_some());
             refused += 1;
         }
     }
--- a/crates/kumquatdrum_host/tests/faults.rs
+++ b/crates/kumquatdrum_host/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The path under faults of engines: what callers are told, and what really ran.
+//! Requests under engine faults: responses to callers and the number of runs.
 
 mod support;
 
@@ -7,14 +7,14 @@
 use kumquatdrum_testing::{Engine, Fault};
 use kumquatdrum_types::digest;
 use reqwest::RequestBuilder;
-use support::{Got, System, answer, call, completion, got, streamed_text};
+use support::{Response, System, answer, call, completion, send, streamed_text};
 
 const PROMPT: &str = "shade 7.1 over 6.0, foils half done";
 const TOKENS: u32 = 20;
 const SLOW_STEP: Duration = Duration::from_millis(25);
 
-/// A host with engines whose answers take half a second, so that faults strike in between.
-async fn slow(engines: usize) -> (System, Vec<Engine>) {
+/// Starts a host with engines that are slow enough for a fault to occur during an answer.
+async fn start_slow(engines: usize) -> (System, Vec<Engine>) {
     let system = System::start(1).await;
     let mut started = Vec::new();
     for number in 0..engines {
@@ -25,20 +25,20 @@
     (system, started)
 }
 
-async fn end(system: System, engines: Vec<Engine>) {
+async fn stop(system: System, engines: Vec<Engine>) {
     for engine in engines {
         engine.shutdown().await;
     }
     system.stop().await;
 }
 
-fn ask(system: &System, stream: bool, idempotent: bool) -> RequestBuilder {
+fn build_request(system: &System, stream: bool, idempotent: bool) -> RequestBuilder {
     let body = completion(PROMPT, TOKENS.into(), stream);
     call(system.callers(0), &body).header("x-idempotent", idempotent.to_string())
 }
 
-/// The engine that works on something, once one does.
-async fn busy(engines: &[Engine]) -> usize {
+/// Waits for an engine that runs a request.
+async fn wait_until_busy(engines: &[Engine]) -> usize {
     for _ in 0..5_000 {
         let found = engines
             .iter()
@@ -48,10 +48,10 @@
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    panic!("no engine took the request");
+    panic!("no engine ran the request");
 }
 
-fn runs(engines: &[Engine]) -> u32 {
+fn count_runs(engines: &[Engine]) -> u32 {
     let prompt = digest::hex(PROMPT.as_bytes());
     let counts = engines.iter().map(Engine::counts);
     counts
@@ -59,206 +59,226 @@
         .sum()
 }
 
-/// Orders a fault at the engine that took the request, after it began.
-async fn strike(system: &System, engines: &[Engine], ask: RequestBuilder, fault: Fault) -> Got {
-    let asked = tokio::spawn(got(ask));
-    let place = busy(engines).await;
+/// Sends a request and injects a fault into its engine while the answer is being generated.
+async fn send_with_fault(
+    system: &System,
+    engines: &[Engine],
+    request: RequestBuilder,
+    fault: Fault,
+) -> Response {
+    let response = tokio::spawn(send(request));
+    let index = wait_until_busy(engines).await;
     tokio::time::sleep(4 * SLOW_STEP).await;
-    engines[place].order(&fault);
+    engines[index].order(&fault);
     let _ = system;
-    asked.await.expect("the caller lives")
+    response.await.expect("the caller finishes")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeatable_request_survives_its_engine() {
-    let (system, engines) = slow(2).await;
-    let got = strike(&system, &engines, ask(&system, false, true), Fault::Die).await;
+async fn an_idempotent_request_survives_the_death_of_its_engine() {
+    let (system, engines) = start_slow(2).await;
+    let response = send_with_fault(
+        &system,
+        &engines,
+        build_request(&system, false, true),
+        Fault::Die,
+    )
+    .await;
     assert_eq!(
-        (got.status, got.text()),
+        (response.status, response.text()),
         (200, answer(PROMPT, TOKENS)),
-        "{got:?}"
+        "{response:?}"
     );
-    end(system, engines).await;
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_cut_by_an_engines_death_never_looks_whole() {
-    let (system, engines) = slow(2).await;
-    let ask = ask(&system, true, true).header("x-deadline-ms", "3000");
-    let got = strike(&system, &engines, ask, Fault::Die).await;
-    assert_eq!(streamed_text(&got.body), None, "{got:?}");
-    assert!(got.body.contains("\"class\":\"failed\""), "{got:?}");
-    end(system, engines).await;
+async fn a_stream_truncated_by_the_death_of_its_engine_has_no_end_marker() {
+    let (system, engines) = start_slow(2).await;
+    let request = build_request(&system, true, true).header("x-deadline-ms", "3000");
+    let response = send_with_fault(&system, &engines, request, Fault::Die).await;
+    assert_eq!(streamed_text(&response.body), None, "{response:?}");
+    assert!(
+        response.body.contains("\"class\":\"failed\""),
+        "{response:?}"
+    );
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_not_to_be_repeated_runs_once_when_its_engine_dies() {
-    let (system, engines) = slow(2).await;
-    let ask = ask(&system, false, false).header("x-deadline-ms", "3000");
-    let got = strike(&system, &engines, ask, Fault::Die).await;
+    let (system, engines) = start_slow(2).await;
+    let request = build_request(&system, false, false).header("x-deadline-ms", "3000");
+    let response = send_with_fault(&system, &engines, request, Fault::Die).await;
     assert!(
-        ["failed", "unknown"].contains(&got.class().as_str()),
-        "{got:?}"
+        ["failed", "unknown"].contains(&response.class().as_str()),
+        "{response:?}"
     );
-    assert_eq!(runs(&engines), 1);
-    end(system, engines).await;
+    assert_eq!(count_runs(&engines), 1);
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_engine_fails_a_request_not_to_be_repeated_within_its_time() {
-    let (system, engines) = slow(2).await;
-    let ask = ask(&system, false, false).header("x-deadline-ms", "3000");
-    let got = strike(&system, &engines, ask, Fault::Freeze).await;
-    assert_eq!(got.status, 504, "{got:?}");
-    assert_eq!(runs(&engines), 1);
-    end(system, engines).await;
+    let (system, engines) = start_slow(2).await;
+    let request = build_request(&system, false, false).header("x-deadline-ms", "3000");
+    let response = send_with_fault(&system, &engines, request, Fault::Freeze).await;
+    assert_eq!(response.status, 504, "{response:?}");
+    assert_eq!(count_runs(&engines), 1);
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_engine_loses_a_repeatable_request_to_another() {
-    let (system, engines) = slow(2).await;
-    let got = strike(&system, &engines, ask(&system, false, true), Fault::Freeze).await;
+async fn an_idempotent_request_moves_from_a_frozen_engine_to_another() {
+    let (system, engines) = start_slow(2).await;
+    let response = send_with_fault(
+        &system,
+        &engines,
+        build_request(&system, false, true),
+        Fault::Freeze,
+    )
+    .await;
     assert_eq!(
-        (got.status, got.text()),
+        (response.status, response.text()),
         (200, answer(PROMPT, TOKENS)),
-        "{got:?}"
+        "{response:?}"
     );
-    end(system, engines).await;
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_on_a_silent_connection_is_resumed() {
     for (stream, idempotent) in [(true, true), (true, false), (false, false)] {
-        let (system, engines) = slow(2).await;
-        let ask = ask(&system, stream, idempotent);
-        let got = strike(&system, &engines, ask, Fault::SilenceOpen).await;
+        let (system, engines) = start_slow(2).await;
+        let request = build_request(&system, stream, idempotent);
+        let response = send_with_fault(&system, &engines, request, Fault::SilenceOpen).await;
         let text = if stream {
-            streamed_text(&got.body)
+            streamed_text(&response.body)
         } else {
-            Some(got.text())
+            Some(response.text())
         };
-        assert_eq!(text, Some(answer(PROMPT, TOKENS)), "{got:?}");
-        assert_eq!(runs(&engines), 1);
-        end(system, engines).await;
+        assert_eq!(text, Some(answer(PROMPT, TOKENS)), "{response:?}");
+        assert_eq!(count_runs(&engines), 1);
+        stop(system, engines).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_pooled_connection_that_went_silent_costs_no_request() {
-    let (system, engines) = slow(1).await;
-    let first = got(ask(&system, false, false)).await;
+async fn a_silent_pooled_connection_fails_no_request() {
+    let (system, engines) = start_slow(1).await;
+    let first = send(build_request(&system, false, false)).await;
     assert_eq!(first.status, 200, "{first:?}");
     engines[0].order(&Fault::SilenceOpen);
-    let second = got(ask(&system, false, false)).await;
+    let second = send(build_request(&system, false, false)).await;
     assert_eq!(
         (second.status, second.text()),
         (200, answer(PROMPT, TOKENS)),
         "{second:?}"
     );
-    assert_eq!(runs(&engines), 2, "one run for each request");
-    end(system, engines).await;
+    assert_eq!(count_runs(&engines), 2, "one run for each request");
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_answer_is_resumed_to_its_end() {
+async fn a_truncated_answer_is_resumed() {
     for broken in [true, false] {
-        let (system, engines) = slow(1).await;
+        let (system, engines) = start_slow(1).await;
         engines[0].order(&Fault::Cut {
             after_tokens: 3,
             count: 1,
             broken,
         });
-        let got = got(ask(&system, true, false)).await;
+        let response = send(build_request(&system, true, false)).await;
         assert_eq!(
-            streamed_text(&got.body),
+            streamed_text(&response.body),
             Some(answer(PROMPT, TOKENS)),
-            "{got:?}"
+            "{response:?}"
         );
-        assert_eq!(runs(&engines), 1);
-        end(system, engines).await;
+        assert_eq!(count_runs(&engines), 1);
+        stop(system, engines).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crossed_answer_never_reaches_the_wrong_caller() {
     for header in [true, false] {
-        let (system, engines) = slow(1).await;
+        let (system, engines) = start_slow(1).await;
         let other = call(
             system.callers(0),
             &completion("another caller's", TOKENS.into(), true),
         );
-        let other = tokio::spawn(got(other));
-        busy(&engines).await;
+        let other = tokio::spawn(send(other));
+        wait_until_busy(&engines).await;
         engines[0].order(&Fault::Cross { count: 1, header });
-        let got = got(ask(&system, true, false)).await;
+        let response = send(build_request(&system, true, false)).await;
         assert_eq!(
-            streamed_text(&got.body),
+            streamed_text(&response.body),
             Some(answer(PROMPT, TOKENS)),
-            "{got:?}"
+            "{response:?}"
         );
-        let other = other.await.expect("the other caller lives");
-        let whole = Some(answer("another caller's", TOKENS));
-        assert_eq!(streamed_text(&other.body), whole, "{other:?}");
-        end(system, engines).await;
+        let other = other.await.expect("the other caller finishes");
+        let expected = Some(answer("another caller's", TOKENS));
+        assert_eq!(streamed_text(&other.body), expected, "{other:?}");
+        stop(system, engines).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_answer_is_waited_for() {
-    let (system, engines) = slow(1).await;
+    let (system, engines) = start_slow(1).await;
     engines[0].order(&Fault::Late {
         ms: 3_000,
         count: 1,
     });
-    let got = got(ask(&system, false, false)).await;
+    let response = send(build_request(&system, false, false)).await;
     assert_eq!(
-        (got.status, got.text()),
+        (response.status, response.text()),
         (200, answer(PROMPT, TOKENS)),
-        "{got:?}"
+        "{response:?}"
     );
-    assert_eq!(runs(&engines), 1);
-    end(system, engines).await;
+    assert_eq!(count_runs(&engines), 1);
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_full_engine_is_no_reason_to_fail() {
-    let (system, engines) = slow(2).await;
+async fn a_request_refused_by_a_full_engine_is_retried() {
+    let (system, engines) = start_slow(2).await;
     for engine in &engines {
         engine.order(&Fault::Refuse { count: 1 });
     }
-    // Each request earns a fifth of a retry.
+    // Each request adds a fifth of a retry to the budget.
     for _ in 0..8 {
-        got(call(system.callers(0), &completion("warm", 1, false))).await;
+        send(call(system.callers(0), &completion("warm", 1, false))).await;
     }
-    let got = got(ask(&system, false, false)).await;
-    assert_eq!(got.status, 200, "{got:?}");
-    assert_eq!(runs(&engines), 1);
-    end(system, engines).await;
+    let response = send(build_request(&system, false, false)).await;
+    assert_eq!(response.status, 200, "{response:?}");
+    assert_eq!(count_runs(&engines), 1);
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_stay_within_their_budget() {
     const REQUESTS: u64 = 60;
-    let (system, engines) = slow(2).await;
+    let (system, engines) = start_slow(2).await;
     for engine in &engines {
         engine.order(&Fault::Fail);
     }
-    let asked: Vec<_> = (0..REQUESTS)
-        .map(|_| tokio::spawn(got(ask(&system, false, true))))
+    let pending: Vec<_> = (0..REQUESTS)
+        .map(|_| tokio::spawn(send(build_request(&system, false, true))))
         .collect();
-    for asked in asked {
-        let got = asked.await.expect("the caller lives");
-        // On a busy machine an engine's 500 can come after the caller's request was given up.
-        assert!(got.status >= 500, "{got:?}");
-        assert_ne!(got.class_or_relayed(), "not_run", "{got:?}");
+    for pending in pending {
+        let response = pending.await.expect("the caller finishes");
+        // On a busy machine a request can time out before the engine's 500 arrives.
+        assert!(response.status >= 500, "{response:?}");
+        assert_ne!(response.class_or_relayed(), "not_run", "{response:?}");
     }
     let attempts: u64 = engines.iter().map(|engine| engine.counts().received).sum();
     assert!(attempts * 10 < REQUESTS * 12, "{attempts} attempts");
-    end(system, engines).await;
+    stop(system, engines).await;
 }
 
-/// Waits until the engines hold nothing any more; the test's own limit of time ends it else.
-async fn idle(engines: &[Engine]) {
+/// Waits until the engines run nothing and hold no memory.
+async fn wait_until_idle(engines: &[Engine]) {
     let is_idle = |engine: &Engine| {
         let counts = engine.counts();
         counts.running == 0 && counts.waiting == 0 && counts.memory_used_tokens == 0
@@ -269,52 +289,52 @@
         }
     };
     let waited = tokio::time::timeout(Duration::from_secs(20), waiting).await;
-    waited.expect("the engines' memory comes back");
+    waited.expect("the engines release their memory");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_is_cancelled_when_its_caller_leaves() {
-    let (system, engines) = slow(1).await;
+    let (system, engines) = start_slow(1).await;
     engines[0].order(&Fault::LoseCancel {
         count: 2,
         done: false,
     });
     let body = completion(PROMPT, 2_000, true);
-    let asked = tokio::spawn(got(
-        call(system.callers(0), &body).header("x-deadline-ms", "60000")
+    let pending = tokio::spawn(send(
+        call(system.callers(0), &body).header("x-deadline-ms", "60000"),
     ));
-    busy(&engines).await;
-    asked.abort();
-    idle(&engines).await;
-    end(system, engines).await;
+    wait_until_busy(&engines).await;
+    pending.abort();
+    wait_until_idle(&engines).await;
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_is_cancelled_when_a_caller_of_a_whole_answer_leaves() {
-    let (system, engines) = slow(1).await;
+async fn an_engine_is_cancelled_when_a_caller_without_streaming_leaves() {
+    let (system, engines) = start_slow(1).await;
     let body = completion(PROMPT, 2_000, false);
-    let asked = tokio::spawn(got(
-        call(system.callers(0), &body).header("x-deadline-ms", "60000")
+    let pending = tokio::spawn(send(
+        call(system.callers(0), &body).header("x-deadline-ms", "60000"),
     ));
-    busy(&engines).await;
-    asked.abort();
-    idle(&engines).await;
-    end(system, engines).await;
+    wait_until_busy(&engines).await;
+    pending.abort();
+    wait_until_idle(&engines).await;
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_is_cancelled_at_the_deadline() {
-    let (system, engines) = slow(1).await;
+    let (system, engines) = start_slow(1).await;
     let body = completion(PROMPT, 100, false);
-    let ask = call(system.callers(0), &body).header("x-deadline-ms", "1500");
-    let got = got(ask).await;
+    let request = call(system.callers(0), &body).header("x-deadline-ms", "1500");
+    let response = send(request).await;
     assert_eq!(
-        (got.status, got.class().as_str()),
+        (response.status, response.class().as_str()),
         (504, "failed"),
-        "{got:?}"
+        "{response:?}"
     );
-    idle(&engines).await;
-    end(system, engines).await;
+    wait_until_idle(&engines).await;
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -328,9 +348,9 @@
             .bearer_auth(support::CALLER_KEY)
             .header("x-test-key", key)
     };
-    assert_eq!(got(order("k1")).await.status, 200);
+    assert_eq!(send(order("k1")).await.status, 200);
     service.order(&Fault::SilenceOpen);
-    let second = got(order("k2")).await;
+    let second = send(order("k2")).await;
     assert_eq!(second.status, 200, "{second:?}");
     let counts = service.counts();
     assert_eq!(counts.runs_by_key.get("k1"), Some(&1));
@@ -343,7 +363,7 @@
 async fn a_caller_that_reads_nothing_holds_nothing_beyond_its_deadline() {
     use tokio::io::AsyncWriteExt;
 
-    let (system, engines) = slow(1).await;
+    let (system, engines) = start_slow(1).await;
     let body = completion(PROMPT, 100, true).to_string();
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {}\r\n\
@@ -353,13 +373,13 @@
     );
     let mut caller = tokio::net::TcpStream::connect(system.callers(0))
         .await
-        .expect("it listens");
+        .expect("the host listens");
     caller
         .write_all(head.as_bytes())
         .await
-        .expect("the request goes out");
-    busy(&engines).await;
-    idle(&engines).await;
+        .expect("the request is sent");
+    wait_until_busy(&engines).await;
+    wait_until_idle(&engines).await;
     let ended = &system.hosts[0].metrics().ended;
     let failed = async {
         while ended.with_label_values(&["failed"]).get() == 0 {
@@ -370,5 +390,5 @@
     waited.expect("the request ends as failed");
     assert_eq!(system.hosts[0].metrics().in_flight.get(), 0);
     drop(caller);
-    end(system, engines).await;
+    stop(system, engines).await;
 }
--- a/crates/kumquatdrum_host/tests/leaving.rs
+++ b/crates/kumquatdrum_host/tests/leaving.rs
@@ -1,28 +1,28 @@
-//! A leaving endpoint over nine hosts.
+//! Propagation of an endpoint's leaving notice over nine hosts.
 
 mod support;
 
 use std::time::Duration;
 
 use kumquatdrum_testing::Engine;
-use support::{System, call, completion, got};
+use support::{System, call, completion, send};
 
 const HOSTS: usize = 9;
-const ASKED_OF_EACH: usize = 4;
-/// What the hosts may take to hear of it.
-const BOUND: Duration = Duration::from_secs(2);
+const REQUESTS_PER_HOST: usize = 4;
+/// The time limit for the notice to reach all hosts.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 
-async fn ask_all(system: &System, hosts: std::ops::Range<usize>) {
+async fn send_to_all(system: &System, hosts: std::ops::Range<usize>) {
     for host in hosts {
-        for number in 0..ASKED_OF_EACH {
+        for number in 0..REQUESTS_PER_HOST {
             let body = completion(&format!("shade {host} {number}"), 2, false);
-            let got = got(call(system.callers(host), &body)).await;
-            assert_eq!(got.status, 200, "{got:?}");
+            let response = send(call(system.callers(host), &body)).await;
+            assert_eq!(response.status, 200, "{response:?}");
         }
     }
 }
 
-async fn known_everywhere(system: &System) {
+async fn wait_until_known(system: &System) {
     for host in 0..HOSTS {
         while system.hosts[host]
             .metrics()
@@ -45,17 +45,27 @@
     let mut system = System::start(HOSTS).await;
     let leaving = system.engine("e1", HOSTS - 1).await;
     let staying = system.engine("e2", 0).await;
-    known_everywhere(&system).await;
-    ask_all(&system, 0..HOSTS).await;
-    assert!(received(&leaving) > 0, "it had work before");
+    wait_until_known(&system).await;
+    send_to_all(&system, 0..HOSTS).await;
+    assert!(
+        received(&leaving) > 0,
+        "the engine received requests before it left"
+    );
 
     leaving.leave().await;
-    let taker = system.hosts.pop().expect("the host that took the notice");
-    taker.kill().await;
-    tokio::time::sleep(BOUND).await;
+    let receiver = system
+        .hosts
+        .pop()
+        .expect("the host that received the notice");
+    receiver.kill().await;
+    tokio::time::sleep(PROPAGATION_LIMIT).await;
     let before = received(&leaving);
-    ask_all(&system, 0..HOSTS - 1).await;
-    assert_eq!(received(&leaving), before, "new work after it left");
+    send_to_all(&system, 0..HOSTS - 1).await;
+    assert_eq!(
+        received(&leaving),
+        before,
+        "the engine received requests after it left"
+    );
     leaving.shutdown().await;
     staying.shutdown().await;
     system.stop().await;
--- a/crates/kumquatdrum_host/tests/long.rs
+++ b/crates/kumquatdrum_host/tests/long.rs
@@ -1,13 +1,13 @@
-//! Prompts longer than one engine.
+//! Prompts that exceed the memory of one engine.
 
 mod support;
 
 use std::time::Duration;
 
 use kumquatdrum_testing::{Engine, Fault};
-use support::{System, answer, call, completion, got};
+use support::{System, answer, call, completion, send};
 
-const MEMORY: u64 = 10_000;
+const MEMORY_TOKENS: u64 = 10_000;
 
 async fn start(engines: usize) -> (System, Vec<Engine>) {
     let system = System::start(1).await;
@@ -15,7 +15,7 @@
     for number in 0..engines {
         let name = format!("e{number}");
         let engine = system.engine_with(&name, 0, |options| {
-            options.sizes.memory_tokens = MEMORY;
+            options.sizes.memory_tokens = MEMORY_TOKENS;
             options.sizes.cache_tokens = 0;
         });
         started.push(engine.await);
@@ -23,7 +23,7 @@
     (system, started)
 }
 
-async fn end(system: System, engines: Vec<Engine>) {
+async fn stop(system: System, engines: Vec<Engine>) {
     for engine in engines {
         engine.shutdown().await;
     }
@@ -34,7 +34,7 @@
     "four".repeat(tokens)
 }
 
-async fn idle(engines: &[Engine]) {
+async fn wait_until_idle(engines: &[Engine]) {
     let waiting = async {
         while engines
             .iter()
@@ -44,47 +44,50 @@
         }
     };
     let waited = tokio::time::timeout(Duration::from_secs(20), waiting).await;
-    waited.expect("the engines' memory comes back");
+    waited.expect("the engines release their memory");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_prompt_of_twice_an_engines_memory_is_answered() {
     let (system, engines) = start(3).await;
-    let prompt = prompt(2 * MEMORY as usize + 1_000);
-    let got = got(call(system.callers(0), &completion(&prompt, 5, false))).await;
-    assert_eq!(got.status, 200, "{}", got.body);
-    assert_eq!(got.text(), answer(&prompt, 5));
-    idle(&engines).await;
-    end(system, engines).await;
+    let prompt = prompt(2 * MEMORY_TOKENS as usize + 1_000);
+    let response = send(call(system.callers(0), &completion(&prompt, 5, false))).await;
+    assert_eq!(response.status, 200, "{}", response.body);
+    assert_eq!(response.text(), answer(&prompt, 5));
+    wait_until_idle(&engines).await;
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_prompt_beyond_all_engines_is_refused_at_once() {
     let (system, engines) = start(2).await;
-    let prompt = prompt(3 * MEMORY as usize);
-    let got = got(call(system.callers(0), &completion(&prompt, 5, false))).await;
+    let prompt = prompt(3 * MEMORY_TOKENS as usize);
+    let response = send(call(system.callers(0), &completion(&prompt, 5, false))).await;
     assert_eq!(
-        (got.status, got.code().as_str()),
+        (response.status, response.code().as_str()),
         (413, "prompt_too_long"),
         "{}",
-        got.body
+        response.body
     );
-    assert_eq!((got.class().as_str(), got.retry_after), ("not_run", None));
-    end(system, engines).await;
+    assert_eq!(
+        (response.class().as_str(), response.retry_after),
+        ("not_run", None)
+    );
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_long_prompts_at_once_both_end_and_return_the_memory() {
+async fn two_concurrent_long_prompts_finish_and_release_their_memory() {
     let (system, engines) = start(3).await;
-    let prompt = prompt(2 * MEMORY as usize + 1_000);
-    let ask =
+    let prompt = prompt(2 * MEMORY_TOKENS as usize + 1_000);
+    let request =
         || call(system.callers(0), &completion(&prompt, 5, false)).header("x-deadline-ms", "20000");
-    let (first, second) = tokio::join!(got(ask()), got(ask()));
-    for got in [first, second] {
-        assert_eq!(got.status, 200, "{}", got.body);
+    let (first, second) = tokio::join!(send(request()), send(request()));
+    for response in [first, second] {
+        assert_eq!(response.status, 200, "{}", response.body);
     }
-    idle(&engines).await;
-    end(system, engines).await;
+    wait_until_idle(&engines).await;
+    stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -96,10 +99,10 @@
             count: 1,
         });
     }
-    let prompt = prompt(2 * MEMORY as usize + 1_000);
-    let ask =
+    let prompt = prompt(2 * MEMORY_TOKENS as usize + 1_000);
+    let request =
         call(system.callers(0), &completion(&prompt, 5, false)).header("x-deadline-ms", "5000");
-    let asked = tokio::spawn(got(ask));
+    let pending = tokio::spawn(send(request));
     while engines
         .iter()
         .any(|engine| engine.counts().memory_used_tokens == 0)
@@ -107,9 +110,13 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     engines[1].order(&Fault::Die);
-    let got = asked.await.expect("the caller lives");
-    assert!([200, 502, 503, 504].contains(&got.status), "{}", got.body);
+    let response = pending.await.expect("the caller finishes");
+    assert!(
+        [200, 502, 503, 504].contains(&response.status),
+        "{}",
+        response.body
+    );
     engines.remove(1).shutdown().await;
-    idle(&engines).await;
-    end(system, engines).await;
+    wait_until_idle(&engines).await;
+    stop(system, engines).await;
 }
--- a/crates/kumquatdrum_host/tests/orders.rs
+++ b/crates/kumquatdrum_host/tests/orders.rs
@@ -1,4 +1,4 @@
-//! A new version of a model on its way from the declaration to the engines, over loopback.
+//! Orders that bring engines to a new version of a declared model, over loopback.
 
 mod support;
 
@@ -11,24 +11,25 @@
 use kumquatdrum_types::exchange::Target;
 use kumquatdrum_types::{Moment, Version};
 use serde_json::{Value, json};
-use support::{MODEL_SERVICE, System, call, completion, declaration, got};
+use support::{MODEL_SERVICE, System, call, completion, declaration, send};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The support's declaration with another version, and with endpoints of which some check.
-fn declared(version: &str) -> String {
+/// Returns the declaration of the support module with another version and with endpoints, one of
+/// which doesn't check fencing tokens.
+fn declaration_of(version: &str) -> String {
     let mut file: Value = serde_json::from_str(&declaration()).expect("a declaration");
     file["models"][0]["version"] = json!(version);
     file["models"][0]["replicas"] = json!(3);
-    let endpoints = (0..3).map(|place| {
-        json!({"name": format!("e{place}"), "service": MODEL_SERVICE,
-               "data_centre": "hall-raatuse", "checks_fencing": place != 1})
+    let endpoints = (0..3).map(|index| {
+        json!({"name": format!("e{index}"), "service": MODEL_SERVICE,
+               "data_centre": "hall-raatuse", "checks_fencing": index != 1})
     });
     file["endpoints"] = endpoints.collect();
     file.to_string()
 }
 
-fn takes_orders(options: &mut engine::Options, checks_fencing: bool) {
+fn enable_orders(options: &mut engine::Options, checks_fencing: bool) {
     options.orders = Some(engine::orders::Options {
         version: "1".to_owned(),
         checks_fencing,
@@ -45,27 +46,30 @@
 async fn a_declared_version_is_loaded_by_one_engine_after_another() {
     let system = System::start_with(3, |settings| settings.limits.loads_per_minute = 600).await;
     let mut engines = Vec::new();
-    for place in 0..3 {
-        let name = format!("e{place}");
-        let change = |options: &mut engine::Options| takes_orders(options, place != 1);
+    for index in 0..3 {
+        let name = format!("e{index}");
+        let change = |options: &mut engine::Options| enable_orders(options, index != 1);
         engines.push(system.engine_with(&name, 0, change).await);
     }
-    let answer = embedded::apply(&system.hosts, Version(1), &declared("2")).await;
+    let answer = embedded::apply(&system.hosts, Version(1), &declaration_of("2")).await;
     answer.expect("the declaration is accepted");
     let watched = async {
         loop {
             let reports = reports(&engines);
             let serving = reports.iter().filter(|report| report.role == Role::Serving);
-            assert!(serving.count() >= 2, "one at a time: {reports:?}");
+            assert!(
+                serving.count() >= 2,
+                "engines must load one at a time: {reports:?}"
+            );
             let is_new = |report: &Report| report.version.as_deref() == Some("2");
             if reports.iter().all(is_new) {
                 return;
             }
-            let answer = got(call(system.callers(0), &completion("shade 7.1", 2, false))).await;
+            let answer = send(call(system.callers(0), &completion("shade 7.1", 2, false))).await;
             assert_eq!(answer.status, 200, "{answer:?}");
         }
     };
-    let loaded = tokio::time::timeout(PATIENCE, watched).await;
+    let loaded = tokio::time::timeout(TIMEOUT, watched).await;
     loaded.expect("all engines load the new version");
     for engine in engines {
         engine.shutdown().await;
@@ -73,10 +77,10 @@
     system.stop().await;
 }
 
-/// An engine that checks, and the way to it.
-async fn checking_engine() -> (Engine, Target, Client) {
+/// Starts an engine that checks fencing tokens, with its target and a client.
+async fn start_checking_engine() -> (Engine, Target, Client) {
     let mut options = engine::Options::new("e0", MODEL_SERVICE, "formula", "hall-raatuse");
-    takes_orders(&mut options, true);
+    enable_orders(&mut options, true);
     let engine = Engine::start(options).await.expect("the engine starts");
     let target = Target {
         endpoint: "e0".into(),
@@ -86,7 +90,7 @@
     (engine, target, Client::new().expect("a client"))
 }
 
-fn load(target: &Target, fencing: u64) -> Order {
+fn load_order(target: &Target, fencing: u64) -> Order {
     Order {
         id: OrderId {
             fencing,
@@ -103,9 +107,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_of_an_order_is_obeyed_where_the_last_check_fails() {
-    let (engine, target, client) = checking_engine().await;
-    let answer = client.order(&target, &load(&target, 7), Box::new(|| false));
+async fn an_order_whose_last_check_fails_has_no_effect() {
+    let (engine, target, client) = start_checking_engine().await;
+    let answer = client.order(&target, &load_order(&target, 7), Box::new(|| false));
     assert_eq!(answer.await, Answer::NotSent);
     let report = client.order_report(&target).await.expect("a report");
     assert_eq!(report.role, Role::Serving);
@@ -113,13 +117,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_checks_refuses_an_old_fencing_number() {
-    let (engine, target, client) = checking_engine().await;
-    let mut fence = load(&target, 8);
+async fn an_engine_that_checks_refuses_an_old_fencing_token() {
+    let (engine, target, client) = start_checking_engine().await;
+    let mut fence = load_order(&target, 8);
     fence.action = Action::Fence;
     let answer = client.order(&target, &fence, Box::new(|| true));
     assert_eq!(answer.await, Answer::Accepted);
-    let answer = client.order(&target, &load(&target, 7), Box::new(|| true));
+    let answer = client.order(&target, &load_order(&target, 7), Box::new(|| true));
     assert_eq!(answer.await, Answer::Fenced { current: 8 });
     let report = client.order_report(&target).await.expect("a report");
     assert_eq!(report.version.as_deref(), Some("1"));
@@ -127,11 +131,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_to_a_frozen_engine_is_given_up() {
-    let (engine, target, client) = checking_engine().await;
+async fn an_order_to_a_frozen_engine_times_out() {
+    let (engine, target, client) = start_checking_engine().await;
     engine.order(&Fault::Freeze);
-    let answer = client.order(&target, &load(&target, 7), Box::new(|| true));
-    let answer = tokio::time::timeout(PATIENCE, answer).await;
+    let answer = client.order(&target, &load_order(&target, 7), Box::new(|| true));
+    let answer = tokio::time::timeout(TIMEOUT, answer).await;
     assert!(matches!(answer, Ok(Answer::Lost { .. })), "{answer:?}");
     engine.shutdown().await;
 }
--- a/crates/kumquatdrum_host/tests/support/log.rs
+++ b/crates/kumquatdrum_host/tests/support/log.rs
@@ -1,11 +1,11 @@
-//! What hosts log, in the captured output of a test: it is shown where the test fails.
+//! A log drain to the captured output of a test.
 
 use std::fmt::{Arguments, Write};
 
 use slog::{Drain, KV, Key, Never, OwnedKVList, Record, Serializer};
 
-/// Prints a line for each record.
-pub struct Captured;
+/// Prints one line per record.
+pub struct Stdout;
 
 struct Line(String);
 
@@ -15,7 +15,7 @@
     }
 }
 
-impl Drain for Captured {
+impl Drain for Stdout {
     type Ok = ();
     type Err = Never;
 
--- a/crates/kumquatdrum_host/tests/support/mod.rs
+++ b/crates/kumquatdrum_host/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts, stand-ins and callers for the tests of whole paths, all on loopback in one process.
+//! Hosts, simulated endpoints and callers for end-to-end tests on loopback in one process.
 
 #![allow(dead_code)]
 
@@ -43,17 +43,17 @@
 }
 
 pub fn logger() -> slog::Logger {
-    slog::Logger::root(log::Captured, slog::o!())
+    slog::Logger::root(log::Stdout, slog::o!())
 }
 
-/// Three hosts in as many data centres, or one.
+/// Returns the specifications of `count` hosts with three replicas, or one if there are fewer hosts.
 pub fn specs(count: usize, data_centres: &[&str]) -> Vec<Spec> {
     (0..count)
         .map(|number| {
-            let place = data_centres[number % data_centres.len()];
+            let data_centre = data_centres[number % data_centres.len()];
             Spec::new(
                 format!("host-{number}"),
-                place,
+                data_centre,
                 number < 3 && (count > 2 || number < 1),
             )
         })
@@ -75,7 +75,7 @@
         Self { hosts, folder }
     }
 
-    /// Hosts with changed settings, in one data centre.
+    /// Starts hosts with changed settings in one data centre.
     pub async fn start_with(count: usize, change: impl Fn(&mut Settings)) -> Self {
         let folder = TempDir::new().expect("a folder for data");
         let specs = specs(count, &["hall-raatuse"]);
@@ -86,7 +86,7 @@
             let host = Host::start(settings, &logger()).await;
             hosts.push(host.expect("the host starts"));
         }
-        embedded::introduce(&hosts);
+        embedded::connect(&hosts);
         let answer = embedded::apply(&hosts, Version(0), &declaration()).await;
         answer.expect("the declaration is accepted");
         Self { hosts, folder }
@@ -100,7 +100,7 @@
         }
     }
 
-    /// An engine that announces itself to one host.
+    /// Starts an engine that announces itself to one host.
     pub async fn engine(&self, name: &str, host: usize) -> Engine {
         self.engine_with(name, host, |_| {}).await
     }
@@ -140,20 +140,20 @@
     }
 }
 
-/// A caller's request in the making.
+/// A caller's request before it is sent.
 pub struct Call {
     pub request: reqwest::RequestBuilder,
 }
 
-/// What a caller got.
+/// The response to a caller.
 #[derive(Debug)]
-pub struct Got {
+pub struct Response {
     pub status: u16,
     pub body: String,
     pub retry_after: Option<String>,
 }
 
-impl Got {
+impl Response {
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).expect("a JSON answer")
     }
@@ -174,7 +174,7 @@
             .to_owned()
     }
 
-    /// The class, or `relayed` where the endpoint's own error was passed on.
+    /// Returns the class, or `relayed` if the endpoint's error was passed on.
     pub fn class_or_relayed(&self) -> String {
         match serde_json::from_str::<Value>(&self.body) {
             Ok(value) if value["error"]["class"].is_string() => self.class(),
@@ -195,7 +195,7 @@
     json!({"model": MODEL_SERVICE, "prompt": prompt, "max_tokens": max_tokens, "stream": stream})
 }
 
-/// The whole answer that the stand-in gives to a prompt.
+/// Returns the complete answer of a simulated engine to a prompt.
 pub fn answer(prompt: &str, tokens: u32) -> String {
     let digest = digest::hex(prompt.as_bytes());
     (0..tokens)
@@ -210,20 +210,20 @@
         .body(body.to_string())
 }
 
-pub async fn got(request: reqwest::RequestBuilder) -> Got {
+pub async fn send(request: reqwest::RequestBuilder) -> Response {
     let response = request.send().await.expect("an answer");
     let retry_after = response.headers().get("retry-after");
     let retry_after = retry_after
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned);
-    Got {
+    Response {
         status: response.status().as_u16(),
         retry_after,
         body: response.text().await.unwrap_or_default(),
     }
 }
 
-/// The text of a streamed answer; `None` where the end marker is missing.
+/// Returns the text of a streamed answer; `None` if the end marker is missing.
 pub fn streamed_text(body: &str) -> Option<String> {
     let data = body.lines().filter_map(|line| line.strip_prefix("data: "));
     let mut text = String::new();
