--- a/crates/kumquatdrum_host/benches/control.rs
+++ b/crates/kumquatdrum_host/benches/control.rs
@@ -41,7 +41,7 @@
 fn print_times(name: &str, mut times: Vec<Duration>) {
     times.sort();
     println!(
-        "{name}: n {} median {:?} p99 {:?} worst {:?}",
+        "{name}: n {} median {:?} p99 {:?} max {:?}",
         times.len(),
         quantile(&times, 0.5),
         quantile(&times, 0.99),
@@ -119,7 +119,7 @@
     tokio::time::sleep(IDLE_TIME).await;
     let share = (cpu_seconds() - busy) / IDLE_TIME.as_secs_f64() / hosts.len() as f64;
     println!(
-        "idle host: {:.2}% of a core, {:.1} MiB resident each ({} MiB in all)",
+        "idle host: {:.2}% of a core, {:.1} MiB resident ({} MiB for all hosts)",
         100.0 * share,
         resident_mib() as f64 / hosts.len() as f64,
         resident_mib()
@@ -129,7 +129,7 @@
     {
         let host_seconds = IDLE_TIME.as_secs_f64() * hosts.len() as f64;
         println!(
-            "  {name}: {:.1} messages/s {:.0} bytes/s sent by each",
+            "  {name}: {:.1} messages/s {:.0} bytes/s sent per host",
             (messages - old_messages) as f64 / host_seconds,
             (bytes - old_bytes) as f64 / host_seconds
         );
@@ -176,7 +176,7 @@
     }
     let spent = cpu_seconds() - busy;
     println!(
-        "claims: {:.0}/s by {claimers} at once, {:.0} us of all processors each",
+        "claims: {:.0}/s by {claimers} concurrent claimers, {:.0} us of CPU time per claim",
         times.len() as f64 / CLAIM_TIME.as_secs_f64(),
         1e6 * spent / times.len().max(1) as f64
     );
@@ -216,7 +216,7 @@
         sent_traffic(&hosts).into_iter().zip(before)
     {
         println!(
-            "  {name}: {:.1} messages {:.0} bytes a change, over all hosts",
+            "  {name}: {:.1} messages {:.0} bytes per change, over all hosts",
             (messages - old_messages) as f64 / APPLIES as f64,
             (bytes - old_bytes) as f64 / APPLIES as f64
         );
--- a/crates/kumquatdrum_host/src/announce.rs
+++ b/crates/kumquatdrum_host/src/announce.rs
@@ -46,7 +46,7 @@
 struct Response {
     /// Whether the announcement was accepted and, if it is a leaving notice, replicated.
     taken: bool,
-    /// The reason why it wasn't.
+    /// The reason for a refusal.
     #[serde(skip_serializing_if = "Option::is_none")]
     message: Option<String>,
 }
--- a/crates/kumquatdrum_host/src/caches.rs
+++ b/crates/kumquatdrum_host/src/caches.rs
@@ -70,7 +70,9 @@
     let mut needs_resync = false;
     for event in &page.events {
         if let Some(event) = parse_event(page.boot, event) {
-            needs_resync |= context.routers.cache(service, &target.endpoint, &event);
+            needs_resync |= context
+                .routers
+                .apply_cache_event(service, &target.endpoint, &event);
         }
     }
     // A first page without a gap describes the complete cache.
@@ -81,7 +83,9 @@
             sequence: page.last,
             change: CacheChange::Snapshot(stored_blocks(&page.events)),
         };
-        context.routers.cache(service, &target.endpoint, &event);
+        context
+            .routers
+            .apply_cache_event(service, &target.endpoint, &event);
     }
 }
 
--- a/crates/kumquatdrum_host/src/context.rs
+++ b/crates/kumquatdrum_host/src/context.rs
@@ -54,7 +54,7 @@
     /// The workspaces' limits.
     pub quota: Arc<Quota>,
     /// The memory budget for request bodies.
-    pub bodies: Arc<Budget>,
+    pub body_budget: Arc<Budget>,
     /// The tasks of requests in flight, joined at shutdown.
     pub requests: TaskTracker,
     /// The number of request names assigned so far.
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -213,7 +213,7 @@
             return Err(self.refuse(Refusal::Unauthorized, Some(&request)));
         };
         Ok(Caller {
-            hold: self.context.bodies.allocate(&workspace.name),
+            hold: self.context.body_budget.allocate(&workspace.name),
             workspace: workspace.name.clone(),
             body_limit: self.context.settings.limits.body_bytes,
             workspace_limit: workspace.limits.body_bytes,
--- a/crates/kumquatdrum_host/src/gauges.rs
+++ b/crates/kumquatdrum_host/src/gauges.rs
@@ -26,7 +26,7 @@
 
 fn copy(context: &Context, counters: &Counters) {
     let metrics = &context.metrics;
-    metrics.body_bytes.set(context.bodies.used() as i64);
+    metrics.body_bytes.set(context.body_budget.used() as i64);
     for channel in Channel::ALL {
         let traffic = counters.read(channel);
         let set = |direction: &str, bytes: u64| {
--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -176,7 +176,7 @@
             control: proxy,
             quota,
             members: members.clone(),
-            bodies: Budget::new(settings.limits.held_body_bytes),
+            body_budget: Budget::new(settings.limits.held_body_bytes),
             requests: TaskTracker::new(),
             request_count: AtomicU64::new(0),
             logger,
@@ -253,7 +253,7 @@
 
     /// Returns the bytes of request bodies that this host holds.
     pub fn body_bytes(&self) -> u64 {
-        self.context.bodies.used()
+        self.context.body_budget.used()
     }
 
     /// Returns the host's metrics.
--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -44,7 +44,7 @@
     Granted,
     /// The claim failed or is being released.
     Refused(Refusal, Option<Duration>),
-    /// An earlier request with the same key has this attempt at this endpoint.
+    /// The request follows this attempt of an earlier request with the same key.
     Follow(Target, AttemptId),
     /// The request ends with this problem.
     Problem(Problem),
--- a/crates/kumquatdrum_host/src/members.rs
+++ b/crates/kumquatdrum_host/src/members.rs
@@ -304,7 +304,7 @@
         let Some((service, boot)) = cores.services.get(id).cloned() else {
             return;
         };
-        self.dependencies.routers.health(&service, id, health);
+        self.dependencies.routers.set_health(&service, id, health);
         if health == Health::Gone {
             self.dependencies.canceller.remove_engine(id, boot);
             self.dependencies.reservations.remove_engine(id);
@@ -320,7 +320,9 @@
         let entry = (announcement.service.clone(), announcement.boot);
         let previous = cores.services.insert(id.clone(), entry);
         if let Some((service, boot)) = previous.filter(|(_, boot)| *boot < announcement.boot) {
-            self.dependencies.routers.health(&service, id, Health::Gone);
+            self.dependencies
+                .routers
+                .set_health(&service, id, Health::Gone);
             self.dependencies.canceller.remove_engine(id, boot);
             self.dependencies.reservations.remove_engine(id);
         }
@@ -329,7 +331,7 @@
             let service = &announcement.service;
             self.dependencies
                 .routers
-                .health(service, id, Health::Leaving);
+                .set_health(service, id, Health::Leaving);
         }
         self.push_orphan(Orphan::Engine(id.clone()));
         self.count_endpoints(cores);
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -116,7 +116,7 @@
     pub async fn run(mut self) {
         self.context.metrics.admitted.inc();
         self.context.metrics.in_flight.inc();
-        self.context.routers.request(&self.job.service);
+        self.context.routers.count_request(&self.job.service);
         let mut outputs = self.lifecycle.start();
         loop {
             for output in outputs {
@@ -178,7 +178,7 @@
     }
 
     fn retry(&mut self, excluded: Vec<EndpointId>) {
-        if self.context.routers.retry(&self.job.service) {
+        if self.context.routers.take_retry(&self.job.service) {
             self.context.metrics.retries.inc();
             return self.place(excluded);
         }
@@ -259,7 +259,7 @@
         if let Some(attempt) = self.attempt.take() {
             self.context
                 .routers
-                .progress(&self.job.service, attempt, progress);
+                .report_progress(&self.job.service, attempt, progress);
         }
     }
 
@@ -267,7 +267,7 @@
         if let Some(attempt) = self.attempt {
             self.context
                 .routers
-                .progress(&self.job.service, attempt, progress);
+                .report_progress(&self.job.service, attempt, progress);
         }
     }
 
--- a/crates/kumquatdrum_host/src/reservations.rs
+++ b/crates/kumquatdrum_host/src/reservations.rs
@@ -20,7 +20,7 @@
 pub struct Reservation {
     /// Resolves once all parts are reserved, with an error if that fails.
     pub ready: oneshot::Receiver<()>,
-    /// Resolves if a part is lost after that.
+    /// Resolves if a part is lost after all were reserved.
     pub lost: oneshot::Receiver<()>,
 }
 
--- a/crates/kumquatdrum_host/src/routers.rs
+++ b/crates/kumquatdrum_host/src/routers.rs
@@ -178,7 +178,7 @@
     }
 
     /// Sets the health of an endpoint.
-    pub fn health(&self, name: &ServiceName, endpoint: &EndpointId, health: Health) {
+    pub fn set_health(&self, name: &ServiceName, endpoint: &EndpointId, health: Health) {
         self.with_service(name, |service, now| {
             if health == Health::Gone {
                 service.targets.swap_remove(endpoint);
@@ -189,7 +189,12 @@
     }
 
     /// Applies a cache event of an engine. Returns whether events before it were lost.
-    pub fn cache(&self, name: &ServiceName, endpoint: &EndpointId, event: &CacheEvent) -> bool {
+    pub fn apply_cache_event(
+        &self,
+        name: &ServiceName,
+        endpoint: &EndpointId,
+        event: &CacheEvent,
+    ) -> bool {
         self.with_service(name, |service, now| {
             !service.router.cache(now, endpoint, event).is_empty()
         })
@@ -215,7 +220,7 @@
     }
 
     /// Reports the progress of an attempt.
-    pub fn progress(&self, name: &ServiceName, attempt: u64, progress: Progress) {
+    pub fn report_progress(&self, name: &ServiceName, attempt: u64, progress: Progress) {
         self.with_service(name, |service, now| {
             let outputs = service.router.progress(now, attempt, progress);
             service.execute(outputs);
@@ -223,12 +228,12 @@
     }
 
     /// Counts a request towards the service's retry budget.
-    pub fn request(&self, name: &ServiceName) {
+    pub fn count_request(&self, name: &ServiceName) {
         self.with_service(name, |service, _| service.budget.request());
     }
 
     /// Takes a retry from the service's budget. Returns `false` if it is exhausted.
-    pub fn retry(&self, name: &ServiceName) -> bool {
+    pub fn take_retry(&self, name: &ServiceName) -> bool {
         self.with_service(name, |service, _| service.budget.take())
     }
 
