--- a/crates/kumquatdrum_daemon/tests/flight_world.rs
+++ b/crates/kumquatdrum_daemon/tests/flight_world.rs
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_an_unkeyed_attempt() {
+fn a_disconnected_caller_cancels_an_unkeyed_attempt() {
     let policy = Policy {
         has_key: false,
         ..policy(0)
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn an_endpoint_error_of_a_request_that_may_not_be_repeated_is_final() {
+fn an_endpoint_error_ends_a_request_that_is_not_idempotent() {
     let policy = Policy {
         is_idempotent: false,
         ..policy(1)
--- a/crates/kumquatdrum_declaration/src/parse.rs
+++ b/crates/kumquatdrum_declaration/src/parse.rs
@@ -150,7 +150,7 @@
             Ok(item) => Some(item),
             Err(error) => {
                 self.has_failed = true;
-                self.findings.push(item_finding(place, &error));
+                self.findings.push(build_item_finding(place, &error));
                 None
             }
         }
@@ -158,7 +158,10 @@
 }
 
 /// Returns the finding for an item that can't be parsed.
-fn item_finding(item: &str, error: &serde_path_to_error::Error<serde_json::Error>) -> Finding {
+fn build_item_finding(
+    item: &str,
+    error: &serde_path_to_error::Error<serde_json::Error>,
+) -> Finding {
     let message = error.inner().to_string();
     let message = message.split(" at line ").next().unwrap_or_default();
     let place = join_path(item, error.path().iter());
--- a/crates/kumquatdrum_declaration/tests/findings.rs
+++ b/crates/kumquatdrum_declaration/tests/findings.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn cases_give_their_findings() {
+fn cases_match_their_snapshots() {
     let cases = cases();
     assert_eq!(cases.len(), 12);
     let mut wrong = Vec::new();
--- a/crates/kumquatdrum_host/src/embedded.rs
+++ b/crates/kumquatdrum_host/src/embedded.rs
@@ -7,7 +7,7 @@
 use kumquatdrum_types::{DataCentre, HostId, Version, digest};
 
 use crate::host::{Host, StartError};
-use crate::settings::{Cluster, Drain, Limits, Listen, Operator, Settings};
+use crate::settings::{Cluster, Drain, Limits, Listeners, Operator, Settings};
 
 /// The key with which endpoints announce themselves to embedded hosts.
 pub const ENDPOINT_KEY: &str = "embedded endpoint key";
@@ -53,7 +53,7 @@
             name: "embedded".to_owned(),
             secret: "a secret of the embedded cluster".to_owned(),
         },
-        listen: Listen {
+        listen: Listeners {
             callers: ANY_PORT,
             endpoints: ANY_PORT,
             operators: ANY_PORT,
--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -75,7 +75,7 @@
         match answer {
             Some(ClaimAnswer::Granted) => Outcome::Granted,
             Some(ClaimAnswer::Held(held)) => self.handle_held(context, held).await,
-            Some(ClaimAnswer::Mismatch) => Outcome::Problem(problem(
+            Some(ClaimAnswer::Mismatch) => Outcome::Problem(build_problem(
                 "key_mismatch",
                 422,
                 Class::NotRun,
@@ -94,7 +94,7 @@
         };
         match followed {
             Some((target, attempt)) => Outcome::Follow(target, attempt),
-            None => Outcome::Problem(key_problem(self.settle_if_orphaned(context, &held))),
+            None => Outcome::Problem(build_key_problem(self.settle_if_orphaned(context, &held))),
         }
     }
 
@@ -223,16 +223,16 @@
 }
 
 /// Returns the problem for a key whose earlier request can't be followed.
-fn key_problem(settled: Settled) -> Problem {
+fn build_key_problem(settled: Settled) -> Problem {
     match settled {
-        Settled::Finished => problem(
+        Settled::Finished => build_problem(
             "key_finished",
             409,
             Class::Failed,
             "the key's request ran to its end; its answer is no longer held",
         ),
         Settled::Running => {
-            let mut problem = problem(
+            let mut problem = build_problem(
                 "key_running",
                 409,
                 Class::Unknown,
@@ -241,7 +241,7 @@
             problem.retry_after_ms = Some(1_000);
             problem
         }
-        Settled::NotRun | Settled::Unknown => problem(
+        Settled::NotRun | Settled::Unknown => build_problem(
             "key_unknown",
             409,
             Class::Unknown,
@@ -264,12 +264,12 @@
     match context.control.key(workspace, key).await {
         Ok(None) => problem,
         Ok(Some(held)) if held.settled == Settled::NotRun => problem,
-        Ok(Some(held)) => key_problem(held.settled),
+        Ok(Some(held)) => build_key_problem(held.settled),
         Err(_) => Problem::refused(Refusal::ClaimUnavailable, None, problem.request),
     }
 }
 
-fn problem(code: &str, status: u16, class: Class, message: &str) -> Problem {
+fn build_problem(code: &str, status: u16, class: Class, message: &str) -> Problem {
     Problem {
         code: code.to_owned(),
         class,
--- a/crates/kumquatdrum_host/src/members.rs
+++ b/crates/kumquatdrum_host/src/members.rs
@@ -110,7 +110,7 @@
         let mut out = Vec::new();
         let now = dependencies.clock.now();
         for member in &others {
-            spread.step(now, host_input(member, true), &mut out);
+            spread.step(now, build_host_input(member, true), &mut out);
         }
         spread.step(now, spread::Input::Control(replicas), &mut out);
         let cores = Cores {
@@ -259,7 +259,7 @@
                 self.dependencies
                     .client
                     .set_address(&member.host, member.address);
-                return Some(Step::Spread(host_input(&member, true)));
+                return Some(Step::Spread(build_host_input(&member, true)));
             }
             Output::Setup { from, boot, status } => {
                 return Some(Step::Spread(spread::Input::Status { from, boot, status }));
@@ -376,7 +376,7 @@
             self.push_orphan(Orphan::Host(id.clone()));
         }
         let is_alive = condition == Condition::Alive;
-        Some(Step::Spread(host_input(view.member, is_alive)))
+        Some(Step::Spread(build_host_input(view.member, is_alive)))
     }
 
     fn execute_spread(&self, cores: &mut Cores, output: spread::Output) -> Option<Step> {
@@ -474,7 +474,7 @@
     }
 }
 
-fn host_input(member: &Member, is_alive: bool) -> spread::Input {
+fn build_host_input(member: &Member, is_alive: bool) -> spread::Input {
     spread::Input::Host {
         host: member.host.clone(),
         data_centre: member.data_centre.clone(),
--- a/crates/kumquatdrum_host/src/problem.rs
+++ b/crates/kumquatdrum_host/src/problem.rs
@@ -31,12 +31,12 @@
             let problem = Problem::refused(refusal, retry_after, Some(request.clone()));
             Some(Reply::Problem(problem))
         }
-        Ending::Failed(cause) => Some(Reply::Problem(failure_problem(
+        Ending::Failed(cause) => Some(Reply::Problem(build_failure_problem(
             Class::Failed,
             cause,
             request,
         ))),
-        Ending::Unknown(cause) => Some(Reply::Problem(failure_problem(
+        Ending::Unknown(cause) => Some(Reply::Problem(build_failure_problem(
             Class::Unknown,
             cause,
             request,
@@ -44,7 +44,7 @@
     }
 }
 
-fn failure_problem(class: Class, cause: Cause, request: &RequestId) -> Problem {
+fn build_failure_problem(class: Class, cause: Cause, request: &RequestId) -> Problem {
     let (code, status, message, relayed) = match cause {
         Cause::Deadline => (
             "deadline",
--- a/crates/kumquatdrum_host/src/settings.rs
+++ b/crates/kumquatdrum_host/src/settings.rs
@@ -18,7 +18,7 @@
     /// The cluster of this host.
     pub cluster: Cluster,
     /// The addresses of the listeners.
-    pub listen: Listen,
+    pub listen: Listeners,
     /// The other hosts of the cluster that are known at startup.
     #[serde(default)]
     pub hosts: Vec<Host>,
@@ -61,7 +61,7 @@
 /// The addresses of the listeners, one per kind of client.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Listen {
+pub struct Listeners {
     /// The listener for callers.
     pub callers: SocketAddr,
     /// The listener for announcements of endpoints.
@@ -154,7 +154,7 @@
     let mut reader = serde_json::Deserializer::from_str(text);
     let settings: Settings = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
         vec![Finding::new(
-            pointer(error.path()),
+            format_pointer(error.path()),
             error.inner().to_string(),
         )]
     })?;
@@ -168,7 +168,7 @@
     Err(findings)
 }
 
-fn pointer(path: &serde_path_to_error::Path) -> String {
+fn format_pointer(path: &serde_path_to_error::Path) -> String {
     use serde_path_to_error::Segment;
     path.iter()
         .map(|segment| match segment {
--- a/crates/kumquatdrum_host/tests/callers.rs
+++ b/crates/kumquatdrum_host/tests/callers.rs
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_callers_header_never_passes_for_a_daemons() {
+async fn a_caller_cannot_forge_daemon_headers() {
     let system = System::start(1).await;
     let service = system.service("p1", 0).await;
     let url = format!("http://{}/services/salon-api/stock", system.callers(0));
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_body_beyond_its_bound_is_refused_before_it_is_read() {
+async fn a_body_over_the_limit_is_refused_before_it_is_read() {
     let system = System::start(1).await;
     let body = vec![b'x'; 33 << 20];
     let url = format!("http://{}/v1/completions", system.callers(0));
--- a/crates/kumquatdrum_host/tests/keys.rs
+++ b/crates/kumquatdrum_host/tests/keys.rs
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_keyed_request_runs_on_when_its_caller_leaves() {
+async fn a_keyed_request_keeps_running_when_its_caller_disconnects() {
     let system = System::start(3).await;
     let engine = start_slow_engine(&system).await;
     let pending = tokio::spawn(send(keyed_request(&system, 0, "k1", PROMPT)));
--- a/crates/kumquatdrum_host/tests/orders.rs
+++ b/crates/kumquatdrum_host/tests/orders.rs
@@ -17,7 +17,7 @@
 
 /// Returns the declaration of the support module with another version and with endpoints, one of
 /// which doesn't check fencing tokens.
-fn declaration_of(version: &str) -> String {
+fn declare_version(version: &str) -> String {
     let mut file: Value = serde_json::from_str(&declaration()).expect("a declaration");
     file["models"][0]["version"] = json!(version);
     file["models"][0]["replicas"] = json!(3);
@@ -51,7 +51,7 @@
         let change = |options: &mut engine::Options| enable_orders(options, index != 1);
         engines.push(system.engine_with(&name, 0, change).await);
     }
-    let answer = embedded::apply(&system.hosts, Version(1), &declaration_of("2")).await;
+    let answer = embedded::apply(&system.hosts, Version(1), &declare_version("2")).await;
     answer.expect("the declaration is accepted");
     let watched = async {
         loop {
--- a/crates/kumquatdrum_orders/src/endpoint.rs
+++ b/crates/kumquatdrum_orders/src/endpoint.rs
@@ -35,8 +35,8 @@
     pub next_probe_at: Moment,
     pub failed_probes: u32,
     /// The order in flight.
-    pub pending: Option<Order>,
-    pub last: Option<Attempt>,
+    pub pending_order: Option<Order>,
+    pub last_attempt: Option<Attempt>,
     /// Whether a model load was ordered and no later report has shown its end.
     pub is_load_ordered: bool,
     pub withheld_since: Option<Moment>,
@@ -54,8 +54,8 @@
             probe: None,
             next_probe_at: now,
             failed_probes: 0,
-            pending: None,
-            last: None,
+            pending_order: None,
+            last_attempt: None,
             is_load_ordered: false,
             withheld_since: None,
             is_withheld_logged: false,
@@ -64,10 +64,10 @@
 
     /// Resets the state for a new boot of the engine, keeping what is in flight.
     pub fn reset_for_boot(&mut self, now: Moment, boot: BootId, service: ServiceName) {
-        let pending = self.pending.take();
+        let pending = self.pending_order.take();
         let probe = self.probe.take();
         *self = Self::new(now, boot, service);
-        self.pending = pending;
+        self.pending_order = pending;
         self.probe = probe;
         self.mark_probe_stale();
     }
@@ -85,7 +85,7 @@
 
     /// Whether no order and no probe is in flight.
     pub const fn is_idle(&self) -> bool {
-        self.pending.is_none() && self.probe.is_none()
+        self.pending_order.is_none() && self.probe.is_none()
     }
 
     /// Whether the engine may refuse requests because of a model load.
@@ -93,14 +93,14 @@
         let loads = |order: &Order| matches!(order.action, Action::LoadModel { .. });
         let reported = |(report, _): &(Report, Moment)| report.role == Role::Loading;
         self.is_load_ordered
-            || self.pending.as_ref().is_some_and(loads)
+            || self.pending_order.as_ref().is_some_and(loads)
             || self.report.as_ref().is_some_and(reported)
     }
 
     /// Whether the last report says standby and no order is in flight.
     pub fn is_standby(&self) -> bool {
         let reported = |(report, _): &(Report, Moment)| report.role == Role::Standby;
-        self.pending.is_none() && self.report.as_ref().is_some_and(reported)
+        self.pending_order.is_none() && self.report.as_ref().is_some_and(reported)
     }
 
     /// Whether the last report says that the engine serves `model`.
@@ -108,10 +108,10 @@
         let Some((report, _)) = &self.report else {
             return false;
         };
-        let same = report
+        let is_same = report
             .model
             .as_ref()
             .is_some_and(|held| held.as_str() == model);
-        self.is_present && same && report.role == Role::Serving
+        self.is_present && is_same && report.role == Role::Serving
     }
 }
--- a/crates/kumquatdrum_orders/src/reconciler.rs
+++ b/crates/kumquatdrum_orders/src/reconciler.rs
@@ -196,12 +196,13 @@
         answer: Answer,
         outputs: &mut Vec<Output>,
     ) {
-        let awaits = |endpoint: &Endpoint| endpoint.pending.as_ref().is_some_and(|o| o.id == id);
+        let awaits =
+            |endpoint: &Endpoint| endpoint.pending_order.as_ref().is_some_and(|o| o.id == id);
         let found = self.endpoints.iter_mut().find(|(_, e)| awaits(e));
         let Some((name, endpoint)) = found else {
             return;
         };
-        let Some(order) = endpoint.pending.take() else {
+        let Some(order) = endpoint.pending_order.take() else {
             return;
         };
         let is_current = self
@@ -210,7 +211,7 @@
             .is_some_and(|term| term.number == id.fencing);
         endpoint.report = None;
         endpoint.next_probe_at = now;
-        if let Some(last) = &mut endpoint.last {
+        if let Some(last) = &mut endpoint.last_attempt {
             last.retry_at = now + self.settings.backoff(last.count);
         }
         let record = |event: Event| {
@@ -340,11 +341,16 @@
     /// can be issued now.
     fn next_candidate(&self, now: Moment) -> Option<Candidate> {
         let candidates = self.endpoints.iter();
-        let candidates = candidates.filter_map(|(id, e)| self.candidate(now, id, e));
+        let candidates = candidates.filter_map(|(id, e)| self.find_candidate(now, id, e));
         candidates.min_by_key(|candidate| candidate.serving_share)
     }
 
-    fn candidate(&self, now: Moment, id: &EndpointId, endpoint: &Endpoint) -> Option<Candidate> {
+    fn find_candidate(
+        &self,
+        now: Moment,
+        id: &EndpointId,
+        endpoint: &Endpoint,
+    ) -> Option<Candidate> {
         self.valid_report(now, endpoint)?;
         let (model, action) = self.next_action(id, endpoint)?;
         let can_issue = endpoint.is_idle()
@@ -391,16 +397,16 @@
             action,
             send_until,
         };
-        let previous = endpoint.last.as_ref();
+        let previous = endpoint.last_attempt.as_ref();
         let previous = previous.filter(|last| last.order.action == order.action && !last.is_done);
-        endpoint.last = Some(Attempt {
+        endpoint.last_attempt = Some(Attempt {
             order: order.clone(),
             count: previous.map_or(1, |last| last.count + 1),
             retry_at: now,
             is_done: false,
         });
         endpoint.is_load_ordered = matches!(order.action, Action::LoadModel { .. });
-        endpoint.pending = Some(order.clone());
+        endpoint.pending_order = Some(order.clone());
         if order.action != Action::Fence {
             outputs.push(audit_record(Event::Sent, &order));
         }
@@ -439,7 +445,7 @@
 
 /// Whether the backoff after an action's last failure is over.
 fn can_retry(now: Moment, endpoint: &Endpoint, action: &Action) -> bool {
-    let last = endpoint.last.as_ref();
+    let last = endpoint.last_attempt.as_ref();
     let mut last = last
         .filter(|last| last.order.action == *action && !last.is_done)
         .into_iter();
@@ -448,7 +454,7 @@
 
 fn apply_report(endpoint: &mut Endpoint, report: &Report) -> Option<Output> {
     endpoint.is_load_ordered &= report.role == crate::Role::Loading;
-    let last = endpoint.last.as_mut()?;
+    let last = endpoint.last_attempt.as_mut()?;
     let is_done = !last.is_done && last.order.action.is_done(report);
     last.is_done |= is_done;
     is_done.then(|| audit_record(Event::Done, &last.order))
--- a/crates/kumquatdrum_orders/src/view.rs
+++ b/crates/kumquatdrum_orders/src/view.rs
@@ -30,7 +30,7 @@
     ) -> Option<&'a Report> {
         let (report, at) = endpoint.report.as_ref()?;
         let is_valid = now - *at <= self.settings.report_validity;
-        (is_valid && endpoint.is_present && endpoint.pending.is_none()).then_some(report)
+        (is_valid && endpoint.is_present && endpoint.pending_order.is_none()).then_some(report)
     }
 
     /// Counts the replicas that serve a model, and those of them at the declared version.
--- a/crates/kumquatdrum_orders/tests/convergence.rs
+++ b/crates/kumquatdrum_orders/tests/convergence.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn standby_engines_are_called_in_while_replicas_are_missing() {
+fn standby_engines_are_activated_while_replicas_are_missing() {
     let mut all = engines(5, |_| true);
     for index in [3, 4] {
         all[index].is_standby = true;
