--- a/crates/kumquatdrum/src/demo.rs
+++ b/crates/kumquatdrum/src/demo.rs
@@ -7,7 +7,7 @@
 use indexmap::{IndexMap, IndexSet};
 use kumquatdrum_declaration::{self as declared, Declaration, Key, Model, ServiceKind, Workspace};
 use kumquatdrum_host::Host;
-use kumquatdrum_host::embedded::{self, ENDPOINT_KEY, Spec};
+use kumquatdrum_host::embedded::{self, ENDPOINT_KEY, Specification};
 use kumquatdrum_operator::Exit;
 use kumquatdrum_replay::prompt::Size;
 use kumquatdrum_replay::replay::{Baseline, Options};
@@ -136,7 +136,8 @@
 }
 
 async fn start_hosts(mix: Mix, folder: &Path) -> Result<Vec<Host>, Error> {
-    let specs = data_centres(mix).map(|name| Spec::new(format!("host-{name}"), name, true));
+    let specs =
+        data_centres(mix).map(|name| Specification::new(format!("host-{name}"), name, true));
     let logger = slog::Logger::root(slog::Discard, slog::o!());
     Ok(embedded::start(&specs, folder, &logger).await?)
 }
--- a/crates/kumquatdrum_host/benches/control.rs
+++ b/crates/kumquatdrum_host/benches/control.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use kumquatdrum_host::Host;
-use kumquatdrum_host::embedded::{self, Spec};
+use kumquatdrum_host::embedded::{self, Specification};
 use kumquatdrum_peer::Channel;
 use kumquatdrum_setup::{ApplyAnswer, Claim, ClaimAnswer, Digest, Request};
 use kumquatdrum_types::{AttemptId, HostId, IdempotencyKey, Version, WorkspaceName};
@@ -192,10 +192,10 @@
     let data_centres = arguments.get(1).copied().unwrap_or(3);
     let claimers = arguments.get(2).copied().unwrap_or(200);
     let workspaces = arguments.get(3).map_or(10, |count| *count as u64);
-    let specs: Vec<Spec> = (0..count)
+    let specs: Vec<Specification> = (0..count)
         .map(|number| {
             let data_centre = format!("dc-{}", number % data_centres);
-            Spec::new(format!("host-{number:03}"), data_centre, number < 3)
+            Specification::new(format!("host-{number:03}"), data_centre, number < 3)
         })
         .collect();
     let folder = std::env::temp_dir().join(format!("kumquatdrum-control-{}", std::process::id()));
--- a/crates/kumquatdrum_host/src/embedded.rs
+++ b/crates/kumquatdrum_host/src/embedded.rs
@@ -22,7 +22,7 @@
 
 /// The specification of one host.
 #[derive(Debug, Clone)]
-pub struct Spec {
+pub struct Specification {
     /// The name of the host.
     pub host: HostId,
     /// The data centre of the host.
@@ -31,7 +31,7 @@
     pub is_replica: bool,
 }
 
-impl Spec {
+impl Specification {
     /// Specifies a host.
     pub fn new(host: impl AsRef<str>, data_centre: impl AsRef<str>, is_replica: bool) -> Self {
         Self {
@@ -43,7 +43,7 @@
 }
 
 /// Returns the settings of one host among several.
-pub fn settings(spec: &Spec, specs: &[Spec], folder: &Path) -> Settings {
+pub fn settings(spec: &Specification, specs: &[Specification], folder: &Path) -> Settings {
     let others = specs.iter().filter(|other| other.host != spec.host);
     let replicas = specs.iter().filter(|spec| spec.is_replica);
     Settings {
@@ -84,7 +84,7 @@
 
 /// Starts hosts and connects them. Their data folders are created in `folder`.
 pub async fn start(
-    specs: &[Spec],
+    specs: &[Specification],
     folder: &Path,
     logger: &slog::Logger,
 ) -> Result<Vec<Host>, StartError> {
--- a/crates/kumquatdrum_host/tests/support/mod.rs
+++ b/crates/kumquatdrum_host/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kumquatdrum_host::embedded::{self, ENDPOINT_KEY, Spec};
+use kumquatdrum_host::embedded::{self, ENDPOINT_KEY, Specification};
 use kumquatdrum_host::{Host, Settings};
 use kumquatdrum_testing::{Engine, Service, announcer, engine, service};
 use kumquatdrum_types::{Version, digest};
@@ -47,11 +47,11 @@
 }
 
 /// Returns the specifications of `count` hosts with three replicas, or one if there are fewer hosts.
-pub fn specs(count: usize, data_centres: &[&str]) -> Vec<Spec> {
+pub fn specs(count: usize, data_centres: &[&str]) -> Vec<Specification> {
     (0..count)
         .map(|number| {
             let data_centre = data_centres[number % data_centres.len()];
-            Spec::new(
+            Specification::new(
                 format!("host-{number}"),
                 data_centre,
                 number < 3 && (count > 2 || number < 1),
