--- a/crates/kumquatdrum_gateway/src/call/attempt.rs
+++ b/crates/kumquatdrum_gateway/src/call/attempt.rs
@@ -111,7 +111,7 @@
         let load = reply.load.as_ref().map(|load| load.running + load.waiting);
         match (judgement, &reply.at_fault) {
             (_, Some(helper)) if *helper != pick.endpoint.id.as_str() => pick.helper_failed(helper),
-            _ if reply.wrong_endpoint => pick.displaced(),
+            _ if reply.wrong_endpoint => pick.mark_displaced(),
             (Judgement::Ran, _) => pick.succeeded(load),
             (Judgement::NotRun, _) => pick.failed(Failure::Busy),
             (Judgement::Failed, _) => pick.failed(Failure::Error),
--- a/crates/kumquatdrum_gateway/src/endpoints.rs
+++ b/crates/kumquatdrum_gateway/src/endpoints.rs
@@ -47,7 +47,7 @@
         let mut state = self.state.lock();
         let change = state.registry.announce(now, announcement);
         state.heard.insert(id.clone());
-        let update = state.registry.update(now, &id);
+        let update = state.registry.update_for(now, &id);
         drop(state);
         self.note(change, update.as_ref(), "endpoint");
         (change, update)
@@ -80,12 +80,12 @@
     }
 
     /// Another endpoint answers at this one's address.
-    pub fn displaced(&self, endpoint: &Announcement) {
+    pub fn mark_displaced(&self, endpoint: &Announcement) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let update = state
             .registry
-            .displaced(now, &endpoint.id, endpoint.started);
+            .mark_displaced(now, &endpoint.id, endpoint.started);
         if update.is_some() {
             self.changed.notify_one();
             info!(self.logger, "endpoint_displaced"; "event" => "endpoint_displaced",
@@ -124,7 +124,7 @@
             heard.contains(&update.announcement.id) || (going && is_recent)
         };
         let told = updates.into_iter().filter(is_told).collect();
-        for id in state.registry.sweep(now) {
+        for id in state.registry.evict_expired(now) {
             info!(self.logger, "endpoint_forgotten"; "event" => "endpoint_forgotten",
                 "endpoint" => id.as_str());
         }
--- a/crates/kumquatdrum_gateway/src/fleet/pick.rs
+++ b/crates/kumquatdrum_gateway/src/fleet/pick.rs
@@ -96,8 +96,8 @@
     }
 
     /// Another endpoint answers at the address.
-    pub fn displaced(&self) {
-        self.fleet.parts.endpoints.displaced(&self.endpoint);
+    pub fn mark_displaced(&self) {
+        self.fleet.parts.endpoints.mark_displaced(&self.endpoint);
         self.fleet.refresh_service(&self.service);
     }
 }
--- a/crates/kumquatdrum_registry/src/announcement.rs
+++ b/crates/kumquatdrum_registry/src/announcement.rs
@@ -1,40 +1,40 @@
-//! What endpoints say of themselves, and what hosts pass on.
+//! Announcements by endpoints, and the updates that hosts exchange about them.
 
 use std::net::SocketAddr;
 
 use kumquatdrum_types::{DataCentre, EndpointId, ServiceName};
 use serde::{Deserialize, Serialize};
 
-/// What an endpoint says of itself.
+/// A periodic announcement by an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Its name, which it may keep over a restart.
+    /// Identifies the endpoint; may stay the same across restarts.
     pub id: EndpointId,
-    /// When it started, in Unix milliseconds by its own clock: its incarnation.
+    /// The incarnation: the start time in Unix milliseconds by the endpoint's clock.
     pub started: u64,
-    /// Counts its announcements since it started.
+    /// The sequence number of this announcement within the incarnation.
     pub sequence: u64,
-    /// The service that it belongs to.
+    /// The service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that the endpoint runs in.
     pub data_centre: DataCentre,
-    /// Requests that it works on at once.
+    /// The number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// It takes no new requests after a while.
+    /// Whether the endpoint is draining and will stop accepting requests.
     pub leaving: bool,
-    /// How much longer it is slow after its start.
+    /// The remaining warm-up time in milliseconds.
     pub warming_ms: u64,
 }
 
-/// What one host knows of an endpoint, told to another.
+/// A host's knowledge of an endpoint, as sent to other hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The newest announcement.
     pub announcement: Announcement,
-    /// It has said that it is going, or another endpoint has taken its address.
+    /// Whether the endpoint has left or its address now belongs to another endpoint.
     pub gone: bool,
-    /// How long ago it was heard, by whoever heard it.
+    /// The time since any host last heard from the endpoint, in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/kumquatdrum_registry/src/lib.rs
+++ b/crates/kumquatdrum_registry/src/lib.rs
@@ -1,9 +1,8 @@
-//! Core: endpoints as they announce themselves.
+//! Registry of endpoints, built from their announcements without I/O.
 //!
-//! Announcements arrive late, twice and out of order, at any host, and hosts pass them on. What
-//! holds is told by the endpoint's own numbers alone: a later start replaces an earlier one, and
-//! within one start the higher sequence number wins. An endpoint that has said that it leaves does
-//! not come back within the same start.
+//! Announcements can arrive late, duplicated or out of order, directly or through other hosts. They
+//! are ordered by the endpoint's incarnation, then by its sequence number. An endpoint that has
+//! announced that it is leaving stays unavailable until its next incarnation.
 
 mod announcement;
 mod registry;
--- a/crates/kumquatdrum_registry/src/registry.rs
+++ b/crates/kumquatdrum_registry/src/registry.rs
@@ -1,4 +1,4 @@
-//! All endpoints that a host knows.
+//! The registry of the endpoints known to a host.
 
 use std::time::Duration;
 
@@ -7,24 +7,24 @@
 
 use crate::{Announcement, Update};
 
-/// How long a gone endpoint is remembered, so that its late announcements stay without effect.
-/// Announcements are late by seconds; a minute is an order of magnitude above.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// How long an entry is kept after its last announcement. Entries of endpoints that have left are kept
+/// as tombstones, so that delayed announcements are rejected.
+const ENTRY_TTL: Duration = Duration::from_secs(60);
 
-/// What an announcement changed.
+/// The effect of an announcement on the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// An endpoint, or a new incarnation of one, is known from now on.
+    /// The endpoint or its incarnation was not known before.
     New,
-    /// It leaves, is gone, or has moved.
+    /// The endpoint is leaving, has left, or has a new address.
     Changed,
-    /// It is still there.
+    /// The announcement is newer but changes nothing else.
     Refreshed,
-    /// Older than what is known.
+    /// The announcement is not newer than the registered one.
     Stale,
 }
 
-/// All endpoints that a host knows.
+/// Tracks the endpoints known to a host.
 #[derive(Debug, Default)]
 pub struct Registry {
     entries: IndexMap<EndpointId, Entry>,
@@ -33,50 +33,51 @@
 #[derive(Debug)]
 struct Entry {
     announcement: Announcement,
-    gone: bool,
-    heard: Moment,
+    is_gone: bool,
+    heard_at: Moment,
 }
 
 impl Registry {
-    /// Takes what an endpoint says of itself.
+    /// Applies an announcement received from the endpoint itself.
     pub fn announce(&mut self, now: Moment, announcement: Announcement) -> Change {
-        self.take(now, announcement, false)
+        self.apply(now, announcement, false)
     }
 
-    /// Takes an endpoint's farewell; `started` tells which incarnation says it, where it tells.
-    /// Nothing is returned where the endpoint is not known.
+    /// Marks an endpoint as gone at its own request. Returns `None` if the endpoint is unknown or
+    /// `started` is older than the registered incarnation.
     pub fn leave(&mut self, now: Moment, id: &EndpointId, started: Option<u64>) -> Option<Update> {
         let entry = self.entries.get_mut(id)?;
         let known = entry.announcement.started;
         if started.is_some_and(|started| started < known) {
             return None;
         }
-        entry.gone = true;
-        entry.heard = now;
-        Some(update(entry, now))
+        entry.is_gone = true;
+        entry.heard_at = now;
+        Some(to_update(entry, now))
     }
 
-    /// Takes what another host knows.
+    /// Applies an update received from another host.
     pub fn merge(&mut self, now: Moment, update: Update) -> Change {
         let age = Duration::from_millis(update.age_ms).as_micros() as u64;
-        let heard = Moment {
+        let heard_at = Moment {
             micros: now.micros.saturating_sub(age),
         };
-        self.take(heard, update.announcement, update.gone)
+        self.apply(heard_at, update.announcement, update.gone)
     }
 
-    /// A host has met another endpoint at this one's address, or has been told so by it.
-    pub fn displaced(&mut self, now: Moment, id: &EndpointId, started: u64) -> Option<Update> {
+    /// Marks an incarnation as gone because another endpoint answers at its address.
+    pub fn mark_displaced(&mut self, now: Moment, id: &EndpointId, started: u64) -> Option<Update> {
         let entry = self.entries.get_mut(id)?;
-        if entry.gone || entry.announcement.started != started {
+        if entry.is_gone || entry.announcement.started != started {
             return None;
         }
-        entry.gone = true;
-        entry.heard = now;
-        Some(update(entry, now))
+        entry.is_gone = true;
+        entry.heard_at = now;
+        Some(to_update(entry, now))
     }
 
-    /// The endpoints that may get new requests of a service, with how long ago each was heard.
+    /// Returns the endpoints that accept new requests for a service, each with the time since its last
+    /// announcement.
     pub fn usable<'a>(
         &'a self,
         now: Moment,
@@ -84,49 +85,49 @@
     ) -> impl Iterator<Item = (&'a Announcement, Duration)> + 'a {
         let entries = self.entries.values();
         let usable = entries.filter(move |entry| {
-            !entry.gone && !entry.announcement.leaving && entry.announcement.service == *service
+            !entry.is_gone && !entry.announcement.leaving && entry.announcement.service == *service
         });
-        usable.map(move |entry| (&entry.announcement, now - entry.heard))
+        usable.map(move |entry| (&entry.announcement, now - entry.heard_at))
     }
 
-    /// What to tell another host: all that was heard within `recent`, and all that is going.
+    /// Returns updates for the endpoints heard within `recent`, and for all that are leaving or gone.
     pub fn updates(&self, now: Moment, recent: Duration) -> Vec<Update> {
-        let told = |entry: &&Entry| {
-            entry.gone || entry.announcement.leaving || now - entry.heard <= recent
+        let is_included = |entry: &&Entry| {
+            entry.is_gone || entry.announcement.leaving || now - entry.heard_at <= recent
         };
-        let entries = self.entries.values().filter(told);
-        entries.map(|entry| update(entry, now)).collect()
+        let entries = self.entries.values().filter(is_included);
+        entries.map(|entry| to_update(entry, now)).collect()
     }
 
-    /// What to tell another host of one endpoint.
-    pub fn update(&self, now: Moment, id: &EndpointId) -> Option<Update> {
-        self.entries.get(id).map(|entry| update(entry, now))
+    /// Returns the update for one endpoint.
+    pub fn update_for(&self, now: Moment, id: &EndpointId) -> Option<Update> {
+        self.entries.get(id).map(|entry| to_update(entry, now))
     }
 
-    /// Forgets what is gone or silent for long; returns what was dropped.
-    pub fn sweep(&mut self, now: Moment) -> Vec<EndpointId> {
-        let old = |entry: &Entry| now - entry.heard > REMEMBERED;
-        let dropped = self.entries.iter().filter(|(_, entry)| old(entry));
-        let dropped: Vec<EndpointId> = dropped.map(|(id, _)| id.clone()).collect();
-        self.entries.retain(|_, entry| !old(entry));
-        dropped
+    /// Removes entries older than the time to live and returns their ids.
+    pub fn evict_expired(&mut self, now: Moment) -> Vec<EndpointId> {
+        let is_expired = |entry: &Entry| now - entry.heard_at > ENTRY_TTL;
+        let evicted = self.entries.iter().filter(|(_, entry)| is_expired(entry));
+        let evicted: Vec<EndpointId> = evicted.map(|(id, _)| id.clone()).collect();
+        self.entries.retain(|_, entry| !is_expired(entry));
+        evicted
     }
 
-    fn take(&mut self, heard: Moment, announcement: Announcement, gone: bool) -> Change {
-        let gone = gone || self.is_displaced(&announcement);
-        let change = self.put(heard, &announcement, gone);
-        if matches!(change, Change::New) && !gone {
-            self.displace(&announcement);
+    fn apply(&mut self, heard_at: Moment, announcement: Announcement, is_gone: bool) -> Change {
+        let is_gone = is_gone || self.is_displaced(&announcement);
+        let change = self.upsert(heard_at, &announcement, is_gone);
+        if matches!(change, Change::New) && !is_gone {
+            self.displace_earlier(&announcement);
         }
         change
     }
 
-    fn put(&mut self, heard: Moment, announcement: &Announcement, gone: bool) -> Change {
+    fn upsert(&mut self, heard_at: Moment, announcement: &Announcement, is_gone: bool) -> Change {
         let Some(entry) = self.entries.get_mut(&announcement.id) else {
             let entry = Entry {
                 announcement: announcement.clone(),
-                gone,
-                heard,
+                is_gone,
+                heard_at,
             };
             self.entries.insert(announcement.id.clone(), entry);
             return Change::New;
@@ -137,20 +138,20 @@
             std::cmp::Ordering::Less if announcement.started < known.started => Change::Stale,
             std::cmp::Ordering::Greater if announcement.started > known.started => {
                 entry.announcement = announcement.clone();
-                entry.gone = gone;
-                entry.heard = heard;
+                entry.is_gone = is_gone;
+                entry.heard_at = heard_at;
                 Change::New
             }
             order => {
-                let before = (entry.gone, known.leaving, known.address);
+                let before = (entry.is_gone, known.leaving, known.address);
                 let leaving = known.leaving || announcement.leaving;
                 if order == std::cmp::Ordering::Greater {
                     entry.announcement = announcement.clone();
-                    entry.heard = entry.heard.max(heard);
+                    entry.heard_at = entry.heard_at.max(heard_at);
                 }
                 entry.announcement.leaving = leaving;
-                entry.gone |= gone;
-                let after = (entry.gone, leaving, entry.announcement.address);
+                entry.is_gone |= is_gone;
+                let after = (entry.is_gone, leaving, entry.announcement.address);
                 match order {
                     _ if before != after => Change::Changed,
                     std::cmp::Ordering::Greater => Change::Refreshed,
@@ -160,7 +161,7 @@
         }
     }
 
-    /// An endpoint that started later has this one's address.
+    /// Returns whether a later incarnation of another endpoint uses the announced address.
     fn is_displaced(&self, announcement: &Announcement) -> bool {
         self.entries.values().any(|entry| {
             let other = &entry.announcement;
@@ -170,21 +171,23 @@
         })
     }
 
-    fn displace(&mut self, announcement: &Announcement) {
+    /// Marks earlier incarnations of other endpoints at the announced address as gone.
+    fn displace_earlier(&mut self, announcement: &Announcement) {
         for entry in self.entries.values_mut() {
             let other = &entry.announcement;
-            let same = other.address == announcement.address && other.id != announcement.id;
-            if same && other.started < announcement.started {
-                entry.gone = true;
+            let has_same_address =
+                other.address == announcement.address && other.id != announcement.id;
+            if has_same_address && other.started < announcement.started {
+                entry.is_gone = true;
             }
         }
     }
 }
 
-fn update(entry: &Entry, now: Moment) -> Update {
+fn to_update(entry: &Entry, now: Moment) -> Update {
     Update {
         announcement: entry.announcement.clone(),
-        gone: entry.gone,
-        age_ms: (now - entry.heard).as_millis() as u64,
+        gone: entry.is_gone,
+        age_ms: (now - entry.heard_at).as_millis() as u64,
     }
 }
--- a/crates/kumquatdrum_registry/tests/registry.rs
+++ b/crates/kumquatdrum_registry/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Announcements that come late, twice, out of order, and from earlier lives.
+//! Late, duplicated and reordered announcements, and those of earlier incarnations.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
         .collect()
 }
 
-fn one(id: &str, started: u64) -> Vec<(String, u64)> {
+fn single(id: &str, started: u64) -> Vec<(String, u64)> {
     vec![(id.to_owned(), started)]
 }
 
@@ -50,13 +50,13 @@
         Change::Stale
     );
     assert_eq!(usable(&registry), []);
-    // Nor does a later one of the same start.
+    // A later announcement of the same incarnation does not either.
     registry.announce(NOW, announcement("a", 1, 4));
     assert_eq!(usable(&registry), []);
 }
 
 #[test]
-fn a_farewell_without_notice_holds_for_that_start_alone() {
+fn leaving_without_draining_affects_only_that_incarnation() {
     let mut registry = Registry::default();
     registry.announce(NOW, announcement("a", 1, 7));
     assert!(
@@ -67,18 +67,18 @@
     registry.announce(NOW, announcement("a", 1, 8));
     assert_eq!(usable(&registry), []);
     assert_eq!(registry.announce(NOW, announcement("a", 2, 1)), Change::New);
-    assert_eq!(usable(&registry), one("a", 2));
-    // A farewell of the earlier start arrives last.
+    assert_eq!(usable(&registry), single("a", 2));
+    // The earlier incarnation's leave request arrives last.
     assert!(
         registry
             .leave(NOW, &EndpointId::new("a"), Some(1))
             .is_none()
     );
-    assert_eq!(usable(&registry), one("a", 2));
+    assert_eq!(usable(&registry), single("a", 2));
 }
 
 #[test]
-fn a_restart_under_the_same_id_begins_to_count_anew() {
+fn a_restart_under_the_same_id_resets_the_sequence() {
     let mut registry = Registry::default();
     registry.announce(NOW, announcement("a", 1, 900));
     assert_eq!(registry.announce(NOW, announcement("a", 2, 1)), Change::New);
@@ -86,23 +86,23 @@
         registry.announce(NOW, announcement("a", 1, 901)),
         Change::Stale
     );
-    assert_eq!(usable(&registry), one("a", 2));
+    assert_eq!(usable(&registry), single("a", 2));
 }
 
 #[test]
-fn an_address_belongs_to_who_started_last_there() {
+fn an_address_belongs_to_the_endpoint_that_started_last() {
     let mut registry = Registry::default();
     registry.announce(NOW, announcement("old", 1, 1));
     registry.announce(NOW, announcement("new", 2, 1));
-    assert_eq!(usable(&registry), one("new", 2));
+    assert_eq!(usable(&registry), single("new", 2));
     registry.announce(NOW, announcement("old", 1, 2));
-    assert_eq!(usable(&registry), one("new", 2));
+    assert_eq!(usable(&registry), single("new", 2));
     registry.announce(NOW, announcement("older", 0, 1));
-    assert_eq!(usable(&registry), one("new", 2));
+    assert_eq!(usable(&registry), single("new", 2));
 }
 
 #[test]
-fn an_empty_host_learns_from_others_who_is_going() {
+fn an_empty_registry_learns_of_gone_endpoints_from_updates() {
     let mut full = Registry::default();
     full.announce(NOW, announcement("a", 1, 1));
     full.leave(NOW, &EndpointId::new("a"), None);
@@ -115,11 +115,11 @@
 }
 
 #[test]
-fn what_is_silent_for_long_is_forgotten() {
+fn silent_endpoints_are_evicted() {
     let mut registry = Registry::default();
     registry.announce(NOW, announcement("a", 1, 1));
     let later = NOW + Duration::from_secs(59);
-    assert_eq!(registry.sweep(later), []);
+    assert_eq!(registry.evict_expired(later), []);
     let later = NOW + Duration::from_secs(61);
-    assert_eq!(registry.sweep(later), [EndpointId::new("a")]);
+    assert_eq!(registry.evict_expired(later), [EndpointId::new("a")]);
 }
