--- a/crates/kumquatdrum/src/gateway.rs
+++ b/crates/kumquatdrum/src/gateway.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use kumquatdrum_gateway::{File, Gateway, Settings, settings};
+use kumquatdrum_gateway::{Gateway, Settings, SettingsFile, settings};
 use kumquatdrum_operator::Exit;
 use kumquatdrum_platform::Platform;
 use slog::{Level, Logger, error};
@@ -49,7 +49,7 @@
             return Exit::Unknown;
         }
     };
-    let file = Some(File {
+    let file = Some(SettingsFile {
         path: file.to_owned(),
         changed,
     });
--- a/crates/kumquatdrum_gateway/src/gateway.rs
+++ b/crates/kumquatdrum_gateway/src/gateway.rs
@@ -69,7 +69,7 @@
 
 /// The settings file, and the signal that says that it has changed.
 #[derive(Debug)]
-pub struct File {
+pub struct SettingsFile {
     /// Where it is.
     pub path: PathBuf,
     /// The signal.
@@ -102,7 +102,7 @@
     /// Runs a host until `stop` resolves, then shuts it down gracefully.
     pub async fn run(
         settings: Settings,
-        file: Option<File>,
+        file: Option<SettingsFile>,
         protocol: Arc<dyn Protocol>,
         logger: &slog::Logger,
         stop: impl Future<Output = ()>,
--- a/crates/kumquatdrum_gateway/src/gateway/rounds.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/rounds.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep};
 
-use super::{FIRST_GREETING, File, Gateway};
+use super::{FIRST_GREETING, Gateway, SettingsFile};
 use crate::broadcast::RelayPath;
 use crate::message::{Answer, Question, Wanted};
 use crate::settings;
@@ -124,7 +124,7 @@
 }
 
 /// Looks for new seeds in the settings file; nothing else in it changes while a host runs.
-pub(super) async fn reload(gateway: Arc<Gateway>, mut file: File) {
+pub(super) async fn reload(gateway: Arc<Gateway>, mut file: SettingsFile) {
     let mut known = gateway.settings.seeds.clone();
     let mut rounds = interval(RELOAD);
     loop {
--- a/crates/kumquatdrum_gateway/src/lib.rs
+++ b/crates/kumquatdrum_gateway/src/lib.rs
@@ -30,6 +30,6 @@
 pub mod spread;
 pub mod upstream;
 
-pub use gateway::{File, Gateway, StartError};
+pub use gateway::{Gateway, SettingsFile, StartError};
 pub use protocol::Protocol;
 pub use settings::Settings;
--- a/crates/kumquatdrum_placement/src/cost.rs
+++ b/crates/kumquatdrum_placement/src/cost.rs
@@ -23,9 +23,9 @@
     /// pairs of each token with all before it.
     pub fn read_ms(&self, tokens: u64) -> f64 {
         let tokens = tokens as f64;
-        let linear = tokens / self.engine.read_tokens_per_ms.max(f64::MIN_POSITIVE);
+        let linear = tokens / self.engine.prefill_tokens_per_ms.max(f64::MIN_POSITIVE);
         let pairs = tokens * tokens / 2.0 / 1e6;
-        linear + pairs * self.engine.pairs_ms_per_m
+        linear + pairs * self.engine.attention_ms_per_m_pairs
     }
 
     /// Milliseconds of a pass in which `writers` write with `context` tokens together.
@@ -34,8 +34,8 @@
             return 0.0;
         }
         let step = self.engine.step_ms
-            + self.engine.writer_ms * writers as f64
-            + self.engine.context_ms_per_k * context as f64 / 1e3;
+            + self.engine.decode_request_ms * writers as f64
+            + self.engine.context_ms_per_k_tokens * context as f64 / 1e3;
         step * f64::from(self.engine.pass_steps.max(1))
     }
 }
--- a/crates/kumquatdrum_placement/tests/model/engine.rs
+++ b/crates/kumquatdrum_placement/tests/model/engine.rs
@@ -121,8 +121,8 @@
             _ => engine.pass_steps,
         };
         let step_ms = engine.step_ms
-            + engine.writer_ms * self.writing.len() as f64
-            + engine.context_ms_per_k * context as f64 / 1e3;
+            + engine.decode_request_ms * self.writing.len() as f64
+            + engine.context_ms_per_k_tokens * context as f64 / 1e3;
         let mut events = Vec::new();
         let mut took = step_ms * f64::from(steps);
         for _ in 0..steps {
--- a/crates/kumquatdrum_placement/tests/model/play.rs
+++ b/crates/kumquatdrum_placement/tests/model/play.rs
@@ -71,14 +71,14 @@
         memory_tokens: 315_000,
         pass_steps: 51,
         step_ms: 0.85,
-        writer_ms: 0.004_25,
-        context_ms_per_k: 0.002_85,
-        read_tokens_per_ms: 177.0,
-        pairs_ms_per_m: 0.184,
+        decode_request_ms: 0.004_25,
+        context_ms_per_k_tokens: 0.002_85,
+        prefill_tokens_per_ms: 177.0,
+        attention_ms_per_m_pairs: 0.184,
         chunk_tokens: 2_048,
-        hop_ms: 0.05,
-        usual_prompt: 11_108.0,
-        usual_answer: 1_622.0,
+        remote_memory_step_ms: 0.05,
+        typical_prompt_tokens: 11_108.0,
+        typical_answer_tokens: 1_622.0,
     }
 }
 
--- a/crates/kumquatdrum_routes/src/setup.rs
+++ b/crates/kumquatdrum_routes/src/setup.rs
@@ -102,21 +102,21 @@
     /// A step's base cost in milliseconds.
     pub step_ms: f64,
     /// What each request that writes adds to a step, in milliseconds.
-    pub writer_ms: f64,
+    pub decode_request_ms: f64,
     /// What 1,000 tokens of context of those that write add to a step, in milliseconds.
-    pub context_ms_per_k: f64,
+    pub context_ms_per_k_tokens: f64,
     /// Prompt tokens read in a millisecond.
-    pub read_tokens_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Milliseconds for a million pairs of a token and an earlier one.
-    pub pairs_ms_per_m: f64,
+    pub attention_ms_per_m_pairs: f64,
     /// The most prompt tokens read in a step.
     pub chunk_tokens: u32,
     /// What holding memory elsewhere adds to a step, in milliseconds.
-    pub hop_ms: f64,
+    pub remote_memory_step_ms: f64,
     /// The usual length of a prompt, in tokens.
-    pub usual_prompt: f64,
+    pub typical_prompt_tokens: f64,
     /// The usual length of an answer, in tokens.
-    pub usual_answer: f64,
+    pub typical_answer_tokens: f64,
 }
 
 /// Callers that share keys.
