--- a/crates/kumquatdrum_gateway/src/call.rs
+++ b/crates/kumquatdrum_gateway/src/call.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use kumquatdrum_process::random;
-use kumquatdrum_routes::{Kind, Route};
+use kumquatdrum_routes::{Delivery, Route};
 use kumquatdrum_types::{Moment, ServiceName, WorkspaceName};
 use slog::info;
 use tokio::time::{Instant, timeout_at};
@@ -174,14 +174,14 @@
 impl Call {
     /// Whether the answer is a series of events.
     pub(crate) const fn is_stream(&self) -> bool {
-        matches!(self.route.kind, Kind::Stream { .. })
+        matches!(self.route.delivery, Delivery::Stream { .. })
     }
 
     /// The longest pause between events that the caller bears.
     pub(crate) const fn pause(&self) -> Duration {
-        match self.route.kind {
-            Kind::Stream { pause, .. } => pause,
-            Kind::Safe | Kind::Unsafe => Duration::MAX,
+        match self.route.delivery {
+            Delivery::Stream { pause, .. } => pause,
+            Delivery::Safe | Delivery::Unsafe => Duration::MAX,
         }
     }
 
--- a/crates/kumquatdrum_gateway/src/call/flow.rs
+++ b/crates/kumquatdrum_gateway/src/call/flow.rs
@@ -221,7 +221,7 @@
         self.exchange = None;
         self.reservations.clear();
         self.splitter = Splitter::default();
-        let is_allowed = call.route.kind.is_idempotent()
+        let is_allowed = call.route.delivery.is_idempotent()
             && self.tries.sent < call.route.max_attempts
             && call.gateway.fleet.take_retry(&call.service);
         if !is_allowed {
--- a/crates/kumquatdrum_gateway/src/call/run.rs
+++ b/crates/kumquatdrum_gateway/src/call/run.rs
@@ -150,7 +150,7 @@
 
     /// The final answer after an outcome, or nothing where another endpoint may be tried.
     fn settle(&self, tries: &mut Tries, outcome: Outcome) -> Option<Response<Body>> {
-        let idempotent = self.route.kind.is_idempotent();
+        let idempotent = self.route.delivery.is_idempotent();
         let (may_repeat, problem) = match outcome {
             Outcome::Whole(response, judgement) => {
                 let may_repeat = match judgement {
--- a/crates/kumquatdrum_gateway/src/control.rs
+++ b/crates/kumquatdrum_gateway/src/control.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use kumquatdrum_peer::Channel;
 use kumquatdrum_registry::{Change, Update};
-use kumquatdrum_routes::{Record, check};
+use kumquatdrum_routes::{Record, validate};
 use kumquatdrum_types::{EndpointId, Finding, HostId};
 use slog::{error, info, warn};
 use tokio::task::{JoinError, spawn_blocking};
@@ -36,7 +36,7 @@
 ) -> Result<Response<Body>, Infallible> {
     let (head, body) = request.into_parts();
     let operation = gateway.protocol.operation(&head.method, head.uri.path());
-    let body = match Limited::new(body, Record::LARGEST).collect().await {
+    let body = match Limited::new(body, Record::MAX_TEXT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             let finding = Finding::new("", format!("the body could not be read: {error}"));
@@ -97,7 +97,7 @@
 /// A setup that may be put in force, as it is kept, or all that is wrong with the text.
 fn checked(protocol: &dyn Protocol, text: &[u8]) -> Result<Record, Vec<Finding>> {
     let setup = protocol.setup(text)?;
-    match check(&setup) {
+    match validate(&setup) {
         findings if !findings.is_empty() => Err(findings),
         _ => Record::new(setup.revision, text)
             .map_err(|error| vec![Finding::new("", error.to_string())]),
--- a/crates/kumquatdrum_routes/src/lib.rs
+++ b/crates/kumquatdrum_routes/src/lib.rs
@@ -1,19 +1,19 @@
-//! Core: what operators put in force for the gateway, by a revision of their own.
+//! Setups that operators apply to the gateway, versioned by a revision number, without I/O.
 //!
-//! A [`Setup`] holds routes, services and workspaces. [`check`] collects everything that is wrong
-//! with one, [`Table`] answers look-ups, and [`Register`] is the replicated state: the setup with
-//! the highest revision wins, and its text is kept as the operator sent it. [`spread`] says who tells
-//! whom of a new [`Record`].
+//! A [`Setup`] holds routes, services and workspaces. [`validate`] reports its errors and [`Table`]
+//! indexes it. [`Register`] is the replicated state: the [`Record`] with the highest revision, whose
+//! text is stored as the operator sent it. [`distribution`] assigns the control host that sends a
+//! new record to each host.
 
-mod check;
+pub mod distribution;
 pub mod record;
 mod register;
 mod setup;
-pub mod spread;
 mod table;
+mod validate;
 
-pub use check::check;
 pub use record::Record;
 pub use register::Register;
-pub use setup::{Engine, Kind, Limits, Route, Service, Setup, Share, Workspace};
+pub use setup::{Delivery, Engine, Limits, Route, Service, Setup, Share, Workspace};
 pub use table::Table;
+pub use validate::validate;
--- a/crates/kumquatdrum_routes/src/record.rs
+++ b/crates/kumquatdrum_routes/src/record.rs
@@ -1,4 +1,4 @@
-//! A revision of the setup as it travels and is stored: its number and its text, packed.
+//! A revision of the setup as it is stored and sent: its number and its compressed text.
 
 use std::io::{Read as _, Write as _};
 use std::sync::Arc;
@@ -8,33 +8,32 @@
 use flate2::write::ZlibEncoder;
 use serde::{Deserialize, Serialize};
 
-/// A revision and its text, byte for byte as the operator sent it.
+/// A revision of the setup and its text, byte for byte as the operator sent it.
 ///
-/// The text is held packed: routes repeat their fields, so that a setup of 1,200 routes is a
-/// fifteenth of its text. Log, snapshot, disk and every message between hosts carry it so.
+/// The text stays compressed in the log, in snapshots, on disk and in messages between hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The operator's number.
+    /// The revision number, assigned by the operator.
     pub revision: u64,
     packed: Arc<[u8]>,
 }
 
-/// Why a record's text can't be had.
+/// An error in compressing or decompressing a record's text.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The packed bytes are damaged, or were written by another release.
-    #[error("the packed text can't be read: {0}")]
+    /// The compressed bytes are corrupt or have an unknown format.
+    #[error("the setup text cannot be compressed or decompressed: {0}")]
     Damaged(#[from] std::io::Error),
-    /// The text is longer than any that is taken from an operator.
-    #[error("the text is longer than {} bytes", Record::LARGEST)]
+    /// The text exceeds [`Record::MAX_TEXT_BYTES`].
+    #[error("the setup text is longer than {} bytes", Record::MAX_TEXT_BYTES)]
     TooLarge,
 }
 
 impl Record {
-    /// The longest text in bytes: twice the largest setup that operators send.
-    pub const LARGEST: usize = 8 * 1024 * 1024;
+    /// The maximum length of a setup's text in bytes.
+    pub const MAX_TEXT_BYTES: usize = 8 * 1024 * 1024;
 
-    /// Packs the text of a revision.
+    /// Compresses the text of a revision.
     ///
     /// ```
     /// use kumquatdrum_routes::Record;
@@ -45,35 +44,35 @@
     ///
     /// # Errors
     ///
-    /// A text over [`Record::LARGEST`].
+    /// Returns an error if the text exceeds [`Record::MAX_TEXT_BYTES`].
     pub fn new(revision: u64, text: &[u8]) -> Result<Self, Error> {
-        if text.len() > Self::LARGEST {
+        if text.len() > Self::MAX_TEXT_BYTES {
             return Err(Error::TooLarge);
         }
-        // The fastest level: a control host has a sixth of a core.
+        // Control hosts have little CPU time, so the fastest level is used.
         let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(text)?;
         let packed = encoder.finish()?.into();
         Ok(Self { revision, packed })
     }
 
-    /// The text, byte for byte.
+    /// Returns the decompressed text.
     ///
     /// # Errors
     ///
-    /// Bytes that are no packed text, or one over [`Record::LARGEST`].
+    /// Returns an error if the bytes are corrupt or the text exceeds [`Record::MAX_TEXT_BYTES`].
     pub fn text(&self) -> Result<Vec<u8>, Error> {
         let mut text = Vec::new();
-        let limit = Self::LARGEST as u64 + 1;
+        let limit = Self::MAX_TEXT_BYTES as u64 + 1;
         let mut decoder = ZlibDecoder::new(&*self.packed).take(limit);
         decoder.read_to_end(&mut text)?;
-        if text.len() > Self::LARGEST {
+        if text.len() > Self::MAX_TEXT_BYTES {
             return Err(Error::TooLarge);
         }
         Ok(text)
     }
 
-    /// Bytes of the packed text.
+    /// Returns the size of the compressed text in bytes.
     pub fn packed_len(&self) -> usize {
         self.packed.len()
     }
--- a/crates/kumquatdrum_routes/src/register.rs
+++ b/crates/kumquatdrum_routes/src/register.rs
@@ -1,17 +1,17 @@
-//! The replicated state: the record with the highest revision.
+//! The replicated register that holds the current setup.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Record;
 
-/// Holds the record with the highest revision that was ever applied.
+/// Holds the record with the highest revision applied so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
     current: Option<Record>,
 }
 
 impl Register {
-    /// Takes a record whose revision is higher than the present one; any other changes nothing.
+    /// Stores a record if its revision is higher than the current one; returns whether it was stored.
     pub fn apply(&mut self, record: Record) -> bool {
         if record.revision <= self.revision() {
             return false;
@@ -20,17 +20,17 @@
         true
     }
 
-    /// The present revision; 0 before the first.
+    /// Returns the current revision, or 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.current.as_ref().map_or(0, |record| record.revision)
     }
 
-    /// The present record.
+    /// Returns the current record.
     pub const fn current(&self) -> Option<&Record> {
         self.current.as_ref()
     }
 
-    /// For a snapshot.
+    /// Encodes the register for a snapshot.
     ///
     /// ```
     /// use kumquatdrum_routes::Register;
@@ -43,7 +43,7 @@
         postcard::to_stdvec(self)
     }
 
-    /// From a snapshot.
+    /// Decodes a register from a snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
--- a/crates/kumquatdrum_routes/src/setup.rs
+++ b/crates/kumquatdrum_routes/src/setup.rs
@@ -1,150 +1,150 @@
-//! The types of a setup.
+//! The data model of a setup.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 use kumquatdrum_types::{ServiceName, WorkspaceName};
 
-/// Everything that operators put in force at once.
+/// The complete configuration that an operator applies as one revision.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Setup {
-    /// The operator's number; the highest one is in force.
+    /// The revision number, assigned by the operator. The highest revision is active.
     pub revision: u64,
-    /// Where requests go.
+    /// Routes from hosts and path prefixes to services.
     pub routes: Vec<Route>,
-    /// The services behind the routes.
+    /// The services that routes refer to, by name.
     pub services: IndexMap<ServiceName, Service>,
-    /// Who may call; none where callers need no key.
+    /// The workspaces whose keys are accepted. `None` disables authentication.
     pub workspaces: Option<Vec<Workspace>>,
-    /// What callers may send.
+    /// Limits on requests.
     pub limits: Limits,
 }
 
-/// Requests of one host and path prefix.
+/// Routing rules for requests with a given host and path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// The operator's name for it.
+    /// The route's name, assigned by the operator.
     pub name: String,
-    /// The `Host` of its requests.
+    /// The `Host` header that requests must carry.
     pub host: String,
-    /// How their paths begin.
+    /// The prefix that request paths must have.
     pub prefix: String,
-    /// What may be repeated.
-    pub kind: Kind,
-    /// The longest that a caller is kept waiting.
+    /// The delivery guarantee, which decides whether a request may be retried.
+    pub delivery: Delivery,
+    /// The maximum time until a request is answered.
     pub timeout: Duration,
-    /// An answer within this time earns its full worth to the caller.
-    pub target: Duration,
-    /// 0 goes first.
+    /// The response time that requests should meet.
+    pub target_latency: Duration,
+    /// The scheduling priority; 0 is the highest.
     pub priority: u32,
-    /// The services that share its requests.
+    /// The services that requests are split between.
     pub shares: Vec<Share>,
-    /// The most endpoints that one attempt of a caller may be sent to.
+    /// The maximum number of endpoints that one request is sent to.
     pub max_attempts: u32,
-    /// Needs no key.
-    pub public: bool,
+    /// Whether requests are accepted without a key.
+    pub is_public: bool,
 }
 
-/// What may be done again.
+/// A delivery guarantee for requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// Idempotent.
+pub enum Delivery {
+    /// Idempotent: a request may run more than once.
     Safe,
-    /// Runs at most once.
+    /// At most once: a request that may have run is not retried.
     Unsafe,
-    /// Answered by a stream of events.
+    /// The response is a stream of events.
     Stream {
-        /// May go on at another endpoint after its last event, and so may run again.
-        resumable: bool,
-        /// The longest pause between events for which the answer is still on time.
-        pause: Duration,
+        /// Whether an interrupted stream may be resumed at another endpoint.
+        is_resumable: bool,
+        /// The maximum pause between events for which the response counts as on time.
+        max_pause: Duration,
     },
 }
 
-impl Kind {
-    /// Whether a request may run more than once.
+impl Delivery {
+    /// Returns whether a request may run more than once.
     pub const fn is_idempotent(self) -> bool {
         match self {
             Self::Safe => true,
             Self::Unsafe => false,
-            Self::Stream { resumable, .. } => resumable,
+            Self::Stream { is_resumable, .. } => is_resumable,
         }
     }
 }
 
-/// A service's part of a route's requests.
+/// A service's weighted share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Share {
     /// The service.
     pub service: ServiceName,
-    /// Its weight among the route's shares.
+    /// The weight relative to the route's other shares.
     pub weight: u32,
 }
 
-/// A service.
+/// A service as declared in a setup.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Service {
-    /// The most connections that one of its endpoints takes from all hosts together.
+    /// The maximum number of connections to one endpoint, summed over all hosts.
     pub max_connections: u32,
-    /// How its model engines work; none for plain services.
+    /// The cost model of the service's engines. `None` for plain services.
     pub engine: Option<Engine>,
 }
 
-/// The figures that a model engine publishes of itself.
+/// The capacity and cost model of a model engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that it works on at once.
+    /// The number of requests that the engine runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// The capacity of the KV cache in tokens.
     pub memory_tokens: u64,
-    /// Steps of a pass in which it writes.
+    /// The number of decode steps per scheduler pass.
     pub pass_steps: u32,
-    /// A step's base cost in milliseconds.
+    /// The base duration of a step in milliseconds.
     pub step_ms: f64,
-    /// What each request that writes adds to a step, in milliseconds.
+    /// The time that each decoding request adds to a step, in milliseconds.
     pub decode_request_ms: f64,
-    /// What 1,000 tokens of context of those that write add to a step, in milliseconds.
+    /// The time that every 1,000 context tokens of decoding requests add to a step, in milliseconds.
     pub context_ms_per_k_tokens: f64,
-    /// Prompt tokens read in a millisecond.
+    /// The number of prompt tokens prefilled per millisecond, without attention.
     pub prefill_tokens_per_ms: f64,
-    /// Milliseconds for a million pairs of a token and an earlier one.
+    /// The attention time for a million pairs of a token and an earlier token, in milliseconds.
     pub attention_ms_per_m_pairs: f64,
-    /// The most prompt tokens read in a step.
+    /// The maximum number of prompt tokens prefilled in a step.
     pub chunk_tokens: u32,
-    /// What holding memory elsewhere adds to a step, in milliseconds.
+    /// The time that KV cache held by other engines adds to a step, in milliseconds.
     pub remote_memory_step_ms: f64,
-    /// The usual length of a prompt, in tokens.
+    /// The typical length of a prompt in tokens.
     pub typical_prompt_tokens: f64,
-    /// The usual length of an answer, in tokens.
+    /// The typical length of an answer in tokens.
     pub typical_answer_tokens: f64,
 }
 
-/// Callers that share keys.
+/// A group of callers that share keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name, which endpoints are told.
+    /// The workspace's name, which is forwarded to endpoints.
     pub name: WorkspaceName,
-    /// The keys of its callers.
+    /// The keys that authenticate callers of the workspace.
     pub keys: Vec<String>,
-    /// Takes precedence over a route's.
+    /// The priority of the workspace's requests, which overrides the route's.
     pub priority: Option<u32>,
 }
 
-/// What callers may send, and how slowly.
+/// Limits on the size and duration of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// The longest that a head may take.
+    /// The maximum time to receive a request head.
     pub header_timeout: Duration,
-    /// The longest that a connection may be idle.
+    /// The maximum idle time of a connection.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Where an operator names no limits: the defaults of common HTTP servers.
+    /// Returns limits that match the defaults of common HTTP servers.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
--- a/crates/kumquatdrum_routes/src/table.rs
+++ b/crates/kumquatdrum_routes/src/table.rs
@@ -1,20 +1,20 @@
-//! Look-ups in a setup.
+//! Lookup tables for a setup.
 
 use indexmap::IndexMap;
 
 use crate::{Route, Setup, Workspace};
 
-/// A setup with its indexes.
+/// A setup indexed by host and by key.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     setup: Setup,
-    // Numbers of a host's routes, the longest prefix first.
+    // Indices of each host's routes, longest prefix first.
     hosts: IndexMap<String, Vec<usize>>,
     keys: IndexMap<String, usize>,
 }
 
 impl Table {
-    /// Indexes a setup.
+    /// Builds the indexes of a setup.
     pub fn new(setup: Setup) -> Self {
         let mut hosts: IndexMap<String, Vec<usize>> = IndexMap::new();
         for (number, route) in setup.routes.iter().enumerate() {
@@ -33,12 +33,13 @@
         Self { setup, hosts, keys }
     }
 
-    /// The setup itself.
+    /// Returns the indexed setup.
     pub fn setup(&self) -> &Setup {
         &self.setup
     }
 
-    /// The route of a host (a port after it is left aside) with the longest prefix of a path.
+    /// Returns the route with the longest matching prefix for a host and path. A port in `host` is
+    /// ignored.
     ///
     /// ```
     /// use kumquatdrum_routes::Table;
@@ -52,7 +53,7 @@
         routes.find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The workspace that holds a key.
+    /// Returns the workspace that a key belongs to.
     pub fn workspace(&self, key: &str) -> Option<&Workspace> {
         let number = *self.keys.get(key)?;
         self.setup.workspaces.as_ref()?.get(number)
--- a/crates/kumquatdrum_routes/src/check.rs
+++ b/crates/kumquatdrum_routes/src/validate.rs
@@ -1,32 +1,32 @@
-//! What makes a setup invalid.
+//! Validation of setups.
 
 use indexmap::{IndexMap, IndexSet};
 use kumquatdrum_types::Finding;
 
 use crate::{Route, Setup};
 
-/// Every finding, each with its place; none for a setup that may be put in force.
+/// Returns every error in a setup with its place; empty for a valid setup.
 ///
 /// ```
-/// use kumquatdrum_routes::{Setup, check};
+/// use kumquatdrum_routes::{Setup, validate};
 ///
-/// assert!(check(&Setup::default()).is_empty());
+/// assert!(validate(&Setup::default()).is_empty());
 /// ```
-pub fn check(setup: &Setup) -> Vec<Finding> {
+pub fn validate(setup: &Setup) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut places = IndexSet::new();
     for (number, route) in setup.routes.iter().enumerate() {
-        check_route(setup, number, route, &mut findings);
+        validate_route(setup, number, route, &mut findings);
         if !places.insert((route.host.to_ascii_lowercase(), &route.prefix)) {
             let message = "another route has the same host and prefix";
             findings.push(Finding::new(format!("/routes/{number}"), message));
         }
     }
-    check_keys(setup, &mut findings);
+    validate_keys(setup, &mut findings);
     findings
 }
 
-fn check_route(setup: &Setup, number: usize, route: &Route, findings: &mut Vec<Finding>) {
+fn validate_route(setup: &Setup, number: usize, route: &Route, findings: &mut Vec<Finding>) {
     let place = |field: &str| format!("/routes/{number}/{field}");
     for share in &route.shares {
         if !setup.services.contains_key(&share.service) {
@@ -42,7 +42,7 @@
     }
 }
 
-fn check_keys(setup: &Setup, findings: &mut Vec<Finding>) {
+fn validate_keys(setup: &Setup, findings: &mut Vec<Finding>) {
     let mut holders = IndexMap::new();
     for (number, workspace) in setup.workspaces.iter().flatten().enumerate() {
         for key in &workspace.keys {
--- /dev/null
+++ b/crates/kumquatdrum_routes/tests/distribution.rs
@@ -0,0 +1,135 @@
+//! Compression of records and their distribution to hosts.
+
+use kumquatdrum_routes::distribution::Queue;
+use kumquatdrum_routes::{Record, distribution, record};
+use kumquatdrum_types::HostId;
+
+fn hosts(kind: &str, count: usize) -> Vec<HostId> {
+    (1..=count)
+        .map(|number| HostId::new(format!("{kind}-{number}")))
+        .collect()
+}
+
+#[test]
+fn similar_routes_compress_to_a_tenth() {
+    let route = |number: usize| {
+        format!(
+            "{{\"name\":\"route-{number}\",\"host\":\"salon-{number}.example\",\
+             \"pathPrefix\":\"/swap/{number}/\",\"timeoutMs\":8000,\"service\":\"swap\"}}"
+        )
+    };
+    let text: Vec<String> = (0..1_200).map(route).collect();
+    let text = text.join(",");
+    let record = Record::new(3, text.as_bytes()).expect("a text within the limit");
+    assert!(
+        record.packed_len() * 10 < text.len(),
+        "{}",
+        record.packed_len()
+    );
+    assert_eq!(record.text().expect("its text"), text.as_bytes());
+}
+
+#[test]
+fn an_oversized_text_is_rejected_before_compression() {
+    let text = vec![b' '; Record::MAX_TEXT_BYTES + 1];
+    let rejected = Record::new(3, &text);
+    assert!(matches!(rejected, Err(record::Error::TooLarge)));
+    assert!(Record::new(3, &text[1..]).is_ok());
+}
+
+#[test]
+fn corrupt_bytes_are_an_error() {
+    let record = Record::new(3, b"routes, services and workspaces").expect("a short text");
+    let mut bytes = postcard::to_stdvec(&record).expect("its bytes");
+    let middle = bytes.len() / 2;
+    bytes[middle] ^= 0xff;
+    let damaged: Record = postcard::from_bytes(&bytes).expect("a decoded record");
+    assert!(matches!(damaged.text(), Err(record::Error::Damaged(_))));
+}
+
+#[test]
+fn shares_are_even_and_a_lost_host_moves_only_its_share() {
+    let (control, entries) = (hosts("control", 6), hosts("entry", 640));
+    let sender = |host: &HostId, control: &[HostId]| {
+        let sender = distribution::sender(host, control);
+        sender.cloned().expect("a sender")
+    };
+    for host in &control {
+        let share = entries
+            .iter()
+            .filter(|entry| sender(entry, &control) == *host);
+        let share = share.count();
+        // The average is 107.
+        assert!((70..150).contains(&share), "{host} sends to {share} of 640");
+    }
+    let (lost, remaining) = control.split_first().expect("six control hosts");
+    for entry in &entries {
+        let before = sender(entry, &control);
+        if before != *lost {
+            assert_eq!(sender(entry, remaining), before);
+        }
+    }
+    assert_eq!(distribution::sender(&entries[0], &[]), None);
+}
+
+// Guards against a leader that loses its quorum because heartbeats queue behind records on its link.
+
+/// The bandwidth of a control host's link in bytes per millisecond.
+const CONTROL_LINK_BYTES_PER_MS: usize = 170_000_000 / 8 / 1_000;
+/// The bandwidth of a caller-facing host's link in bytes per millisecond.
+const CALLER_LINK_BYTES_PER_MS: usize = 20_000_000 / 8 / 1_000;
+/// The interval between a leader's heartbeats; it steps down after six go unanswered.
+const HEARTBEAT_MS: usize = 100;
+/// The number of hosts that one of six control hosts sends to in a fleet of 85.
+const HOSTS_PER_SENDER: usize = 16;
+
+/// Simulates setup changes of `bytes` bytes each. Returns the longest delay of a heartbeat and the
+/// time from the last change until all hosts had it, in milliseconds.
+fn simulate(bytes: usize, change_every_ms: usize, changes: usize) -> (usize, usize) {
+    let hosts = hosts("entry", HOSTS_PER_SENDER);
+    let mut queue = Queue::default();
+    let (mut backlog, mut longest_wait, mut last_arrival) = (0_usize, 0, 0);
+    let mut arrivals: Vec<(usize, HostId)> = Vec::new();
+    for now in 0.. {
+        let change = now / change_every_ms;
+        if now % change_every_ms == 0 && change < changes {
+            queue.add(hosts.iter().cloned());
+        }
+        arrivals.retain(|(at, host)| {
+            let is_in_flight = *at > now;
+            if !is_in_flight {
+                queue.finish(host);
+                last_arrival = now;
+            }
+            is_in_flight
+        });
+        while let Some(host) = queue.start_next(bytes) {
+            backlog += bytes;
+            let arrival =
+                now + backlog / CONTROL_LINK_BYTES_PER_MS + bytes / CALLER_LINK_BYTES_PER_MS + 2;
+            arrivals.push((arrival, host));
+        }
+        if now % HEARTBEAT_MS == 0 {
+            longest_wait = longest_wait.max(backlog / CONTROL_LINK_BYTES_PER_MS);
+        }
+        backlog = backlog.saturating_sub(CONTROL_LINK_BYTES_PER_MS);
+        if change >= changes && arrivals.is_empty() {
+            break;
+        }
+    }
+    let last_change = (changes - 1) * change_every_ms;
+    (longest_wait, last_arrival - last_change)
+}
+
+#[test]
+fn records_delay_a_heartbeat_by_at_most_its_interval() {
+    for bytes in [20_000, 70_000, 250_000, 600_000] {
+        let (wait, arrival) = simulate(bytes, 360, 10);
+        assert!(wait <= HEARTBEAT_MS, "{bytes} bytes: {wait} ms");
+        // A change takes at most half a second to commit before it is distributed.
+        assert!(
+            arrival <= 2_000,
+            "{bytes} bytes: received after {arrival} ms"
+        );
+    }
+}
--- a/crates/kumquatdrum_routes/tests/setup.rs
+++ b/crates/kumquatdrum_routes/tests/setup.rs
@@ -1,9 +1,9 @@
-//! What is found in a setup, what is looked up in it, and which record wins.
+//! Validation, lookups, and the order of revisions.
 
 use std::time::Duration;
 
 use kumquatdrum_routes::{
-    Kind, Record, Register, Route, Service, Setup, Share, Table, Workspace, check,
+    Delivery, Record, Register, Route, Service, Setup, Share, Table, Workspace, validate,
 };
 use kumquatdrum_types::{ServiceName, WorkspaceName};
 
@@ -12,16 +12,16 @@
         name: prefix.to_owned(),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        kind: Kind::Safe,
+        delivery: Delivery::Safe,
         timeout: Duration::from_secs(1),
-        target: Duration::from_millis(100),
+        target_latency: Duration::from_millis(100),
         priority: 1,
         shares: vec![Share {
             service: ServiceName::new(service),
             weight: 1,
         }],
         max_attempts: 2,
-        public: false,
+        is_public: false,
     }
 }
 
@@ -43,14 +43,14 @@
 }
 
 fn places(setup: &Setup) -> Vec<String> {
-    check(setup)
+    validate(setup)
         .into_iter()
         .map(|finding| finding.place)
         .collect()
 }
 
 #[test]
-fn every_finding_is_told_with_its_place() {
+fn every_error_is_reported_with_its_place() {
     let mut unknown = route("a", "/x/", "nobody");
     unknown.timeout = Duration::ZERO;
     let mut weightless = route("a", "/y/", "s");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_workspace_may_name_a_key_twice() {
+fn a_workspace_may_list_a_key_twice() {
     let mut setup = setup(vec![route("a", "/", "s")]);
     setup.workspaces = Some(vec![workspace("one", &["k", "k"])]);
     assert_eq!(places(&setup), [] as [&str; 0]);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn only_a_higher_revision_is_taken() {
+fn only_a_higher_revision_is_applied() {
     let record =
         |revision, text: &str| Record::new(revision, text.as_bytes()).expect("a short text");
     let mut register = Register::default();
