--- a/crates/kumquatdrum_fanout/src/lib.rs
+++ b/crates/kumquatdrum_fanout/src/lib.rs
@@ -1,13 +1,11 @@
-//! Core: how what concerns all hosts reaches them, without clock or network.
+//! Fan-out of events to other hosts, without clock or network.
 //!
-//! Answers load: each dispatch concerns every host that places on the same engines, and each
-//! announcement of an endpoint all hosts. Told by one host to each of the others, what a host sends
-//! grows with their number, and most of it crosses to other data centres. Here a host tells those of
-//! its own data centre itself, and one [`Relay`] in each other data centre, which passes it on there;
-//! dispatches in a [`Bundle`].
+//! A host sends events directly to the hosts of its own data centre and to one [`Relay`] in each
+//! other data centre, which forwards them there in a [`Batch`]. This limits what a host sends, and
+//! the traffic between data centres, as the number of hosts grows.
 
-mod audience;
-mod bundle;
+mod batch;
+mod recipients;
 
-pub use audience::{Audience, Place, Relay};
-pub use bundle::{Bundle, Urgency};
+pub use batch::{Batch, Urgency};
+pub use recipients::{Peer, Recipients, Relay};
--- /dev/null
+++ b/crates/kumquatdrum_fanout/src/recipients.rs
@@ -0,0 +1,107 @@
+//! Selection of the hosts that receive a host's events.
+
+use indexmap::IndexMap;
+use kumquatdrum_types::{DataCentre, HostId, hash};
+
+/// The number of relays in a data centre. More relays spread the load, fewer fill their batches better.
+const RELAYS_PER_DATA_CENTRE: usize = 8;
+
+/// Another host as a potential recipient.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Peer {
+    /// The host's id.
+    pub id: HostId,
+    /// The data centre that the host runs in.
+    pub data_centre: DataCentre,
+    /// Whether the host accepts callers, is live and is not stopping.
+    pub can_relay: bool,
+}
+
+/// The relays that forward events within another data centre.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Relay {
+    /// The relay for first transmissions.
+    pub primary: HostId,
+    /// The relay for every other retransmission, which covers an undetected loss of the primary.
+    pub secondary: HostId,
+    /// All recipients in the data centre, including the relays.
+    pub hosts: Vec<HostId>,
+}
+
+/// The recipients of one host's events.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct Recipients {
+    /// Hosts that receive events directly.
+    pub direct: Vec<HostId>,
+    /// The relays of each data centre whose hosts receive events indirectly.
+    pub relays: Vec<Relay>,
+}
+
+impl Recipients {
+    /// Selects the recipients of the host `local` among `others`. Hosts of its own data centre are
+    /// direct recipients, and so are those of a data centre that has no more hosts than relays.
+    ///
+    /// ```
+    /// use kumquatdrum_fanout::{Peer, Recipients};
+    ///
+    /// let peer = |number: u32, data_centre: &str| Peer {
+    ///     id: format!("entry-{number}").as_str().into(),
+    ///     data_centre: data_centre.into(),
+    ///     can_relay: true,
+    /// };
+    /// let near = (1..60).map(|number| peer(number, "tartu"));
+    /// let far = (60..120).map(|number| peer(number, "riga"));
+    /// let others: Vec<Peer> = near.chain(far).collect();
+    /// let recipients = Recipients::select(&peer(0, "tartu"), &others);
+    /// assert_eq!(recipients.direct.len(), 59);
+    /// assert_eq!(recipients.relays.len(), 1);
+    /// ```
+    pub fn select<'a>(local: &Peer, others: impl IntoIterator<Item = &'a Peer>) -> Self {
+        let mut recipients = Self::default();
+        let mut distant: IndexMap<&DataCentre, Vec<&Peer>> = IndexMap::new();
+        for other in others {
+            if other.data_centre == local.data_centre {
+                recipients.direct.push(other.id.clone());
+            } else {
+                distant.entry(&other.data_centre).or_default().push(other);
+            }
+        }
+        for (data_centre, peers) in distant {
+            match select_relay(&local.id, data_centre, &peers) {
+                Some(relay) => recipients.relays.push(relay),
+                None => recipients
+                    .direct
+                    .extend(peers.into_iter().map(|peer| peer.id.clone())),
+            }
+        }
+        recipients
+    }
+}
+
+/// Selects the relays for a host's events in a data centre; `None` if it has too few hosts. Rendezvous
+/// hashing makes hosts with the same view agree on the relays, and the loss of a relay reassigns only
+/// its senders.
+fn select_relay(from: &HostId, data_centre: &DataCentre, peers: &[&Peer]) -> Option<Relay> {
+    if peers.len() <= RELAYS_PER_DATA_CENTRE {
+        return None;
+    }
+    let relaying = peers.iter().filter(|peer| peer.can_relay);
+    let mut pool: Vec<&HostId> = relaying.map(|peer| &peer.id).collect();
+    if pool.is_empty() {
+        // A partitioned data centre may become reachable again at any time.
+        pool = peers.iter().map(|peer| &peer.id).collect();
+    }
+    let by_weight = |name: &str, pool: &mut Vec<&HostId>| {
+        pool.sort_by_cached_key(|id| (hash::pair(name, id.as_str()), *id));
+    };
+    by_weight(data_centre.as_str(), &mut pool);
+    pool.truncate(RELAYS_PER_DATA_CENTRE);
+    by_weight(from.as_str(), &mut pool);
+    let first = pool.first().copied()?;
+    let second = pool.get(1).copied().unwrap_or(first);
+    Some(Relay {
+        primary: first.clone(),
+        secondary: second.clone(),
+        hosts: peers.iter().map(|peer| peer.id.clone()).collect(),
+    })
+}
--- a/crates/kumquatdrum_gateway/src/broadcast.rs
+++ b/crates/kumquatdrum_gateway/src/broadcast.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kumquatdrum_fanout::{Audience, Bundle, Urgency};
+use kumquatdrum_fanout::{Recipients, Batch, Urgency};
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_types::Moment;
 use parking_lot::Mutex;
@@ -39,7 +39,7 @@
 /// The addresses of an audience.
 #[derive(Debug, Default)]
 struct Peers {
-    audience: Audience,
+    audience: Recipients,
     direct: Vec<SocketAddr>,
     relays: Vec<Route>,
     /// Hosts of the own data centre, to which what others send is relayed.
@@ -109,7 +109,7 @@
             direct: direct.collect(),
             relays: relays.collect(),
             near,
-            audience: Audience::default(),
+            audience: Recipients::default(),
         };
         *self.peers.lock() = Arc::new(Peers { audience, ..peers });
     }
@@ -138,7 +138,7 @@
     /// Hands what others tell to `take`, and relays what is for the whole data centre, for ever.
     pub async fn listen(&self, take: impl Fn(Vec<Event>)) {
         let mut buffer = vec![0; LARGEST];
-        let mut bundle = Bundle::new(BUNDLE);
+        let mut bundle = Batch::new(BUNDLE);
         let mut logged = Moment::ZERO;
         loop {
             let due = bundle.due().map(|due| due - self.clock.now());
@@ -167,7 +167,7 @@
     }
 
     /// Relays what is for the whole data centre; returns the events.
-    fn accept(&self, datagram: Datagram, length: usize, bundle: &mut Bundle<Event>) -> Vec<Event> {
+    fn accept(&self, datagram: Datagram, length: usize, bundle: &mut Batch<Event>) -> Vec<Event> {
         if let Reach::DataCentre(urgency) = datagram.reach {
             let events = datagram.events.clone();
             let full = bundle.add(self.clock.now(), events, length, urgency);
--- a/crates/kumquatdrum_gateway/src/hosts.rs
+++ b/crates/kumquatdrum_gateway/src/hosts.rs
@@ -6,7 +6,7 @@
 
 use indexmap::IndexMap;
 use kumquatdrum_consensus::Member as ReplicaMember;
-use kumquatdrum_fanout::{Audience, Place};
+use kumquatdrum_fanout::{Recipients, Peer};
 use kumquatdrum_peer::Client;
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_types::{HostId, Moment};
@@ -317,21 +317,21 @@
     }
 
     /// Whom this host tells of its dispatches: hosts that take callers.
-    pub fn audience(&self) -> Audience {
+    pub fn audience(&self) -> Recipients {
         let now = self.clock.now();
         let state = self.state.lock();
         let others = state.aged(now);
         let others = others.filter(|(seen, age)| seen.host.callers && *age <= FORGOTTEN);
         let places = others.map(|(seen, age)| place(&seen.host, age <= LOST));
-        let places: Vec<Place> = places.collect();
-        Audience::of(&place(&state.local, true), &places)
+        let places: Vec<Peer> = places.collect();
+        Recipients::select(&place(&state.local, true), &places)
     }
 
     /// Whom this host tells of endpoints: all hosts that were heard lately.
-    pub fn live_audience(&self) -> Audience {
+    pub fn live_audience(&self) -> Recipients {
         let live = self.live();
-        let places: Vec<Place> = live.iter().map(|host| place(host, true)).collect();
-        Audience::of(&place(&self.local(), true), &places)
+        let places: Vec<Peer> = live.iter().map(|host| place(host, true)).collect();
+        Recipients::select(&place(&self.local(), true), &places)
     }
 
     /// Where the hosts that take callers in this host's data centre receive datagrams.
@@ -375,11 +375,11 @@
     }
 }
 
-fn place(host: &Host, is_heard: bool) -> Place {
-    Place {
+fn place(host: &Host, is_heard: bool) -> Peer {
+    Peer {
         id: host.id.clone(),
         data_centre: host.data_centre.clone(),
-        may_relay: host.callers && is_heard && !host.stopping,
+        can_relay: host.callers && is_heard && !host.stopping,
     }
 }
 
