--- a/crates/kumquatdrum_gateway/src/in_force.rs
+++ b/crates/kumquatdrum_gateway/src/active_setup.rs
@@ -1,4 +1,4 @@
-//! What this host goes by.
+//! The setup that is active on this host.
 
 use std::sync::Arc;
 
@@ -10,35 +10,35 @@
 
 use crate::Protocol;
 
-/// A record with its indexes.
+/// A decoded revision of the setup.
 #[derive(Debug)]
-pub struct InForce {
-    /// The record as it was committed.
+pub struct Revision {
+    /// The committed record.
     pub record: Record,
-    /// Its look-ups.
+    /// The lookup tables.
     pub table: Table,
 }
 
-/// A committed record that is not read yet.
+/// A committed record that has not been decoded yet.
 #[derive(Debug)]
 struct Offer {
     record: Record,
     from: String,
-    leads: bool,
+    is_leader: bool,
 }
 
-/// Holds the record with the highest revision that this host has been told of.
+/// Holds the active setup: the record with the highest revision received so far.
 pub struct Store {
     protocol: Arc<dyn Protocol>,
-    current: RwLock<Option<Arc<InForce>>>,
-    /// The newest record that is still to be read; earlier ones are overtaken.
+    current: RwLock<Option<Arc<Revision>>>,
+    /// The newest record to decode, which replaces earlier ones.
     offer: Mutex<Option<Offer>>,
     wake: Notify,
     logger: slog::Logger,
 }
 
 impl Store {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(protocol: Arc<dyn Protocol>, logger: slog::Logger) -> Self {
         Self {
             protocol,
@@ -49,22 +49,22 @@
         }
     }
 
-    /// What is in force here.
-    pub fn current(&self) -> Option<Arc<InForce>> {
+    /// Returns the active setup.
+    pub fn current(&self) -> Option<Arc<Revision>> {
         self.current.read().clone()
     }
 
-    /// The revision in force here; 0 before the first.
+    /// Returns the active revision, or 0 if there is none.
     pub fn revision(&self) -> u64 {
         let current = self.current.read();
         current
             .as_ref()
-            .map_or(0, |in_force| in_force.record.revision)
+            .map_or(0, |active_setup| active_setup.record.revision)
     }
 
-    /// A committed record, which [`Self::next`] puts in force where its revision is the highest;
-    /// `leads` where it comes from the log of a replica that leads.
-    pub fn offer(&self, record: &Record, from: &str, leads: bool) {
+    /// Offers a committed record, which [`Self::activate_next`] activates if its revision is the
+    /// highest. `is_leader` states whether it comes from the log of this host's replica as the leader.
+    pub fn offer(&self, record: &Record, from: &str, is_leader: bool) {
         let mut offer = self.offer.lock();
         let offered = offer.as_ref().map_or(0, |offer| offer.record.revision);
         if record.revision <= self.revision().max(offered) {
@@ -73,27 +73,27 @@
         *offer = Some(Offer {
             record: record.clone(),
             from: from.to_owned(),
-            leads,
+            is_leader,
         });
         self.wake.notify_one();
     }
 
-    /// Waits for a record of a higher revision and puts it in force, and says whether it was
-    /// offered by a leader.
-    pub async fn next(self: &Arc<Self>) -> (Arc<InForce>, bool) {
+    /// Waits for a record of a higher revision and activates it. Also returns whether it was offered by
+    /// the leader.
+    pub async fn activate_next(self: &Arc<Self>) -> (Arc<Revision>, bool) {
         loop {
             let offer = self.offer.lock().take();
             let Some(offer) = offer else {
                 self.wake.notified().await;
                 continue;
             };
-            let leads = offer.leads;
-            // On a thread of its own: a leader that unpacks and reads 16,000 routes on a sixth of a
-            // core between two heartbeats loses its quorum.
-            let reader = self.clone();
-            let taking = spawn_blocking(move || reader.take(&offer.record, &offer.from));
-            match taking.await {
-                Ok(Some(in_force)) => return (in_force, leads),
+            let is_leader = offer.is_leader;
+            // Decoding a large setup takes longer than a heartbeat interval, so it runs on another
+            // thread.
+            let store = self.clone();
+            let activating = spawn_blocking(move || store.activate(&offer.record, &offer.from));
+            match activating.await {
+                Ok(Some(active_setup)) => return (active_setup, is_leader),
                 Ok(None) => {}
                 Err(reason) => error!(self.logger, "setup_unreadable";
                     "event" => "setup_unreadable", "reason" => %reason),
@@ -101,22 +101,22 @@
         }
     }
 
-    /// Takes a record of a higher revision; a host never goes back.
-    fn take(&self, record: &Record, from: &str) -> Option<Arc<InForce>> {
+    /// Activates a record if its revision is higher than the active one.
+    fn activate(&self, record: &Record, from: &str) -> Option<Arc<Revision>> {
         let before = self.revision();
         if record.revision <= before {
             return None;
         }
-        let setup = match self.read(record) {
+        let setup = match self.decode(record) {
             Ok(setup) => setup,
             Err(reason) => {
-                // It was read before it was committed, so a host of another release wrote it.
+                // The record was validated before it was committed, so another release wrote it.
                 error!(self.logger, "setup_unreadable"; "event" => "setup_unreadable",
                     "revision" => record.revision, "from" => from, "reason" => reason);
                 return None;
             }
         };
-        let in_force = Arc::new(InForce {
+        let active_setup = Arc::new(Revision {
             record: record.clone(),
             table: Table::new(setup),
         });
@@ -126,17 +126,17 @@
             if known >= record.revision {
                 return None;
             }
-            *current = Some(in_force.clone());
+            *current = Some(active_setup.clone());
         }
         info!(self.logger, "setup_in_force"; "event" => "setup_in_force",
             "revision" => record.revision, "before" => before, "from" => from,
-            "routes" => in_force.table.setup().routes.len());
-        Some(in_force)
+            "routes" => active_setup.table.setup().routes.len());
+        Some(active_setup)
     }
 
-    fn read(&self, record: &Record) -> Result<Setup, String> {
+    fn decode(&self, record: &Record) -> Result<Setup, String> {
         let text = record.text().map_err(|error| error.to_string())?;
-        let setup = self.protocol.setup(&text);
+        let setup = self.protocol.decode_setup(&text);
         setup.map_err(|findings| {
             let first = findings.first().map(ToString::to_string);
             format!("{} findings, the first: {first:?}", findings.len())
--- a/crates/kumquatdrum_gateway/src/body.rs
+++ b/crates/kumquatdrum_gateway/src/body.rs
@@ -1,30 +1,30 @@
-//! Bodies of answers.
+//! Construction of response bodies.
 
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
 
-/// Why a body broke off.
+/// The error that ends an incomplete body.
 pub type Error = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub type Body = UnsyncBoxBody<Bytes, Error>;
 
-/// A body in one piece.
+/// Creates a body from complete bytes.
 ///
 /// ```
 /// use http_body::Body;
 ///
-/// assert_eq!(kumquatdrum_gateway::body::whole("done").size_hint().exact(), Some(4));
+/// assert_eq!(kumquatdrum_gateway::body::full("done").size_hint().exact(), Some(4));
 /// ```
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// An answer of this host's own, as JSON.
+/// Creates a JSON response that this host generates itself.
 ///
 /// ```
 /// use http::StatusCode;
@@ -33,7 +33,7 @@
 /// assert_eq!(response.headers()["content-type"], "application/json");
 /// ```
 pub fn json(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
-    let mut response = Response::new(whole(text));
+    let mut response = Response::new(full(text));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
--- a/crates/kumquatdrum_gateway/src/broadcast.rs
+++ b/crates/kumquatdrum_gateway/src/broadcast.rs
@@ -1,74 +1,73 @@
-//! Datagrams by which hosts tell each other of dispatches.
+//! Broadcast of dispatch events between hosts, over UDP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use kumquatdrum_fanout::{Recipients, Batch, Urgency};
+use kumquatdrum_fanout::{Batch, Recipients, Urgency};
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_types::Moment;
 use parking_lot::Mutex;
 use slog::{info, warn};
-use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
 use crate::hosts::Hosts;
 use crate::message::{Datagram, Event, Reach};
-use crate::meters::Meters;
-
-/// The largest datagram that is sent: what fits an Ethernet frame.
-const LARGEST: usize = 1_400;
-/// What a bundle holds of encoded events: the rest of a datagram is for their number and reach.
-const BUNDLE: usize = 1_300;
-/// How events are encoded. A host of another version can't read them, and says so.
-const VERSION: u8 = 2;
-/// Unreadable datagrams are counted, and logged at most this often.
-const UNREADABLE_LOGGED: Duration = Duration::from_secs(1);
-
-/// Tells other hosts of dispatches. What is lost is made good by the job's end, or its age.
+use crate::metrics::Metrics;
+
+/// The maximum size of a datagram, which fits an Ethernet frame.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// The maximum size of the encoded events in a datagram; the rest is for its header.
+const MAX_BATCH_BYTES: usize = 1_300;
+/// The version of the encoding. Datagrams of other versions are rejected.
+const ENCODING_VERSION: u8 = 2;
+/// The minimum interval between log lines about unreadable datagrams.
+const UNREADABLE_LOG_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Broadcasts dispatch events to other hosts. A lost event is corrected when the job ends or expires.
 pub struct Broadcaster {
     clock: Clock,
     socket: UdpSocket,
     hosts: Arc<Hosts>,
-    peers: Mutex<Arc<Peers>>,
-    meters: Arc<Meters>,
+    addresses: Mutex<Arc<Addresses>>,
+    metrics: Arc<Metrics>,
     logger: slog::Logger,
 }
 
-/// The addresses of an audience.
+/// The addresses of the recipients.
 #[derive(Debug, Default)]
-struct Peers {
-    audience: Recipients,
+struct Addresses {
+    recipients: Recipients,
     direct: Vec<SocketAddr>,
     relays: Vec<Route>,
-    /// Hosts of the own data centre, to which what others send is relayed.
-    near: Vec<SocketAddr>,
+    /// Hosts of the local data centre, to which received events are relayed.
+    local: Vec<SocketAddr>,
 }
 
-/// The addresses of a data centre's relays.
+/// The relay addresses of one data centre.
 #[derive(Debug)]
 struct Route {
     primary: SocketAddr,
     secondary: SocketAddr,
 }
 
-/// Which relays an event takes.
+/// The relay of each data centre that an event is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayPath {
-    /// The first of each data centre.
+    /// The primary relay.
     Primary,
-    /// The second.
+    /// The secondary relay.
     Secondary,
 }
 
 impl Broadcaster {
-    /// Opens the socket.
+    /// Binds the socket.
     pub fn open(
         clock: Clock,
         address: SocketAddr,
         hosts: Arc<Hosts>,
-        meters: Arc<Meters>,
+        metrics: Arc<Metrics>,
         logger: slog::Logger,
     ) -> std::io::Result<Self> {
         let socket = std::net::UdpSocket::bind(address)?;
@@ -77,56 +76,59 @@
             clock,
             socket: UdpSocket::from_std(socket)?,
             hosts,
-            peers: Mutex::default(),
-            meters,
+            addresses: Mutex::default(),
+            metrics,
             logger,
         })
     }
 
-    /// Looks anew at who is told and who relays.
+    /// Recomputes the recipients and relays.
     pub fn refresh(&self) {
-        let audience = self.hosts.audience();
-        let near = self.hosts.near_callers();
-        let known = self.peers.lock().clone();
-        if known.audience == audience && known.near == near {
+        let recipients = self.hosts.event_recipients();
+        let local = self.hosts.local_caller_addresses();
+        let known = self.addresses.lock().clone();
+        if known.recipients == recipients && known.local == local {
             return;
         }
-        if known.audience.relays != audience.relays {
-            let names = audience.relays.iter().map(|relay| relay.primary.as_str());
+        if known.recipients.relays != recipients.relays {
+            let names = recipients.relays.iter().map(|relay| relay.primary.as_str());
             let names: Vec<&str> = names.collect();
             info!(self.logger, "relays_changed"; "event" => "relays_changed",
-                "relays" => names.join(","), "direct" => audience.direct.len());
+                "relays" => names.join(","), "direct" => recipients.direct.len());
         }
-        let direct = audience.direct.iter();
-        let direct = direct.filter_map(|id| self.hosts.datagrams_at(id));
-        let relays = audience.relays.iter().filter_map(|relay| {
+        let direct = recipients.direct.iter();
+        let direct = direct.filter_map(|id| self.hosts.datagram_address(id));
+        let relays = recipients.relays.iter().filter_map(|relay| {
             Some(Route {
-                primary: self.hosts.datagrams_at(&relay.primary)?,
-                secondary: self.hosts.datagrams_at(&relay.secondary)?,
+                primary: self.hosts.datagram_address(&relay.primary)?,
+                secondary: self.hosts.datagram_address(&relay.secondary)?,
             })
         });
-        let peers = Peers {
+        let addresses = Addresses {
             direct: direct.collect(),
             relays: relays.collect(),
-            near,
-            audience: Recipients::default(),
+            local,
+            recipients: Recipients::default(),
         };
-        *self.peers.lock() = Arc::new(Peers { audience, ..peers });
+        *self.addresses.lock() = Arc::new(Addresses {
+            recipients,
+            ..addresses
+        });
     }
 
-    /// Tells all hosts that take callers.
-    pub fn tell(&self, event: Event, urgency: Urgency, path: RelayPath) {
-        let peers = self.peers.lock().clone();
+    /// Sends an event to all hosts that accept callers.
+    pub fn broadcast(&self, event: Event, urgency: Urgency, path: RelayPath) {
+        let addresses = self.addresses.lock().clone();
         let mut datagram = Datagram {
             reach: Reach::Host,
             events: vec![event],
         };
-        if !peers.direct.is_empty() {
-            self.send(&datagram, &peers.direct);
+        if !addresses.direct.is_empty() {
+            self.send(&datagram, &addresses.direct);
         }
-        if !peers.relays.is_empty() {
+        if !addresses.relays.is_empty() {
             datagram.reach = Reach::DataCentre(urgency);
-            let relays = peers.relays.iter().map(|route| match path {
+            let relays = addresses.relays.iter().map(|route| match path {
                 RelayPath::Primary => route.primary,
                 RelayPath::Secondary => route.secondary,
             });
@@ -135,52 +137,55 @@
         }
     }
 
-    /// Hands what others tell to `take`, and relays what is for the whole data centre, for ever.
-    pub async fn listen(&self, take: impl Fn(Vec<Event>)) {
-        let mut buffer = vec![0; LARGEST];
-        let mut bundle = Batch::new(BUNDLE);
+    /// Receives events indefinitely: passes them to `handle`, and relays those for the whole data centre.
+    pub async fn listen(&self, handle: impl Fn(Vec<Event>)) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+        let mut batch = Batch::new(MAX_BATCH_BYTES);
         let mut logged = Moment::ZERO;
         loop {
-            let due = bundle.due().map(|due| due - self.clock.now());
+            let due = batch.due().map(|due| due - self.clock.now());
             let received = tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => Some(received),
                 () = sleep(due.unwrap_or_default()), if due.is_some() => None,
             };
             match received {
                 Some(Ok((length, from))) => {
-                    self.meters.datagrams.with_label_values(&["received"]).inc();
+                    self.metrics
+                        .datagrams
+                        .with_label_values(&["received"])
+                        .inc();
                     match decode(&buffer[..length]) {
-                        Ok(datagram) => take(self.accept(datagram, length, &mut bundle)),
-                        Err(reason) => self.unreadable(from, &reason, &mut logged),
+                        Ok(datagram) => handle(self.accept(datagram, length, &mut batch)),
+                        Err(reason) => self.log_unreadable(from, &reason, &mut logged),
                     }
                 }
-                // An earlier datagram met a closed port; the socket itself still works.
+                // An ICMP error for an earlier datagram; the socket still works.
                 Some(Err(reason)) => {
                     info!(self.logger, "datagram_refused"; "event" => "datagram_refused",
                         "reason" => %reason);
                 }
                 None => {}
             }
-            let due = bundle.take_due(self.clock.now());
+            let due = batch.take_due(self.clock.now());
             self.relay(due);
         }
     }
 
-    /// Relays what is for the whole data centre; returns the events.
-    fn accept(&self, datagram: Datagram, length: usize, bundle: &mut Batch<Event>) -> Vec<Event> {
+    /// Queues events for the whole data centre to be relayed, and returns them.
+    fn accept(&self, datagram: Datagram, length: usize, batch: &mut Batch<Event>) -> Vec<Event> {
         if let Reach::DataCentre(urgency) = datagram.reach {
             let events = datagram.events.clone();
-            let full = bundle.add(self.clock.now(), events, length, urgency);
+            let full = batch.add(self.clock.now(), events, length, urgency);
             self.relay(full);
         }
         datagram.events
     }
 
-    fn unreadable(&self, from: SocketAddr, reason: &Unreadable, logged: &mut Moment) {
-        let counter = self.meters.datagrams.with_label_values(&["unreadable"]);
+    fn log_unreadable(&self, from: SocketAddr, reason: &Error, logged: &mut Moment) {
+        let counter = self.metrics.datagrams.with_label_values(&["unreadable"]);
         counter.inc();
         let now = self.clock.now();
-        if now - *logged >= UNREADABLE_LOGGED {
+        if now - *logged >= UNREADABLE_LOG_INTERVAL {
             *logged = now;
             warn!(self.logger, "datagram_unreadable"; "event" => "datagram_unreadable",
                 "from" => %from, "reason" => %reason, "so_far" => counter.get());
@@ -191,19 +196,19 @@
         let Some(events) = events else {
             return;
         };
-        let peers = self.peers.lock().clone();
+        let addresses = self.addresses.lock().clone();
         let datagram = Datagram {
             reach: Reach::Host,
             events,
         };
-        let relayed = self.meters.datagrams.with_label_values(&["relayed"]);
-        relayed.inc_by(peers.near.len() as u64);
-        self.send(&datagram, &peers.near);
+        let relayed = self.metrics.datagrams.with_label_values(&["relayed"]);
+        relayed.inc_by(addresses.local.len() as u64);
+        self.send(&datagram, &addresses.local);
     }
 
     fn send(&self, datagram: &Datagram, addresses: &[SocketAddr]) {
-        let bytes = match postcard::to_extend(datagram, vec![VERSION]) {
-            Ok(bytes) if bytes.len() <= LARGEST => bytes,
+        let bytes = match postcard::to_extend(datagram, vec![ENCODING_VERSION]) {
+            Ok(bytes) if bytes.len() <= MAX_DATAGRAM_BYTES => bytes,
             Ok(bytes) => {
                 warn!(self.logger, "event_too_large"; "event" => "event_too_large",
                     "bytes" => bytes.len());
@@ -215,27 +220,27 @@
                 return;
             }
         };
-        let sent = self.meters.datagrams.with_label_values(&["sent"]);
+        let sent = self.metrics.datagrams.with_label_values(&["sent"]);
         sent.inc_by(addresses.len() as u64);
         for address in addresses {
-            // A full socket buffer loses a hint, which the job's end makes good.
+            // Events are best effort: one lost to a full socket buffer is corrected later.
             let _ = self.socket.try_send_to(&bytes, *address);
         }
     }
 }
 
-/// Why a datagram can't be read.
-#[derive(Debug, Error)]
-enum Unreadable {
-    #[error("its version is {0:?}")]
+/// An error in decoding a datagram.
+#[derive(Debug, thiserror::Error)]
+enum Error {
+    #[error("unsupported version {0:?}")]
     Version(Option<u8>),
     #[error(transparent)]
     Encoding(#[from] postcard::Error),
 }
 
-fn decode(bytes: &[u8]) -> Result<Datagram, Unreadable> {
+fn decode(bytes: &[u8]) -> Result<Datagram, Error> {
     match bytes {
-        [VERSION, body @ ..] => Ok(postcard::from_bytes(body)?),
-        _ => Err(Unreadable::Version(bytes.first().copied())),
+        [ENCODING_VERSION, body @ ..] => Ok(postcard::from_bytes(body)?),
+        _ => Err(Error::Version(bytes.first().copied())),
     }
 }
--- a/crates/kumquatdrum_gateway/src/call.rs
+++ b/crates/kumquatdrum_gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request: who may send it, where it goes, and what becomes of it.
+//! Handling of callers' requests: admission, forwarding to endpoints, and the response.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,31 +17,31 @@
 use crate::Gateway;
 use crate::body::Body;
 use crate::problem::Problem;
-use crate::protocol::Ask;
+use crate::protocol::Metadata;
 
 mod attempt;
-mod flow;
 mod run;
+mod stream;
 
-/// How long a caller waits that doesn't say, where its route doesn't either.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The timeout of requests without a deadline header.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A request that may be sent.
+/// An admitted request with its complete body.
 pub(crate) struct Call {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
-    pub(crate) ask: Ask,
+    pub(crate) metadata: Metadata,
     pub(crate) route: Route,
     pub(crate) service: ServiceName,
     pub(crate) workspace: Option<WorkspaceName>,
     pub(crate) arrived: Moment,
     pub(crate) deadline: Moment,
-    /// The caller's name for it, for logs.
-    pub(crate) name: String,
+    /// The caller's attempt id, for logs.
+    pub(crate) attempt_id: String,
 }
 
-/// Answers one request.
+/// Handles one request.
 pub async fn handle(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
@@ -49,19 +49,19 @@
     let arrived = gateway.clock.now();
     let work = gateway.drain.work();
     let (head, body) = request.into_parts();
-    let ask = gateway.protocol.ask(&head.headers);
-    let name = ask.attempt.clone().unwrap_or_default();
-    gateway.informed(ask.patience).await;
-    let admitted = admit(&gateway, &head, &ask);
-    let mut response = match admitted {
-        Ok(admitted) => {
-            let call = receive(&gateway, head, body, ask, admitted, arrived).await;
+    let metadata = gateway.protocol.parse_request(&head.headers);
+    let attempt_id = metadata.attempt_id.clone().unwrap_or_default();
+    gateway.wait_for_setup(metadata.timeout).await;
+    let admission = admit(&gateway, &head, &metadata);
+    let mut response = match admission {
+        Ok(admission) => {
+            let call = receive(&gateway, head, body, metadata, admission, arrived).await;
             match call {
                 Ok(call) => run::run(Arc::new(call), work).await,
-                Err(problem) => refuse(&gateway, &name, &problem, arrived),
+                Err(problem) => refuse(&gateway, &attempt_id, &problem, arrived),
             }
         }
-        Err(problem) => refuse(&gateway, &name, &problem, arrived),
+        Err(problem) => refuse(&gateway, &attempt_id, &problem, arrived),
     };
     if gateway.drain.is_draining() {
         let close = HeaderValue::from_static("close");
@@ -70,34 +70,44 @@
     Ok(response)
 }
 
-/// What the setup in force says of a request.
-struct Admitted {
+/// The part of the active setup that applies to a request.
+struct Admission {
     route: Route,
     service: ServiceName,
     workspace: Option<WorkspaceName>,
     body_bytes: usize,
 }
 
-fn admit(gateway: &Gateway, head: &request::Parts, ask: &Ask) -> Result<Admitted, Problem> {
-    let in_force = gateway.in_force.current().ok_or(Problem::Unsure)?;
-    let table = &in_force.table;
+fn admit(
+    gateway: &Gateway,
+    head: &request::Parts,
+    metadata: &Metadata,
+) -> Result<Admission, Problem> {
+    let active_setup = gateway.active_setup.current().ok_or(Problem::NotReady)?;
+    let table = &active_setup.table;
     let host = head.headers.get(header::HOST);
     let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
-    // A host that is cut off can't tell what has been added since.
-    let is_sure = gateway.hosts.hears_majority();
-    let unless_sure = |problem: Problem| if is_sure { problem } else { Problem::Unsure };
+    // Without a majority of the control hosts, this host may have missed a newer setup.
+    let is_certain = gateway.hosts.has_control_majority();
+    let or_not_ready = |problem: Problem| {
+        if is_certain {
+            problem
+        } else {
+            Problem::NotReady
+        }
+    };
     let route = table.route(host, head.uri.path());
-    let route = route.ok_or_else(|| unless_sure(Problem::NoRoute))?;
-    let needs_key = table.setup().workspaces.is_some() && !route.public;
-    let workspace = ask.key.as_deref().and_then(|key| table.workspace(key));
+    let route = route.ok_or_else(|| or_not_ready(Problem::NoRoute))?;
+    let needs_key = table.setup().workspaces.is_some() && !route.is_public;
+    let workspace = metadata.key.as_deref().and_then(|key| table.workspace(key));
     if needs_key && workspace.is_none() {
-        return Err(unless_sure(Problem::UnknownKey));
+        return Err(or_not_ready(Problem::UnknownKey));
     }
     let mut route = route.clone();
     if let Some(priority) = workspace.and_then(|workspace| workspace.priority) {
         route.priority = priority;
     }
-    Ok(Admitted {
+    Ok(Admission {
         service: choose_service(&route),
         route,
         workspace: workspace.map(|workspace| workspace.name.clone()),
@@ -105,7 +115,7 @@
     })
 }
 
-/// One of the route's services, by their weights.
+/// Selects one of the route's services at random, by weight.
 fn choose_service(route: &Route) -> ServiceName {
     let total: u64 = route
         .shares
@@ -128,15 +138,15 @@
     gateway: &Arc<Gateway>,
     head: request::Parts,
     body: Incoming,
-    ask: Ask,
-    admitted: Admitted,
+    metadata: Metadata,
+    admission: Admission,
     arrived: Moment,
 ) -> Result<Call, Problem> {
-    let patience = ask.patience.unwrap_or(PATIENCE);
-    let deadline = arrived + patience.min(admitted.route.timeout);
-    let limited = Limited::new(body, admitted.body_bytes).collect();
-    let until = gateway.clock.instant(deadline);
-    let body = match timeout_at(until, limited).await {
+    let timeout = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT);
+    let deadline = arrived + timeout.min(admission.route.timeout);
+    let limited = Limited::new(body, admission.body_bytes).collect();
+    let deadline_instant = gateway.clock.instant(deadline);
+    let body = match timeout_at(deadline_instant, limited).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(Problem::TooLarge),
         Ok(Err(error)) => return Err(Problem::Unreadable(error.to_string())),
@@ -147,56 +157,61 @@
             });
         }
     };
-    gateway.fleet.requested(&admitted.service);
+    gateway.fleet.record_request(&admission.service);
     Ok(Call {
         gateway: gateway.clone(),
-        name: ask.attempt.clone().unwrap_or_default(),
+        attempt_id: metadata.attempt_id.clone().unwrap_or_default(),
         head,
         body,
-        ask,
-        route: admitted.route,
-        service: admitted.service,
-        workspace: admitted.workspace,
+        metadata,
+        route: admission.route,
+        service: admission.service,
+        workspace: admission.workspace,
         arrived,
         deadline,
     })
 }
 
-fn refuse(gateway: &Gateway, name: &str, problem: &Problem, arrived: Moment) -> Response<Body> {
-    gateway.meters.ended.with_label_values(&["refused"]).inc();
-    info!(gateway.logger, "request_refused"; "event" => "request_refused", "request" => name,
+fn refuse(
+    gateway: &Gateway,
+    attempt_id: &str,
+    problem: &Problem,
+    arrived: Moment,
+) -> Response<Body> {
+    gateway.metrics.ended.with_label_values(&["refused"]).inc();
+    info!(gateway.logger, "request_refused"; "event" => "request_refused", "request" => attempt_id,
         "status" => problem.status().as_u16(), "reason" => %problem,
-        "revision" => gateway.in_force.revision(),
+        "revision" => gateway.active_setup.revision(),
         "ms" => (gateway.clock.now() - arrived).as_millis() as u64);
     problem.response()
 }
 
 impl Call {
-    /// Whether the answer is a series of events.
+    /// Returns whether the response is a stream of events.
     pub(crate) const fn is_stream(&self) -> bool {
         matches!(self.route.delivery, Delivery::Stream { .. })
     }
 
-    /// The longest pause between events that the caller bears.
-    pub(crate) const fn pause(&self) -> Duration {
+    /// Returns the maximum pause between events for which the response counts as on time.
+    pub(crate) const fn max_pause(&self) -> Duration {
         match self.route.delivery {
-            Delivery::Stream { pause, .. } => pause,
+            Delivery::Stream { max_pause, .. } => max_pause,
             Delivery::Safe | Delivery::Unsafe => Duration::MAX,
         }
     }
 
-    /// What is left of the caller's patience.
-    pub(crate) fn left(&self) -> Duration {
+    /// Returns the time left until the deadline.
+    pub(crate) fn time_left(&self) -> Duration {
         self.deadline - self.gateway.clock.now()
     }
 
-    /// The deadline on the runtime's clock.
-    pub(crate) fn until(&self) -> Instant {
+    /// Returns the deadline on the runtime's clock.
+    pub(crate) fn deadline_instant(&self) -> Instant {
         self.gateway.clock.instant(self.deadline)
     }
 
-    /// How long ago the caller came.
-    pub(crate) fn age(&self) -> Duration {
+    /// Returns the time since the request arrived.
+    pub(crate) fn elapsed(&self) -> Duration {
         self.gateway.clock.now() - self.arrived
     }
 }
--- a/crates/kumquatdrum_gateway/src/call/attempt.rs
+++ b/crates/kumquatdrum_gateway/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! One request to one endpoint, and what its answer says.
+//! Sending a request to one endpoint and classifying the outcome.
 
 use bytes::Bytes;
 use http::header::{self, HeaderMap, HeaderName};
@@ -10,11 +10,10 @@
 
 use super::Call;
 use crate::fleet::Pick;
-use crate::protocol::{Helper, Note, Reply};
+use crate::protocol::{Annotation, Helper, Reply};
 use crate::upstream::{self, Exchange};
 
-/// Headers that concern one connection alone (RFC 9110, 7.6.1), beside those that `Connection`
-/// names.
+/// Hop-by-hop headers (RFC 9110, 7.6.1), in addition to those listed in `Connection`.
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::TE,
@@ -26,45 +25,45 @@
 ];
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// What became of one request to one endpoint.
+/// The outcome of sending a request to one endpoint.
 pub(super) enum Outcome {
-    /// An answer in one piece that the caller gets unless a repetition does better.
-    Whole(Response<Bytes>, Judgement),
-    /// A stream has begun.
+    /// A complete response, which the caller gets unless a retry succeeds.
+    Complete(Response<Bytes>, Execution),
+    /// A stream of events has started.
     Stream(Box<Exchange>),
-    /// No byte was sent.
+    /// No part of the request was sent.
     Unsent(String),
-    /// It was sent, and there is no answer of this endpoint to this request.
+    /// The request was sent, but the endpoint's response to it was lost.
     Lost(String),
-    /// It was sent, and the time is up.
+    /// The request was sent, and the deadline has passed.
     TimedOut,
 }
 
-/// What an answer in one piece says.
+/// Whether a request has run, according to a complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Judgement {
-    /// It has run.
+pub(super) enum Execution {
+    /// The request has run.
     Ran,
-    /// It has run and failed there.
+    /// The request has run and failed.
     Failed,
-    /// It has not run.
+    /// The request has not run.
     NotRun,
 }
 
 impl Call {
     /// Sends the request to the picked endpoint.
-    pub(super) async fn attempt(&self, pick: &Pick, after_event: Option<u64>) -> Outcome {
-        let request = self.request(pick, after_event);
-        let sent = upstream::send(pick.endpoint.address, request, self.until()).await;
+    pub(super) async fn attempt(&self, pick: &Pick, last_event_id: Option<u64>) -> Outcome {
+        let request = self.build_request(pick, last_event_id);
+        let sent = upstream::send(pick.endpoint.address, request, self.deadline_instant()).await;
         let exchange = match sent {
             Ok(exchange) => exchange,
             Err(upstream::Error::Unsent(reason)) => {
-                pick.failed(Failure::Unreachable);
+                pick.record_failure(Failure::Unreachable);
                 self.log_attempt(pick, "unsent", &reason);
                 return Outcome::Unsent(reason);
             }
             Err(upstream::Error::Lost(reason)) => {
-                pick.failed(Failure::Broken);
+                pick.record_failure(Failure::Broken);
                 self.log_attempt(pick, "lost", &reason);
                 return Outcome::Lost(reason);
             }
@@ -75,11 +74,11 @@
         };
         let status = exchange.response.status();
         let headers = exchange.response.headers();
-        let reply = self.gateway.protocol.reply(status, headers);
-        if reply.attempt != self.ask.attempt {
-            pick.failed(Failure::Broken);
-            self.log_attempt(pick, "crossed", "an answer to another request");
-            return Outcome::Lost("an answer to another request".to_owned());
+        let reply = self.gateway.protocol.parse_response(status, headers);
+        if reply.attempt_id != self.metadata.attempt_id {
+            pick.record_failure(Failure::Broken);
+            self.log_attempt(pick, "crossed", "a response to another request");
+            return Outcome::Lost("a response to another request".to_owned());
         }
         if self.is_stream() && status == StatusCode::OK {
             return Outcome::Stream(Box::new(exchange));
@@ -89,42 +88,50 @@
 
     async fn collect(&self, pick: &Pick, exchange: Exchange, reply: &Reply) -> Outcome {
         let Exchange { response, .. } = &exchange;
-        let judgement = match response.status() {
-            _ if reply.not_run || reply.wrong_endpoint => Judgement::NotRun,
-            status if status.is_server_error() => Judgement::Failed,
-            _ => Judgement::Ran,
+        let execution = match response.status() {
+            _ if reply.has_not_run || reply.is_misdirected => Execution::NotRun,
+            status if status.is_server_error() => Execution::Failed,
+            _ => Execution::Ran,
         };
         let mut exchange = exchange;
-        let collected = timeout_at(self.until(), exchange.response.body_mut().collect()).await;
+        let collected = timeout_at(
+            self.deadline_instant(),
+            exchange.response.body_mut().collect(),
+        )
+        .await;
         let body = match collected {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) => {
-                pick.failed(Failure::Broken);
+                pick.record_failure(Failure::Broken);
                 self.log_attempt(pick, "broken", &error.to_string());
                 return Outcome::Lost(error.to_string());
             }
             Err(_) => {
-                self.log_attempt(pick, "timed_out", "the answer was not whole in time");
+                self.log_attempt(
+                    pick,
+                    "timed_out",
+                    "the response was incomplete at the deadline",
+                );
                 return Outcome::TimedOut;
             }
         };
         let load = reply.load.as_ref().map(|load| load.running + load.waiting);
-        match (judgement, &reply.at_fault) {
-            (_, Some(helper)) if *helper != pick.endpoint.id.as_str() => pick.helper_failed(helper),
-            _ if reply.wrong_endpoint => pick.mark_displaced(),
-            (Judgement::Ran, _) => pick.succeeded(load),
-            (Judgement::NotRun, _) => pick.failed(Failure::Busy),
-            (Judgement::Failed, _) => pick.failed(Failure::Error),
+        match (execution, &reply.failed_endpoint) {
+            (_, Some(id)) if *id != pick.endpoint.id.as_str() => pick.record_helper_failure(id),
+            _ if reply.is_misdirected => pick.mark_displaced(),
+            (Execution::Ran, _) => pick.record_success(load),
+            (Execution::NotRun, _) => pick.record_failure(Failure::Busy),
+            (Execution::Failed, _) => pick.record_failure(Failure::Error),
         }
         let status = exchange.response.status();
         self.log_attempt(pick, "answered", status.as_str());
-        let mut whole = Response::new(body);
-        *whole.status_mut() = status;
-        *whole.headers_mut() = answer_headers(exchange.response.headers());
-        Outcome::Whole(whole, judgement)
+        let mut response = Response::new(body);
+        *response.status_mut() = status;
+        *response.headers_mut() = end_to_end_headers(exchange.response.headers());
+        Outcome::Complete(response, execution)
     }
 
-    fn request(&self, pick: &Pick, after_event: Option<u64>) -> Request<Full<Bytes>> {
+    fn build_request(&self, pick: &Pick, last_event_id: Option<u64>) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
         *request.version_mut() = Version::HTTP_11;
@@ -133,44 +140,44 @@
         *request.uri_mut() = path.map_or_else(|| uri.clone(), Into::into);
         let headers = request.headers_mut();
         *headers = self.head.headers.clone();
-        strip(headers);
+        remove_hop_by_hop(headers);
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
         let helpers: Vec<Helper> = pick
-            .readers
+            .prefillers
             .iter()
-            .map(|reader| reader.helper.clone())
+            .map(|prefiller| prefiller.helper.clone())
             .collect();
-        let note = Note {
+        let annotation = Annotation {
             workspace: self.workspace.as_ref(),
             endpoint: &pick.endpoint.id,
-            patience: self.ask.patience.map(|_| self.left()),
+            timeout: self.metadata.timeout.map(|_| self.time_left()),
             helpers: &helpers,
-            after_event,
+            last_event_id,
         };
-        self.gateway.protocol.annotate(headers, &note);
+        self.gateway.protocol.annotate(headers, &annotation);
         request
     }
 
     pub(super) fn log_attempt(&self, pick: &Pick, outcome: &str, reason: &str) {
-        let meters = &self.gateway.meters;
-        meters.attempts.with_label_values(&[outcome]).inc();
-        info!(self.gateway.logger, "attempt"; "event" => "attempt", "request" => &self.name,
+        let metrics = &self.gateway.metrics;
+        metrics.attempts.with_label_values(&[outcome]).inc();
+        info!(self.gateway.logger, "attempt"; "event" => "attempt", "request" => &self.attempt_id,
             "endpoint" => pick.endpoint.id.as_str(), "address" => %pick.endpoint.address,
             "outcome" => outcome, "reason" => reason,
-            "ms" => self.age().as_millis() as u64);
+            "ms" => self.elapsed().as_millis() as u64);
     }
 }
 
-/// Headers of an answer, without those of the connection to the endpoint.
-pub(super) fn answer_headers(headers: &HeaderMap) -> HeaderMap {
+/// Returns a response's headers without those of the connection to the endpoint.
+pub(super) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
-    strip(&mut headers);
+    remove_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers
 }
 
-fn strip(headers: &mut HeaderMap) {
+fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named = headers.get_all(header::CONNECTION).iter();
     let named = named.filter_map(|value| value.to_str().ok());
     let named = named.flat_map(|value| value.split(','));
--- a/crates/kumquatdrum_gateway/src/call/run.rs
+++ b/crates/kumquatdrum_gateway/src/call/run.rs
@@ -1,4 +1,4 @@
-//! A request's way over one endpoint or several.
+//! Runs a request on one endpoint, and retries it on others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,255 +12,264 @@
 use slog::info;
 
 use super::Call;
-use super::attempt::{Judgement, Outcome};
-use super::flow::{self, Passed};
+use super::attempt::{Execution, Outcome};
+use super::stream::{self, Timing};
 use crate::body::{self, Body};
-use crate::fleet::{Pick, Unplaced};
+use crate::fleet::{Pick, Rejection};
 use crate::problem::{Problem, seconds};
 use crate::reservation::{self, Reservation};
 
-/// When to come back where no endpoint is known: a few announcements later.
-const NOBODY: Duration = Duration::from_secs(1);
-/// When to come back where endpoints have no room: the time of a few plain requests.
-const NO_ROOM: Duration = Duration::from_millis(300);
-/// When to come back where too much else is asked for: demand is judged over as long.
-const CALMER: Duration = Duration::from_secs(3);
-/// The most endpoints that are tried in vain, without a byte sent.
-const UNSENT: usize = 8;
+/// The retry delay if no endpoint is known; covers several announcements.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The retry delay if endpoints have no capacity.
+const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// The retry delay if a prompt is rejected because of overload; matches the window for demand.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(3);
+/// The maximum number of endpoints that may be tried without sending the request.
+const MAX_UNSENT_ATTEMPTS: usize = 8;
 
-/// What has been tried so far.
+/// The attempts made so far for a request.
 #[derive(Default)]
-pub(super) struct Tries {
+pub(super) struct Attempts {
     pub(super) sent: u32,
     unsent: usize,
-    spared: Vec<EndpointKey>,
-    answer: Option<Response<Bytes>>,
+    excluded: Vec<EndpointKey>,
+    response: Option<Response<Bytes>>,
     may_have_run: bool,
 }
 
-impl Tries {
-    /// An endpoint has failed the request, and gets it no more.
-    pub(super) fn spare(&mut self, key: EndpointKey) {
-        self.spared.push(key);
+impl Attempts {
+    /// Excludes an endpoint from further attempts.
+    pub(super) fn exclude(&mut self, key: EndpointKey) {
+        self.excluded.push(key);
     }
 }
 
-/// Sends a request until an endpoint has answered it, or nothing more may be tried.
+/// Sends a request to endpoints until one answers or no further attempt is allowed.
 pub(super) async fn run(call: Arc<Call>, work: Work) -> Response<Body> {
-    let mut tries = Tries::default();
+    let mut attempts = Attempts::default();
     loop {
-        let pick = match call.pick(&tries).await {
+        let pick = match call.pick(&attempts).await {
             Ok(pick) => pick,
-            Err(problem) => return call.give_up(&mut tries, problem),
+            Err(problem) => return call.give_up(&mut attempts, problem),
         };
-        let Some(reservations) = call.reserve(&pick, &mut tries).await else {
+        let Some(reservations) = call.reserve(&pick, &mut attempts).await else {
             continue;
         };
         let outcome = call.attempt(&pick, None).await;
-        tries.sent += u32::from(!matches!(outcome, Outcome::Unsent(_)));
+        attempts.sent += u32::from(!matches!(outcome, Outcome::Unsent(_)));
         let outcome = match outcome {
             Outcome::Stream(exchange) => {
-                match flow::begin(&call, pick, reservations, *exchange, &mut tries).await {
-                    Ok(begun) => return begun.response(call, work),
+                match stream::start(&call, pick, reservations, *exchange, &mut attempts).await {
+                    Ok(started) => return started.response(call, work),
                     Err((pick, reason)) => {
                         call.log_attempt(&pick, "broken", &reason);
-                        tries.spared.push(pick.key);
+                        attempts.excluded.push(pick.key);
                         Outcome::Lost(reason)
                     }
                 }
             }
             outcome => {
-                tries.spared.push(pick.key);
+                attempts.excluded.push(pick.key);
                 drop(pick);
                 outcome
             }
         };
-        match call.settle(&mut tries, outcome) {
+        match call.resolve(&mut attempts, outcome) {
             Some(response) => return response,
             None => {
-                info!(call.gateway.logger, "retry"; "event" => "retry", "request" => &call.name,
-                    "sent" => tries.sent, "unsent" => tries.unsent);
+                info!(call.gateway.logger, "retry"; "event" => "retry", "request" => &call.attempt_id,
+                    "sent" => attempts.sent, "unsent" => attempts.unsent);
             }
         }
     }
 }
 
 impl Call {
-    /// Picks an endpoint that has not failed the request yet.
-    pub(super) async fn pick(&self, tries: &Tries) -> Result<Pick, Problem> {
+    /// Picks an endpoint that is not excluded.
+    pub(super) async fn pick(&self, attempts: &Attempts) -> Result<Pick, Problem> {
         let job = Job {
-            id: self.gateway.fleet.name(),
-            prompt: self.ask.prompt_tokens.unwrap_or(0),
-            answer: self.ask.answer_tokens.unwrap_or(0),
-            pause: self.pause(),
+            id: self.gateway.fleet.next_job_id(),
+            prompt: self.metadata.prompt_tokens.unwrap_or(0),
+            answer: self.metadata.max_answer_tokens.unwrap_or(0),
+            pause: self.max_pause(),
             arrived: self.arrived,
-            due: self.arrived + self.route.target,
+            due: self.arrived + self.route.target_latency,
             deadline: self.deadline,
-            spared: tries.spared.clone(),
+            spared: attempts.excluded.clone(),
         };
-        let picked = self.gateway.fleet.pick(&self.service, &self.name, &job);
+        let picked = self
+            .gateway
+            .fleet
+            .pick(&self.service, &self.attempt_id, &job);
         let picked = picked.await;
-        picked.map_err(|unplaced| match unplaced {
-            Unplaced::Nobody => Problem::Refused {
+        picked.map_err(|rejection| match rejection {
+            Rejection::NoEndpoint => Problem::Refused {
                 reason: "no endpoint is known",
-                retry_after: NOBODY,
+                retry_after: NO_ENDPOINT_RETRY_AFTER,
             },
-            Unplaced::TooCostly => Problem::Refused {
+            Rejection::TooCostly => Problem::Refused {
                 reason: "too long a prompt for what else is asked for",
-                retry_after: CALMER,
+                retry_after: OVERLOAD_RETRY_AFTER,
             },
-            Unplaced::TooLarge => Problem::Refused {
+            Rejection::TooLarge => Problem::Refused {
                 reason: "the prompt is larger than any engine's memory",
-                retry_after: self.left(),
+                retry_after: self.time_left(),
             },
-            Unplaced::NoRoom(_) => Problem::Refused {
+            Rejection::NoCapacity(_) => Problem::Refused {
                 reason: "no engine had room",
-                retry_after: NO_ROOM,
+                retry_after: NO_CAPACITY_RETRY_AFTER,
             },
         })
     }
 
-    /// Sets memory aside at the engines that have to hold a part; nothing where one of them can't.
-    pub(super) async fn reserve(&self, pick: &Pick, tries: &mut Tries) -> Option<Vec<Reservation>> {
-        let holders = pick.readers.iter();
-        let holders = holders.filter_map(|reader| {
-            let name = reader.helper.reservation.clone()?;
-            Some((reader, name))
+    /// Reserves memory at the helpers that need it. Returns `None` if any reservation fails.
+    pub(super) async fn reserve(
+        &self,
+        pick: &Pick,
+        attempts: &mut Attempts,
+    ) -> Option<Vec<Reservation>> {
+        let helpers = pick.prefillers.iter();
+        let helpers = helpers.filter_map(|prefiller| {
+            let name = prefiller.helper.reservation.clone()?;
+            Some((prefiller, name))
         });
-        let reserved = holders.map(|(reader, name)| async move {
-            let address = reader.helper.address;
-            let tokens = reader.reserved;
+        let reserved = helpers.map(|(prefiller, name)| async move {
+            let address = prefiller.helper.address;
+            let tokens = prefiller.reserved_tokens;
             let reserved =
-                reservation::reserve(&self.gateway, &reader.endpoint, address, name, tokens);
-            reserved.await.map_err(|_| reader.key)
+                reservation::reserve(&self.gateway, &prefiller.endpoint, address, name, tokens);
+            reserved.await.map_err(|_| prefiller.key)
         });
-        let mut held = Vec::new();
-        let mut is_whole = true;
+        let mut reservations = Vec::new();
+        let mut is_complete = true;
         for reserved in join_all(reserved).await {
             match reserved {
-                Ok(reservation) => held.push(reservation),
+                Ok(reservation) => reservations.push(reservation),
                 Err(key) => {
-                    is_whole = false;
-                    tries.spare(key);
+                    is_complete = false;
+                    attempts.exclude(key);
                 }
             }
         }
-        is_whole.then_some(held)
+        is_complete.then_some(reservations)
     }
 
-    /// The final answer after an outcome, or nothing where another endpoint may be tried.
-    fn settle(&self, tries: &mut Tries, outcome: Outcome) -> Option<Response<Body>> {
-        let idempotent = self.route.delivery.is_idempotent();
-        let (may_repeat, problem) = match outcome {
-            Outcome::Whole(response, judgement) => {
-                let may_repeat = match judgement {
-                    Judgement::Ran => false,
-                    Judgement::NotRun => true,
-                    Judgement::Failed => idempotent,
+    /// Returns the response for an outcome, or `None` if another endpoint may be tried.
+    fn resolve(&self, attempts: &mut Attempts, outcome: Outcome) -> Option<Response<Body>> {
+        let is_idempotent = self.route.delivery.is_idempotent();
+        let (can_retry, problem) = match outcome {
+            Outcome::Complete(response, execution) => {
+                let can_retry = match execution {
+                    Execution::Ran => false,
+                    Execution::NotRun => true,
+                    Execution::Failed => is_idempotent,
                 };
-                tries.may_have_run |= judgement != Judgement::NotRun;
-                tries.answer = Some(response);
-                (may_repeat, None)
+                attempts.may_have_run |= execution != Execution::NotRun;
+                attempts.response = Some(response);
+                (can_retry, None)
             }
             Outcome::Unsent(reason) => {
-                tries.unsent += 1;
-                if tries.unsent <= UNSENT && self.gateway.clock.now() < self.deadline {
+                attempts.unsent += 1;
+                if attempts.unsent <= MAX_UNSENT_ATTEMPTS
+                    && self.gateway.clock.now() < self.deadline
+                {
                     return None;
                 }
-                (false, Some(Self::unsent(tries, reason)))
+                (false, Some(Self::unsent_problem(attempts, reason)))
             }
             Outcome::Lost(reason) => {
-                tries.may_have_run = true;
-                (idempotent, Some(Problem::Failed(reason)))
+                attempts.may_have_run = true;
+                (is_idempotent, Some(Problem::Failed(reason)))
             }
             Outcome::TimedOut => {
-                tries.may_have_run = true;
+                attempts.may_have_run = true;
                 (false, Some(Problem::TimedOut))
             }
             Outcome::Stream(_) => (false, None),
         };
-        let is_allowed = may_repeat
-            && tries.sent < self.route.max_attempts
+        let is_allowed = can_retry
+            && attempts.sent < self.route.max_attempts
             && self.gateway.fleet.take_retry(&self.service);
         if is_allowed {
             return None;
         }
         Some(match problem {
-            Some(problem) => self.give_up(tries, problem),
-            None => self.answer(tries),
+            Some(problem) => self.give_up(attempts, problem),
+            None => self.respond(attempts),
         })
     }
 
-    fn unsent(tries: &Tries, reason: String) -> Problem {
-        if tries.may_have_run {
+    fn unsent_problem(attempts: &Attempts, reason: String) -> Problem {
+        if attempts.may_have_run {
             return Problem::Failed(reason);
         }
         Problem::Refused {
             reason: "no endpoint could be reached",
-            retry_after: NO_ROOM,
+            retry_after: NO_CAPACITY_RETRY_AFTER,
         }
     }
 
-    fn answer(&self, tries: &mut Tries) -> Response<Body> {
-        let Some(mut response) = tries.answer.take() else {
+    fn respond(&self, attempts: &mut Attempts) -> Response<Body> {
+        let Some(mut response) = attempts.response.take() else {
             return Problem::TimedOut.response();
         };
-        if response.status().as_u16() == 503 && !tries.may_have_run {
+        if response.status().as_u16() == 503 && !attempts.may_have_run {
             let headers = response.headers_mut();
-            let wait = seconds(NO_ROOM);
+            let wait = seconds(NO_CAPACITY_RETRY_AFTER);
             headers.entry(http::header::RETRY_AFTER).or_insert(wait);
         }
-        self.log_end("answered", response.status().as_str(), tries);
-        response.map(body::whole)
+        self.log_end("answered", response.status().as_str(), attempts);
+        response.map(body::full)
     }
 
-    /// The answer where nothing more may be tried.
-    fn give_up(&self, tries: &mut Tries, problem: Problem) -> Response<Body> {
+    /// Returns the response if no further attempt is made.
+    fn give_up(&self, attempts: &mut Attempts, problem: Problem) -> Response<Body> {
         let problem = match problem {
-            Problem::Refused { reason, .. } if tries.may_have_run => {
+            Problem::Refused { reason, .. } if attempts.may_have_run => {
                 Problem::Failed(reason.to_owned())
             }
             problem => problem,
         };
-        // An endpoint's own failure says more than that no other could be tried.
-        if tries.answer.is_some() && !matches!(problem, Problem::TimedOut) {
-            return self.answer(tries);
+        // An endpoint's response is more specific than the lack of another endpoint.
+        if attempts.response.is_some() && !matches!(problem, Problem::TimedOut) {
+            return self.respond(attempts);
         }
-        self.log_end("given_up", &problem.to_string(), tries);
+        self.log_end("given_up", &problem.to_string(), attempts);
         problem.response()
     }
 
-    pub(super) fn log_end(&self, end: &str, reason: &str, tries: &Tries) {
-        self.log_ended(end, reason, tries, None);
+    pub(super) fn log_end(&self, end: &str, reason: &str, attempts: &Attempts) {
+        self.log_ended(end, reason, attempts, None);
     }
 
-    /// Notes the end of a stream that the caller has got in full.
-    pub(super) fn log_streamed(&self, passed: &Passed, tries: &Tries) {
-        self.log_ended("streamed", &passed.to_string(), tries, Some(passed));
+    /// Logs the end of a stream that the caller received completely.
+    pub(super) fn log_streamed(&self, timing: &Timing, attempts: &Attempts) {
+        self.log_ended("streamed", &timing.to_string(), attempts, Some(timing));
     }
 
-    fn log_ended(&self, end: &str, reason: &str, tries: &Tries, passed: Option<&Passed>) {
+    fn log_ended(&self, end: &str, reason: &str, attempts: &Attempts, timing: Option<&Timing>) {
         let ms = |span: Duration| span.as_millis() as u64;
-        self.gateway.meters.ended.with_label_values(&[end]).inc();
+        self.gateway.metrics.ended.with_label_values(&[end]).inc();
         info!(self.gateway.logger, "request_ended"; "event" => "request_ended",
-            "request" => &self.name, "end" => end, "reason" => reason, "sent" => tries.sent,
-            "unsent" => tries.unsent, "prompt" => self.ask.prompt_tokens,
-            "due_ms" => ms(self.route.target), "ms" => ms(self.age()),
-            "first_ms" => passed.map(|passed| ms(passed.first)),
-            "pause_ms" => passed.map(|_| ms(self.pause())),
-            "longest_pause_ms" => passed.map(|passed| ms(passed.longest_pause)));
+            "request" => &self.attempt_id, "end" => end, "reason" => reason, "sent" => attempts.sent,
+            "unsent" => attempts.unsent, "prompt" => self.metadata.prompt_tokens,
+            "due_ms" => ms(self.route.target_latency), "ms" => ms(self.elapsed()),
+            "first_ms" => timing.map(|timing| ms(timing.first_event)),
+            "pause_ms" => timing.map(|_| ms(self.max_pause())),
+            "longest_pause_ms" => timing.map(|timing| ms(timing.longest_pause)));
     }
 
-    /// Notes how long the first event, or the whole answer, took.
-    pub(super) fn log_first(&self, at: Moment) {
-        let prompt = match self.ask.prompt_tokens.unwrap_or(0) {
+    /// Records the time to the first event or the complete response.
+    pub(super) fn record_first_event(&self, at: Moment) {
+        let prompt = match self.metadata.prompt_tokens.unwrap_or(0) {
             0 => "none",
             1..10_000 => "short",
             10_000..100_000 => "long",
             _ => "longest",
         };
         let seconds = (at - self.arrived).as_secs_f64();
-        let first = &self.gateway.meters.first;
+        let first = &self.gateway.metrics.first;
         first.with_label_values(&[prompt]).observe(seconds);
     }
 }
--- /dev/null
+++ b/crates/kumquatdrum_gateway/src/call/stream.rs
@@ -0,0 +1,258 @@
+//! Forwarding of event streams to callers, with resumption at another endpoint after a failure.
+
+use std::collections::VecDeque;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use futures::stream;
+use http::{HeaderMap, Response};
+use http_body::Frame;
+use http_body_util::{BodyExt, StreamBody};
+use kumquatdrum_placement::Failure;
+use kumquatdrum_process::drain::Work;
+use kumquatdrum_types::Moment;
+use slog::info;
+use tokio::time::{Instant, timeout_at};
+
+use super::Call;
+use super::attempt::{Outcome, end_to_end_headers};
+use super::run::Attempts;
+use crate::body::{self, Body};
+use crate::event::{Events, Splitter};
+use crate::fleet::Pick;
+use crate::reservation::Reservation;
+use crate::upstream::Exchange;
+
+/// The silence after which a stream is resumed elsewhere, in multiples of the caller's maximum pause.
+/// Shorter silences are more likely caused by an engine that is busy with prefill than by a failure.
+const MAX_SILENT_PAUSES: u32 = 8;
+/// The maximum number of endpoints that are tried to resume a stream.
+const MAX_RESUME_ATTEMPTS: usize = 6;
+/// The minimum silence after which a stream is resumed elsewhere.
+const MIN_SILENCE: Duration = Duration::from_secs(2);
+
+/// A stream whose first event has arrived.
+pub(super) struct Started {
+    forwarder: Forwarder,
+    headers: HeaderMap,
+}
+
+struct Forwarder {
+    pick: Option<Pick>,
+    reservations: Vec<Reservation>,
+    exchange: Option<Exchange>,
+    splitter: Splitter,
+    waiting: VecDeque<Bytes>,
+    last_event_id: Option<u64>,
+    attempts: Attempts,
+    timing: Timing,
+}
+
+/// The timing of a stream as seen by the caller.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct Timing {
+    pub(super) first_event: Duration,
+    last_event_at: Moment,
+    pub(super) longest_pause: Duration,
+}
+
+impl std::fmt::Display for Timing {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        let (first_event, pause) = (self.first_event.as_millis(), self.longest_pause.as_millis());
+        write!(f, "first {first_event} ms, longest pause {pause} ms")
+    }
+}
+
+/// The result of waiting for the next events.
+enum Received {
+    Events(Bytes),
+    End,
+    Broken(String),
+    TimedOut,
+}
+
+/// Waits for the first event of a stream.
+pub(super) async fn start(
+    call: &Call,
+    pick: Pick,
+    reservations: Vec<Reservation>,
+    exchange: Exchange,
+    attempts: &mut Attempts,
+) -> Result<Started, (Pick, String)> {
+    let headers = end_to_end_headers(exchange.response.headers());
+    let mut forwarder = Forwarder {
+        pick: Some(pick),
+        reservations,
+        exchange: Some(exchange),
+        splitter: Splitter::default(),
+        waiting: VecDeque::new(),
+        last_event_id: call.metadata.last_event_id,
+        attempts: std::mem::take(attempts),
+        timing: Timing::default(),
+    };
+    let next = forwarder.receive(call.deadline_instant()).await;
+    match next {
+        Received::Events(bytes) => {
+            forwarder.waiting.push_back(bytes);
+            let now = call.gateway.clock.now();
+            call.record_first_event(now);
+            forwarder.timing.first_event = now - call.arrived;
+            forwarder.timing.last_event_at = now;
+            if let Some(pick) = &forwarder.pick {
+                pick.record_first_token();
+                pick.record_success(None);
+                call.log_attempt(pick, "began", "first event");
+            }
+            Ok(Started { forwarder, headers })
+        }
+        Received::End => Ok(Started { forwarder, headers }),
+        Received::Broken(reason) => Err(forwarder.fail(attempts, reason)),
+        Received::TimedOut => Err(forwarder.fail(attempts, "no event in time".to_owned())),
+    }
+}
+
+impl Started {
+    /// Builds the response, whose body forwards the events.
+    pub(super) fn response(self, call: Arc<Call>, work: Work) -> Response<Body> {
+        let state = (self.forwarder, call, work);
+        let events = stream::unfold(Some(state), |state| async move {
+            let (mut forwarder, call, work) = state?;
+            match forwarder.next(&call).await {
+                Some(Ok(bytes)) => Some((Ok(Frame::data(bytes)), Some((forwarder, call, work)))),
+                Some(Err(error)) => Some((Err(error), None)),
+                None => None,
+            }
+        });
+        let mut response = Response::new(StreamBody::new(events).boxed_unsync());
+        *response.headers_mut() = self.headers;
+        response
+    }
+}
+
+impl Forwarder {
+    fn fail(mut self, attempts: &mut Attempts, reason: String) -> (Pick, String) {
+        *attempts = std::mem::take(&mut self.attempts);
+        let pick = self.pick.take().expect("the picked endpoint");
+        pick.record_failure(Failure::Broken);
+        (pick, reason)
+    }
+
+    /// Returns the next bytes for the caller, or `None` at the end of the stream.
+    async fn next(&mut self, call: &Call) -> Option<Result<Bytes, body::Error>> {
+        loop {
+            if let Some(bytes) = self.waiting.pop_front() {
+                return Some(Ok(bytes));
+            }
+            self.exchange.as_ref()?;
+            let silence = MIN_SILENCE.max(call.max_pause().saturating_mul(MAX_SILENT_PAUSES));
+            let limit = call.deadline_instant().min(Instant::now() + silence);
+            match self.receive(limit).await {
+                Received::Events(bytes) => {
+                    let now = call.gateway.clock.now();
+                    let pause = now - self.timing.last_event_at;
+                    self.timing.longest_pause = self.timing.longest_pause.max(pause);
+                    self.timing.last_event_at = now;
+                    return Some(Ok(bytes));
+                }
+                Received::End => {
+                    call.log_streamed(&self.timing, &self.attempts);
+                    self.exchange = None;
+                    self.reservations.clear();
+                    self.pick = None;
+                }
+                Received::TimedOut if Instant::now() >= call.deadline_instant() => {
+                    call.log_end("cut", "the deadline has passed", &self.attempts);
+                    return Some(Err("the deadline has passed".into()));
+                }
+                Received::TimedOut => {
+                    if let Err(error) = self.resume(call, "silent").await {
+                        return Some(Err(error));
+                    }
+                }
+                Received::Broken(reason) => {
+                    if let Err(error) = self.resume(call, &reason).await {
+                        return Some(Err(error));
+                    }
+                }
+            }
+        }
+    }
+
+    async fn receive(&mut self, limit: Instant) -> Received {
+        loop {
+            let Some(exchange) = &mut self.exchange else {
+                return Received::End;
+            };
+            let frame = timeout_at(limit, exchange.response.body_mut().frame()).await;
+            match frame {
+                Err(_) => return Received::TimedOut,
+                Ok(Some(Err(error))) => return Received::Broken(error.to_string()),
+                Ok(Some(Ok(frame))) => {
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    };
+                    let Events {
+                        bytes,
+                        last_event_id,
+                    } = self.splitter.push(&data);
+                    self.last_event_id = last_event_id.or(self.last_event_id);
+                    if !bytes.is_empty() {
+                        return Received::Events(bytes);
+                    }
+                }
+                Ok(None) => {
+                    let rest = self.splitter.finish();
+                    self.exchange = None;
+                    if !rest.is_empty() {
+                        self.waiting.push_back(rest);
+                    }
+                    return Received::End;
+                }
+            }
+        }
+    }
+
+    /// Resumes the stream at another endpoint, after the last complete event.
+    async fn resume(&mut self, call: &Call, reason: &str) -> Result<(), body::Error> {
+        if let Some(pick) = self.pick.take() {
+            pick.record_failure(Failure::Broken);
+            call.log_attempt(&pick, "broken", reason);
+            self.attempts.exclude(pick.key);
+        }
+        self.exchange = None;
+        self.reservations.clear();
+        self.splitter = Splitter::default();
+        let is_allowed = call.route.delivery.is_idempotent()
+            && self.attempts.sent < call.route.max_attempts
+            && call.gateway.fleet.take_retry(&call.service);
+        if !is_allowed {
+            call.log_end("cut", reason, &self.attempts);
+            return Err(reason.to_owned().into());
+        }
+        info!(call.gateway.logger, "resume"; "event" => "resume", "request" => &call.attempt_id,
+            "after" => self.last_event_id, "reason" => reason);
+        self.attempts.sent += 1;
+        for _ in 0..MAX_RESUME_ATTEMPTS {
+            let pick = call.pick(&self.attempts).await.map_err(|problem| {
+                call.log_end("cut", &problem.to_string(), &self.attempts);
+                body::Error::from(problem)
+            })?;
+            let Some(reservations) = call.reserve(&pick, &mut self.attempts).await else {
+                continue;
+            };
+            match call.attempt(&pick, self.last_event_id).await {
+                Outcome::Stream(exchange) => {
+                    self.exchange = Some(*exchange);
+                    self.pick = Some(pick);
+                    self.reservations = reservations;
+                    return Ok(());
+                }
+                Outcome::Unsent(_) => self.attempts.exclude(pick.key),
+                _ => break,
+            }
+        }
+        call.log_end("cut", "could not be resumed", &self.attempts);
+        Err("the stream could not be resumed".into())
+    }
+}
--- a/crates/kumquatdrum_gateway/src/control.rs
+++ b/crates/kumquatdrum_gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! What operators and endpoints say to a control host.
+//! Handlers for operators and endpoints on control hosts.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -19,23 +19,26 @@
 use crate::Gateway;
 use crate::body::{Body, json};
 use crate::broadcast::RelayPath;
-use crate::message::{Answer, Question};
+use crate::message;
 use crate::protocol::{Operation, Protocol};
-use crate::replica::Ask;
-
-/// How long one replica may take to answer as the leader.
-const ONE: Duration = Duration::from_millis(900);
-/// How long a call may take over all replicas: an election, and the call after it.
-const ALL: Duration = Duration::from_millis(2_800);
-/// The pause after all replicas were asked in vain.
-const ROUND: Duration = Duration::from_millis(60);
-/// Answers one call.
+use crate::replica::Command;
+
+/// The timeout for a response from one replica.
+const REPLICA_TIMEOUT: Duration = Duration::from_millis(900);
+/// The timeout for a response from the leader; covers an election.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(2_800);
+/// The delay before all replicas are tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+
+/// Handles one request.
 pub async fn handle(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
     let (head, body) = request.into_parts();
-    let operation = gateway.protocol.operation(&head.method, head.uri.path());
+    let operation = gateway
+        .protocol
+        .parse_operation(&head.method, head.uri.path());
     let body = match Limited::new(body, Record::MAX_TEXT_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
@@ -52,27 +55,26 @@
     })
 }
 
-/// Text is read, checked, packed and unpacked on another thread: a large one takes longer than the
-/// heartbeats of this host's replica can wait.
-async fn apart<T: Send + 'static>(
+/// Runs work on a large setup on another thread, so that the replica's heartbeats are not delayed.
+async fn run_blocking<T: Send + 'static>(
     gateway: &Gateway,
     work: impl FnOnce() -> T + Send + 'static,
 ) -> Option<T> {
-    let done = spawn_blocking(work).await;
+    let joined = spawn_blocking(work).await;
     let failed = |reason: &JoinError| {
         error!(gateway.logger, "setup_not_worked_on"; "event" => "setup_not_worked_on",
             "reason" => %reason);
     };
-    done.inspect_err(failed).ok()
+    joined.inspect_err(failed).ok()
 }
 
 async fn apply(gateway: &Arc<Gateway>, text: Bytes) -> Response<Body> {
     let protocol = gateway.protocol.clone();
-    let checking = move || checked(protocol.as_ref(), &text);
-    let Some(checked) = apart(gateway, checking).await else {
+    let decode = move || decode_record(protocol.as_ref(), &text);
+    let Some(decoded) = run_blocking(gateway, decode).await else {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     };
-    let record = match checked {
+    let record = match decoded {
         Ok(record) => record,
         Err(findings) => {
             let first = findings.first().map(ToString::to_string);
@@ -82,11 +84,11 @@
         }
     };
     let revision = record.revision;
-    let reply = ask_leader(gateway, Ask::Apply(record)).await;
-    let is_applied = matches!(reply.answer, Answer::Applied);
+    let reply = send_to_leader(gateway, Command::Apply(record)).await;
+    let is_applied = matches!(reply.response, message::Response::Applied);
     info!(gateway.logger, "setup_asked"; "event" => "setup_asked", "revision" => revision,
-        "committed" => is_applied, "known" => gateway.in_force.revision(),
-        "by" => reply.by(), "asked" => reply.asked, "ms" => reply.ms());
+        "committed" => is_applied, "known" => gateway.active_setup.revision(),
+        "by" => reply.leader(), "asked" => reply.requests, "ms" => reply.ms());
     if is_applied {
         json(StatusCode::OK, "{}")
     } else {
@@ -94,9 +96,9 @@
     }
 }
 
-/// A setup that may be put in force, as it is kept, or all that is wrong with the text.
-fn checked(protocol: &dyn Protocol, text: &[u8]) -> Result<Record, Vec<Finding>> {
-    let setup = protocol.setup(text)?;
+/// Decodes and validates the text of a setup. Returns it as a record, or every error in it.
+fn decode_record(protocol: &dyn Protocol, text: &[u8]) -> Result<Record, Vec<Finding>> {
+    let setup = protocol.decode_setup(text)?;
     match validate(&setup) {
         findings if !findings.is_empty() => Err(findings),
         _ => Record::new(setup.revision, text)
@@ -105,21 +107,21 @@
 }
 
 async fn read(gateway: &Arc<Gateway>) -> Response<Body> {
-    let reply = ask_leader(gateway, Ask::Read).await;
-    let record = match &reply.answer {
-        Answer::Current(Some(record)) => record.clone(),
-        answer => {
+    let reply = send_to_leader(gateway, Command::Read).await;
+    let record = match &reply.response {
+        message::Response::Current(Some(record)) => record.clone(),
+        response => {
             info!(gateway.logger, "read_refused"; "event" => "read_refused",
-                "is_empty" => matches!(answer, Answer::Current(None)),
-                "asked" => reply.asked, "ms" => reply.ms());
+                "is_empty" => matches!(response, message::Response::Current(None)),
+                "asked" => reply.requests, "ms" => reply.ms());
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
     };
     let revision = record.revision;
-    match apart(gateway, move || record.text()).await {
+    match run_blocking(gateway, move || record.text()).await {
         Some(Ok(text)) => {
             info!(gateway.logger, "setup_read"; "event" => "setup_read",
-                "revision" => revision, "by" => reply.by(), "asked" => reply.asked,
+                "revision" => revision, "by" => reply.leader(), "asked" => reply.requests,
                 "ms" => reply.ms(), "bytes" => text.len());
             json(StatusCode::OK, text)
         }
@@ -132,19 +134,19 @@
     }
 }
 
-/// What came of asking for the leader.
+/// The result of a command sent to the leader.
 struct Reply {
-    answer: Answer,
-    /// Who answered as the leader; none where nobody did.
-    by: Option<HostId>,
-    /// How many replicas were asked.
-    asked: u32,
+    response: message::Response,
+    /// The host that answered as the leader, if any.
+    leader: Option<HostId>,
+    /// The number of requests sent to replicas.
+    requests: u32,
     started: Instant,
 }
 
 impl Reply {
-    fn by(&self) -> Option<&str> {
-        self.by.as_ref().map(HostId::as_str)
+    fn leader(&self) -> Option<&str> {
+        self.leader.as_ref().map(HostId::as_str)
     }
 
     fn ms(&self) -> u64 {
@@ -152,69 +154,74 @@
     }
 }
 
-/// Asks until some replica answers as the leader. Both questions are idempotent.
-async fn ask_leader(gateway: &Arc<Gateway>, ask: Ask) -> Reply {
+/// Sends an idempotent command to replicas until one answers as the leader.
+async fn send_to_leader(gateway: &Arc<Gateway>, command: Command) -> Reply {
     let started = Instant::now();
-    let until = started + ALL;
-    let mut asked = 0;
+    let deadline = started + LEADER_TIMEOUT;
+    let mut requests = 0;
     let mut hint: Option<HostId> = None;
     loop {
-        let own = gateway.hosts.local().id;
-        let mut candidates = vec![own.clone()];
-        candidates.extend(gateway.hosts.control());
+        let local = gateway.hosts.local().id;
+        let mut candidates = vec![local.clone()];
+        candidates.extend(gateway.hosts.control_hosts());
         if let Some(hint) = hint.take() {
             candidates.retain(|host| *host != hint);
             candidates.insert(0, hint);
         }
         for host in candidates {
-            let limit = ONE.min(until.saturating_duration_since(Instant::now()));
-            asked += 1;
-            let answer = if host == own {
-                timeout(limit, gateway.ask_replica(ask.clone())).await
+            let limit = REPLICA_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
+            requests += 1;
+            let response = if host == local {
+                timeout(limit, gateway.send_command(command.clone())).await
             } else {
-                Ok(ask_peer(gateway, &host, &ask, limit).await)
+                Ok(send_to_peer(gateway, &host, &command, limit).await)
             };
-            match answer {
-                Ok(Answer::NotLeader(Some(leader))) if leader != host => {
+            match response {
+                Ok(message::Response::NotLeader(Some(leader))) if leader != host => {
                     hint = Some(leader);
                     break;
                 }
-                Ok(Answer::NotLeader(_) | Answer::Unavailable) | Err(_) => {}
-                Ok(answer) => {
+                Ok(message::Response::NotLeader(_) | message::Response::Unavailable) | Err(_) => {}
+                Ok(response) => {
                     return Reply {
-                        answer,
-                        by: Some(host),
-                        asked,
+                        response,
+                        leader: Some(host),
+                        requests,
                         started,
                     };
                 }
             }
         }
-        if Instant::now() + ROUND >= until {
+        if Instant::now() + RETRY_DELAY >= deadline {
             return Reply {
-                answer: Answer::Unavailable,
-                by: None,
-                asked,
+                response: message::Response::Unavailable,
+                leader: None,
+                requests,
                 started,
             };
         }
-        sleep(ROUND).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-async fn ask_peer(gateway: &Gateway, host: &HostId, ask: &Ask, limit: Duration) -> Answer {
-    let question = match ask {
-        Ask::Apply(record) => Question::Apply(record.clone()),
-        Ask::Read => Question::Read,
+async fn send_to_peer(
+    gateway: &Gateway,
+    host: &HostId,
+    command: &Command,
+    limit: Duration,
+) -> message::Response {
+    let request = match command {
+        Command::Apply(record) => message::Request::Apply(record.clone()),
+        Command::Read => message::Request::Read,
     };
     gateway
-        .ask(host, Channel::Control, &question, limit)
+        .send_request(host, Channel::Control, &request, limit)
         .await
-        .unwrap_or(Answer::Unavailable)
+        .unwrap_or(message::Response::Unavailable)
 }
 
 async fn announce(gateway: &Arc<Gateway>, id: EndpointId, body: &[u8]) -> Response<Body> {
-    let announcement = match gateway.protocol.announcement(&id, body) {
+    let announcement = match gateway.protocol.decode_announcement(&id, body) {
         Ok(announcement) => announcement,
         Err(finding) => {
             warn!(gateway.logger, "announcement_refused"; "event" => "announcement_refused",
@@ -226,18 +233,18 @@
     let (change, update) = gateway.endpoints.announce(announcement);
     let update: Vec<Update> = update.into_iter().collect();
     match change {
-        Change::New if !is_leaving => gateway.push_endpoints(update, RelayPath::Primary),
-        Change::New | Change::Changed => gateway.confirm(update).await,
+        Change::New if !is_leaving => gateway.broadcast_endpoints(update, RelayPath::Primary),
+        Change::New | Change::Changed => gateway.confirm_endpoints(update).await,
         Change::Refreshed | Change::Stale => {}
     }
     json(StatusCode::OK, "{}")
 }
 
 async fn leave(gateway: &Arc<Gateway>, id: &EndpointId, body: &[u8]) -> Response<Body> {
-    let incarnation = gateway.protocol.farewell(body);
+    let incarnation = gateway.protocol.decode_leave(body);
     let update = gateway.endpoints.leave(id, incarnation);
     if let Some(update) = update {
-        gateway.confirm(vec![update]).await;
+        gateway.confirm_endpoints(vec![update]).await;
     }
     json(StatusCode::OK, "{}")
 }
--- a/crates/kumquatdrum_gateway/src/recall.rs
+++ b/crates/kumquatdrum_gateway/src/endpoint_cache.rs
@@ -1,9 +1,7 @@
-//! Announced endpoints on the disk of a control host.
+//! A cache of the announced endpoints on the disk of a control host.
 //!
-//! Answers the loss of all hosts at once. Endpoints announce themselves about once a second, so hosts
-//! that come back together would know one or two of them in the first tenth of a second and all only
-//! after a second: short prompts would be packed on those few, and long ones find no room. A control
-//! host keeps who is known on its disk and tells hosts that start.
+//! After a restart of all hosts, it provides the known endpoints at once, so that the first requests
+//! are not all placed on the few endpoints that have already announced themselves again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,28 +14,30 @@
 use crate::endpoints::Endpoints;
 use crate::settings::Settings;
 
-/// The file's name in the data folder.
+/// The name of the cache file in the data folder.
 const FILE_NAME: &str = "endpoints";
-/// How long a start waits for the disk: a read takes a millisecond, and a disk that hangs may do so
-/// for seconds.
-const READ_LIMIT: Duration = Duration::from_millis(200);
-/// The pause between two writes, which gathers the changes of a moment: a fleet that starts makes
-/// hundreds.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How many announcements an endpoint has missed that was read from the disk. Two more, and it counts
-/// as silent: whoever left unheard while all hosts were lost gets requests for no longer than that.
-const MISSED: u32 = 2;
+/// The timeout for reading the cache at startup, in case the disk hangs.
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
+/// The minimum interval between writes, which combines bursts of changes.
+const WRITE_INTERVAL: Duration = Duration::from_millis(50);
+/// The number of announcements that a cached endpoint is assumed to have missed. It limits how long
+/// requests are sent to an endpoint that left while all hosts were down.
+const ASSUMED_MISSED_ANNOUNCEMENTS: u32 = 2;
 
-/// The file of a host, where it has a disk.
+/// Returns the cache file, if the host has a disk.
 pub(crate) fn file(settings: &Settings) -> Option<Blob> {
     let replica = settings.replica.as_ref()?;
     Some(Blob::new(&replica.data, FILE_NAME))
 }
 
-/// The endpoints that this host has kept, as old as they have to be taken for at least.
-pub(crate) async fn read(file: Blob, announcement: Duration, logger: &slog::Logger) -> Vec<Update> {
+/// Loads the cached endpoints, with ages raised to account for missed announcements.
+pub(crate) async fn load(
+    file: Blob,
+    announcement_interval: Duration,
+    logger: &slog::Logger,
+) -> Vec<Update> {
     let reading = tokio::task::spawn_blocking(move || file.read());
-    let read = match timeout(READ_LIMIT, reading).await {
+    let read = match timeout(READ_TIMEOUT, reading).await {
         Ok(Ok(Ok(bytes))) => Ok(bytes),
         Ok(Ok(Err(error))) => Err(error.to_string()),
         Ok(Err(error)) => Err(error.to_string()),
@@ -50,7 +50,7 @@
         }
         None => Ok(Vec::new()),
     });
-    let missed = (announcement * MISSED).as_millis() as u64;
+    let missed = (announcement_interval * ASSUMED_MISSED_ANNOUNCEMENTS).as_millis() as u64;
     match decoded {
         Ok(mut updates) => {
             info!(logger, "endpoints_recalled"; "event" => "endpoints_recalled",
@@ -68,16 +68,16 @@
     }
 }
 
-/// Keeps who is known on the disk, again with each change, until the task is aborted.
-pub(crate) async fn keep(file: Blob, endpoints: Arc<Endpoints>, logger: slog::Logger) {
+/// Writes the known endpoints to disk after each change, until the task is aborted.
+pub(crate) async fn persist(file: Blob, endpoints: Arc<Endpoints>, logger: slog::Logger) {
     loop {
-        endpoints.changed().await;
-        let written = write(file.clone(), endpoints.all()).await;
+        endpoints.wait_for_change().await;
+        let written = write(file.clone(), endpoints.all_updates()).await;
         if let Err(reason) = written {
             warn!(logger, "endpoints_not_kept"; "event" => "endpoints_not_kept",
                 "reason" => reason);
         }
-        sleep(PAUSE).await;
+        sleep(WRITE_INTERVAL).await;
     }
 }
 
--- a/crates/kumquatdrum_gateway/src/endpoints.rs
+++ b/crates/kumquatdrum_gateway/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Announced endpoints, as this host knows them.
+//! The announced endpoints known to this host.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use slog::info;
 use tokio::sync::Notify;
 
-/// How long a farewell is told again with each round, for hosts that missed it.
-const FAREWELL_TOLD: Duration = Duration::from_secs(10);
+/// How long the departure of an endpoint is sent again in each round, for hosts that missed it.
+const LEAVE_REPEAT_DURATION: Duration = Duration::from_secs(10);
 
-/// Announced endpoints, as this host knows them.
+/// The announced endpoints known to this host.
 pub struct Endpoints {
     clock: Clock,
     state: Mutex<State>,
-    /// Who is known, or is leaving, has changed.
+    /// Notified when an endpoint is added, is leaving or is removed.
     changed: Notify,
     logger: slog::Logger,
 }
@@ -25,12 +25,12 @@
 #[derive(Default)]
 struct State {
     registry: Registry,
-    /// Heard from the endpoints themselves since the last round.
+    /// Endpoints that announced themselves to this host since the last round.
     heard: IndexSet<EndpointId>,
 }
 
 impl Endpoints {
-    /// None are known.
+    /// Creates an empty registry.
     pub fn new(clock: Clock, logger: slog::Logger) -> Self {
         Self {
             clock,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// An endpoint announces itself to this host.
+    /// Applies an announcement that an endpoint sent to this host.
     pub fn announce(&self, announcement: Announcement) -> (Change, Option<Update>) {
         let now = self.clock.now();
         let id = announcement.id.clone();
@@ -49,11 +49,11 @@
         state.heard.insert(id.clone());
         let update = state.registry.update_for(now, &id);
         drop(state);
-        self.note(change, update.as_ref(), "endpoint");
+        self.log_change(change, update.as_ref(), "endpoint");
         (change, update)
     }
 
-    /// An endpoint says farewell to this host.
+    /// Deregisters an endpoint at its own request.
     pub fn leave(&self, id: &EndpointId, incarnation: Option<u64>) -> Option<Update> {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -66,20 +66,20 @@
         update
     }
 
-    /// Another host tells what it knows. Returns whether anything has changed but ages.
+    /// Merges updates from another host. Returns whether anything but ages has changed.
     pub fn merge(&self, updates: Vec<Update>, from: &str) -> bool {
         let now = self.clock.now();
         let mut has_changed = false;
         for update in updates {
-            let told = update.clone();
+            let received = update.clone();
             let change = self.state.lock().registry.merge(now, update);
             has_changed |= matches!(change, Change::New | Change::Changed);
-            self.note(change, Some(&told), from);
+            self.log_change(change, Some(&received), from);
         }
         has_changed
     }
 
-    /// Another endpoint answers at this one's address.
+    /// Marks an endpoint as gone because another endpoint answers at its address.
     pub fn mark_displaced(&self, endpoint: &Announcement) {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -93,7 +93,8 @@
         }
     }
 
-    /// The endpoints that may get requests of a service, each with its age.
+    /// Returns the endpoints that accept requests for a service, each with the time since its last
+    /// announcement.
     pub fn usable(&self, service: &ServiceName) -> Vec<(Announcement, Duration)> {
         let now = self.clock.now();
         let state = self.state.lock();
@@ -101,37 +102,38 @@
         usable.map(|(a, age)| (a.clone(), age)).collect()
     }
 
-    /// Waits until who is known, or is leaving, has changed since the last such wait.
-    pub async fn changed(&self) {
+    /// Waits for a change in the known endpoints since the previous call.
+    pub async fn wait_for_change(&self) {
         self.changed.notified().await;
     }
 
-    /// All that is known.
-    pub fn all(&self) -> Vec<Update> {
+    /// Returns updates for all known endpoints.
+    pub fn all_updates(&self) -> Vec<Update> {
         let state = self.state.lock();
         state.registry.updates(self.clock.now(), Duration::MAX)
     }
 
-    /// What this round tells other hosts: what endpoints have said here, and who is going.
-    pub fn round(&self) -> Vec<Update> {
+    /// Returns the updates to publish in this round: endpoints that announced themselves to this host,
+    /// and recent departures. Also evicts expired endpoints.
+    pub fn take_round(&self) -> Vec<Update> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let heard = std::mem::take(&mut state.heard);
         let updates = state.registry.updates(now, Duration::MAX);
-        let is_told = |update: &Update| {
-            let going = update.gone || update.announcement.leaving;
-            let is_recent = Duration::from_millis(update.age_ms) < FAREWELL_TOLD;
-            heard.contains(&update.announcement.id) || (going && is_recent)
+        let is_published = |update: &Update| {
+            let is_leaving = update.gone || update.announcement.leaving;
+            let is_recent = Duration::from_millis(update.age_ms) < LEAVE_REPEAT_DURATION;
+            heard.contains(&update.announcement.id) || (is_leaving && is_recent)
         };
-        let told = updates.into_iter().filter(is_told).collect();
+        let published = updates.into_iter().filter(is_published).collect();
         for id in state.registry.evict_expired(now) {
             info!(self.logger, "endpoint_forgotten"; "event" => "endpoint_forgotten",
                 "endpoint" => id.as_str());
         }
-        told
+        published
     }
 
-    fn note(&self, change: Change, update: Option<&Update>, from: &str) {
+    fn log_change(&self, change: Change, update: Option<&Update>, from: &str) {
         let Some(update) = update.filter(|_| matches!(change, Change::New | Change::Changed))
         else {
             return;
--- a/crates/kumquatdrum_gateway/src/event.rs
+++ b/crates/kumquatdrum_gateway/src/event.rs
@@ -1,34 +1,34 @@
-//! Events of a stream: cut out of the bytes as they arrive, and passed on whole.
+//! Splits the bytes of an event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-const END: &[u8] = b"\n\n";
-const ID: &[u8] = b"id:";
+const EVENT_END: &[u8] = b"\n\n";
+const ID_FIELD: &[u8] = b"id:";
 
-/// Whole events.
+/// One or more complete events.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Events {
-    /// Their bytes.
+    /// The encoded events.
     pub bytes: Bytes,
-    /// The id of the last one that has one.
-    pub last: Option<u64>,
+    /// The id of the last event that has one.
+    pub last_event_id: Option<u64>,
 }
 
-/// Cuts a stream into whole events.
+/// Splits a byte stream into complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     rest: BytesMut,
 }
 
 impl Splitter {
-    /// Takes bytes and gives all events that are whole now.
+    /// Appends bytes and returns all events that are complete.
     ///
     /// ```
     /// use kumquatdrum_gateway::event::Splitter;
     ///
     /// let mut splitter = Splitter::default();
     /// assert!(splitter.push(b"id: 3\ndata: a").bytes.is_empty());
-    /// assert_eq!(splitter.push(b"\n\nid: 4").last, Some(3));
+    /// assert_eq!(splitter.push(b"\n\nid: 4").last_event_id, Some(3));
     /// ```
     pub fn push(&mut self, bytes: &[u8]) -> Events {
         self.rest.extend_from_slice(bytes);
@@ -36,24 +36,29 @@
             return Events::default();
         };
         let bytes = self.rest.split_to(end).freeze();
-        let last = last_id(&bytes);
-        Events { bytes, last }
+        let last_event_id = last_id(&bytes);
+        Events {
+            bytes,
+            last_event_id,
+        }
     }
 
-    /// What is left after the last whole event.
+    /// Removes and returns the bytes after the last complete event.
     pub fn finish(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
 }
 
 fn last_end(bytes: &[u8]) -> Option<usize> {
-    let place = bytes.windows(END.len()).rposition(|window| window == END)?;
-    Some(place + END.len())
+    let position = bytes
+        .windows(EVENT_END.len())
+        .rposition(|window| window == EVENT_END)?;
+    Some(position + EVENT_END.len())
 }
 
 fn last_id(bytes: &[u8]) -> Option<u64> {
     let lines = bytes.split(|byte| *byte == b'\n').rev();
-    let mut ids = lines.filter_map(|line| line.strip_prefix(ID));
+    let mut ids = lines.filter_map(|line| line.strip_prefix(ID_FIELD));
     let text = std::str::from_utf8(ids.next()?).ok()?;
     text.trim().parse().ok()
 }
--- a/crates/kumquatdrum_gateway/src/fleet.rs
+++ b/crates/kumquatdrum_gateway/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Which endpoint gets a request: the cores' decisions, applied to what this host knows.
+//! Selection of endpoints for requests, from the endpoints and load known to this host.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,49 +26,49 @@
 
 mod pick;
 
-pub use pick::{Pick, Reader};
-
-/// An endpoint that has been silent for so many announcements counts as silent: one may be lost,
-/// and one late by its whole interval.
-const SILENT_ANNOUNCEMENTS: u32 = 4;
-/// How often a request that waits asks again, where nothing has told it to.
-const ASK_AGAIN: Duration = Duration::from_millis(25);
-/// How often a job that waits is told of.
-const TELL_TURN: Duration = Duration::from_millis(100);
-/// The largest encoding of a plan without its parts, in bytes.
-const PLAN_BYTES: usize = 48;
-/// The largest encoding of a part, in bytes.
-const PART_BYTES: usize = 15;
-/// What a datagram holds beside a service's name.
-const BATCH_BYTES: usize = 1_200;
-
-/// What a fleet is made of.
-pub struct Parts {
+pub use pick::{Pick, Prefiller};
+
+/// The number of announcement intervals after which a silent endpoint is not used. It tolerates a lost
+/// announcement and a late one.
+const MAX_MISSED_ANNOUNCEMENTS: u32 = 4;
+/// The interval at which a queued request is retried without a notification.
+const RETRY_INTERVAL: Duration = Duration::from_millis(25);
+/// The interval at which a queued job is broadcast.
+const TURN_INTERVAL: Duration = Duration::from_millis(100);
+/// The maximum encoded size of a plan without its parts, in bytes.
+const MAX_PLAN_BYTES: usize = 48;
+/// The maximum encoded size of a part, in bytes.
+const MAX_PART_BYTES: usize = 15;
+/// The maximum size of the jobs in a datagram, which leaves room for a service's name.
+const MAX_BATCH_BYTES: usize = 1_200;
+
+/// The dependencies of a fleet.
+pub struct Context {
     /// The host's clock.
     pub clock: Clock,
     /// Announced endpoints.
     pub endpoints: Arc<Endpoints>,
     /// The other hosts.
     pub hosts: Arc<Hosts>,
-    /// Tells other hosts of dispatches; absent on hosts that take no callers.
+    /// Broadcasts dispatch events. `None` on hosts that do not accept callers.
     pub broadcaster: Option<Arc<Broadcaster>>,
-    /// Retries that all hosts may make.
+    /// The retry budget, shared by all hosts.
     pub retries: Retries,
-    /// How often endpoints announce themselves.
-    pub announcement: Duration,
-    /// This host's number among the hosts that dispatch.
+    /// The interval between an endpoint's announcements.
+    pub announcement_interval: Duration,
+    /// A number that identifies this host among the dispatching hosts.
     pub number: u32,
-    /// Where this host stands.
+    /// The data centre that this host runs in.
     pub data_centre: DataCentre,
-    /// Where decisions are told.
+    /// The host's logger.
     pub logger: slog::Logger,
 }
 
-/// All services, as this host dispatches to them.
+/// Dispatches requests to the endpoints of all services.
 pub struct Fleet {
-    parts: Parts,
+    context: Context,
     services: RwLock<IndexMap<ServiceName, Arc<Service>>>,
-    jobs: AtomicU64,
+    next_job: AtomicU64,
 }
 
 struct Service {
@@ -89,32 +89,32 @@
     Plain(Balancer),
 }
 
-/// Why no endpoint was picked.
+/// The reason why no endpoint was picked.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Unplaced {
+pub enum Rejection {
     /// No endpoint of the service is known.
-    Nobody,
-    /// No engine can hold the prompt.
+    NoEndpoint,
+    /// The prompt exceeds the memory of every engine.
     TooLarge,
-    /// Others would lose more by it than its caller gains.
+    /// The cost of the request to other callers exceeds its value.
     TooCostly,
-    /// No engine had room in time.
-    NoRoom(Turn),
+    /// No engine had capacity in time.
+    NoCapacity(Turn),
 }
 
 impl Fleet {
-    /// A fleet without services.
-    pub fn new(parts: Parts) -> Self {
-        // Numbers of an earlier life of this host must not come again.
+    /// Creates a fleet without services.
+    pub fn new(context: Context) -> Self {
+        // Job numbers must not repeat after a restart of this host.
         let first = kumquatdrum_process::clock::unix_ms() << 16;
         Self {
-            parts,
+            context,
             services: RwLock::default(),
-            jobs: AtomicU64::new(first),
+            next_job: AtomicU64::new(first),
         }
     }
 
-    /// Goes by the services of a setup from now on.
+    /// Applies the services of a setup.
     pub fn configure(&self, setup: &Setup) {
         let mut services = self.services.write();
         services.retain(|name, _| setup.services.contains_key(name));
@@ -123,7 +123,7 @@
                 .get(name)
                 .is_some_and(|known| known.state.lock().engine == declared.engine);
             if !is_same {
-                let service = Arc::new(self.service(name, declared.engine.as_ref()));
+                let service = Arc::new(self.build_service(name, declared.engine.as_ref()));
                 services.insert(name.clone(), service);
             }
         }
@@ -131,12 +131,12 @@
         self.refresh();
     }
 
-    fn service(&self, name: &ServiceName, engine: Option<&Engine>) -> Service {
-        let retries = &self.parts.retries;
+    fn build_service(&self, name: &ServiceName, engine: Option<&Engine>) -> Service {
+        let retries = &self.context.retries;
         let window = Duration::from_secs_f64(retries.window_s);
         let policy = match engine {
             Some(engine) => {
-                let here = group(&self.parts.data_centre);
+                let here = group(&self.context.data_centre);
                 let planner = Planner::new(engine.clone()).standing_in(here);
                 Policy::Engines(Box::new(planner))
             }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Looks at the announced endpoints anew.
+    /// Applies the currently announced endpoints.
     pub fn refresh(&self) {
         for service in self.services.read().values() {
             self.refresh_service(service);
@@ -163,13 +163,13 @@
     }
 
     fn refresh_service(&self, service: &Service) {
-        let known = self.parts.endpoints.usable(&service.name);
-        let limit = self.parts.announcement * SILENT_ANNOUNCEMENTS;
+        let known = self.context.endpoints.usable(&service.name);
+        let limit = self.context.announcement_interval * MAX_MISSED_ANNOUNCEMENTS;
         let fresh = known.iter().filter(|(_, age)| *age <= limit).count();
-        // Where most are silent, it is the way to them that is, and not they.
-        let takes_silent = fresh * 2 < known.len();
+        // If most endpoints are silent, the network is more likely at fault than the endpoints.
+        let includes_silent = fresh * 2 < known.len();
         let usable = known.into_iter();
-        let usable = usable.filter(|(_, age)| takes_silent || *age <= limit);
+        let usable = usable.filter(|(_, age)| includes_silent || *age <= limit);
         let directory: IndexMap<EndpointKey, Announcement> = usable
             .map(|(endpoint, _)| (EndpointKey::of(&endpoint.id, endpoint.started), endpoint))
             .collect();
@@ -193,28 +193,28 @@
         service.changed.notify_waiters();
     }
 
-    /// A caller's request for a service has come.
-    pub fn requested(&self, name: &ServiceName) {
-        if let Some(service) = self.find(name) {
-            let now = self.parts.clock.now();
+    /// Records a caller's request in the retry budget.
+    pub fn record_request(&self, name: &ServiceName) {
+        if let Some(service) = self.find_service(name) {
+            let now = self.context.clock.now();
             service.state.lock().budget.requested(now);
         }
     }
 
-    /// Takes one retry from this host's share.
+    /// Takes one retry from this host's share of the budget. Returns whether it was granted.
     pub fn take_retry(&self, name: &ServiceName) -> bool {
-        let now = self.parts.clock.now();
-        let hosts = self.parts.hosts.caller_hosts();
-        self.find(name)
+        let now = self.context.clock.now();
+        let hosts = self.context.hosts.count_caller_hosts();
+        self.find_service(name)
             .is_some_and(|service| service.state.lock().budget.take(now, hosts))
     }
 
-    /// Takes what other hosts tell of their dispatches.
-    pub fn take(&self, events: Vec<Event>) {
+    /// Applies dispatch events from other hosts.
+    pub fn apply_events(&self, events: Vec<Event>) {
         let mut changed: Vec<Arc<Service>> = Vec::new();
         for event in events {
-            let may_free = event.may_free();
-            let service = self.take_one(event).filter(|_| may_free);
+            let can_free_capacity = event.can_free_capacity();
+            let service = self.apply_event(event).filter(|_| can_free_capacity);
             if let Some(service) = service
                 && !changed.iter().any(|known| Arc::ptr_eq(known, &service))
             {
@@ -226,15 +226,15 @@
         }
     }
 
-    fn take_one(&self, event: Event) -> Option<Arc<Service>> {
-        let now = self.parts.clock.now();
+    fn apply_event(&self, event: Event) -> Option<Arc<Service>> {
+        let now = self.context.clock.now();
         let (Event::Sent(name, _)
         | Event::Began(name, _)
         | Event::Ended(name, _)
         | Event::Queued(name, _)
         | Event::Cancelled(name, _)
         | Event::Running(name, _)) = &event;
-        let service = self.find(name)?;
+        let service = self.find_service(name)?;
         let mut state = service.state.lock();
         let Policy::Engines(planner) = &mut state.policy else {
             return None;
@@ -246,8 +246,8 @@
             Event::Queued(_, turn) => planner.queued(now, turn),
             Event::Cancelled(_, job) => planner.cancelled(job),
             Event::Running(_, jobs) => {
-                for (plan, is_reading) in jobs {
-                    planner.running(now, plan, is_reading);
+                for (plan, is_prefilling) in jobs {
+                    planner.running(now, plan, is_prefilling);
                 }
             }
         }
@@ -255,58 +255,58 @@
         Some(service)
     }
 
-    /// Tells other hosts of all jobs under way here, for those that have missed some.
-    pub fn retell(&self, path: RelayPath) {
-        let now = self.parts.clock.now();
+    /// Broadcasts all jobs of this host that are in flight, for hosts that have missed events.
+    pub fn rebroadcast_jobs(&self, path: RelayPath) {
+        let now = self.context.clock.now();
         let services: Vec<Arc<Service>> = self.services.read().values().cloned().collect();
         for service in services {
             let jobs = match &mut service.state.lock().policy {
-                Policy::Engines(planner) => planner.jobs_of(now, self.parts.number),
+                Policy::Engines(planner) => planner.jobs_of(now, self.context.number),
                 Policy::Plain(_) => continue,
             };
-            for jobs in batches(jobs) {
+            for jobs in split_into_batches(jobs) {
                 let event = Event::Running(service.name.clone(), jobs);
-                self.tell_by(event, Urgency::Usual, path);
+                self.broadcast_via(event, Urgency::Usual, path);
             }
         }
     }
 
-    /// A name for a job that no host has given before.
-    pub fn name(&self) -> JobId {
+    /// Returns a new job id, unique across hosts.
+    pub fn next_job_id(&self) -> JobId {
         JobId {
-            host: self.parts.number,
-            number: self.jobs.fetch_add(1, Ordering::Relaxed),
+            host: self.context.number,
+            number: self.next_job.fetch_add(1, Ordering::Relaxed),
         }
     }
 
-    /// Picks an endpoint for a job, waiting for room until its deadline at most. `request` is the
-    /// caller's name for it, for logs.
+    /// Picks an endpoint for a job, waiting for capacity until the job's deadline. `request` is the
+    /// caller's attempt id, for logs.
     pub async fn pick(
         self: &Arc<Self>,
         name: &ServiceName,
         request: &str,
         job: &Job,
-    ) -> Result<Pick, Unplaced> {
-        let service = self.find(name).ok_or(Unplaced::Nobody)?;
-        let mut queue = Queue {
+    ) -> Result<Pick, Rejection> {
+        let service = self.find_service(name).ok_or(Rejection::NoEndpoint)?;
+        let mut waiter = Waiter {
             fleet: self,
             service: &service,
             job: job.id,
-            told: None,
+            announced: None,
         };
         loop {
             let changed = service.changed.notified();
             match self.try_pick(&service, request, job) {
-                Err(Unplaced::NoRoom(turn)) if self.parts.clock.now() < job.deadline => {
-                    queue.tell(turn);
+                Err(Rejection::NoCapacity(turn)) if self.context.clock.now() < job.deadline => {
+                    waiter.announce(turn);
                 }
                 Ok(pick) => {
-                    queue.told = None;
+                    waiter.announced = None;
                     return Ok(pick);
                 }
                 result => return result,
             }
-            let _ = tokio::time::timeout(ASK_AGAIN, changed).await;
+            let _ = tokio::time::timeout(RETRY_INTERVAL, changed).await;
         }
     }
 
@@ -315,32 +315,32 @@
         service: &Arc<Service>,
         request: &str,
         job: &Job,
-    ) -> Result<Pick, Unplaced> {
-        let now = self.parts.clock.now();
+    ) -> Result<Pick, Rejection> {
+        let now = self.context.clock.now();
         let mut state = service.state.lock();
         match &mut state.policy {
             Policy::Engines(planner) => {
                 let decision = planner.place(now, job);
                 let (plan, basis) = match decision {
                     Decision::Send(plan, basis) => (plan, basis),
-                    Decision::Wait(turn) => return Err(Unplaced::NoRoom(turn)),
-                    Decision::TooCostly => return Err(Unplaced::TooCostly),
-                    Decision::TooLarge => return Err(Unplaced::TooLarge),
-                    Decision::Nobody => return Err(Unplaced::Nobody),
+                    Decision::Wait(turn) => return Err(Rejection::NoCapacity(turn)),
+                    Decision::TooCostly => return Err(Rejection::TooCostly),
+                    Decision::TooLarge => return Err(Rejection::TooLarge),
+                    Decision::Nobody => return Err(Rejection::NoEndpoint),
                 };
-                self.sent(service, &state, (request, job), plan, &basis)
+                self.dispatch(service, &state, (request, job), plan, &basis)
             }
             Policy::Plain(balancer) => {
                 let key = balancer.choose(now, &job.spared);
-                let key = key.ok_or(Unplaced::Nobody)?;
+                let key = key.ok_or(Rejection::NoEndpoint)?;
                 let endpoint = state.directory.get(&key).cloned();
-                let endpoint = endpoint.ok_or(Unplaced::Nobody)?;
+                let endpoint = endpoint.ok_or(Rejection::NoEndpoint)?;
                 Ok(Pick {
                     fleet: self.clone(),
                     service: service.clone(),
                     endpoint,
                     key,
-                    readers: Vec::new(),
+                    prefillers: Vec::new(),
                     job: None,
                     urgency: Urgency::Usual,
                 })
@@ -348,116 +348,118 @@
         }
     }
 
-    fn sent(
+    fn dispatch(
         self: &Arc<Self>,
         service: &Arc<Service>,
         state: &State,
         (request, job): (&str, &Job),
         plan: Plan,
         basis: &Basis,
-    ) -> Result<Pick, Unplaced> {
+    ) -> Result<Pick, Rejection> {
         let endpoint = state.directory.get(&plan.first).cloned();
-        let endpoint = endpoint.ok_or(Unplaced::Nobody)?;
+        let endpoint = endpoint.ok_or(Rejection::NoEndpoint)?;
         let helpers = plan.helpers.iter().enumerate();
         let helpers = helpers.filter_map(|(place, part)| {
             let helper = state.directory.get(&part.endpoint)?;
             let name = || format!("{:x}-{:x}-{place}", plan.job.host, plan.job.number);
-            Some(Reader {
+            Some(Prefiller {
                 endpoint: helper.id.clone(),
                 key: part.endpoint,
-                reserved: u64::from(part.reserved),
+                reserved_tokens: u64::from(part.reserved),
                 helper: Helper {
                     address: helper.address,
                     reservation: (part.reserved > 0).then(name),
                 },
             })
         });
-        info!(self.parts.logger, "placed"; "event" => "placed", "request" => request,
+        info!(self.context.logger, "placed"; "event" => "placed", "request" => request,
             "endpoint" => endpoint.id.as_str(), "prompt" => job.prompt,
             "readers" => plan.helpers.len() + 1, "helpers" => helper_names(state, &plan),
             "part_ms" => format!("{:.1}", plan.part_ms),
             "engines" => basis.engines, "backlog_ms" => format!("{:.1}", basis.backlog_ms),
             "writers" => basis.writers, "pass_ms" => format!("{:.1}", basis.pass_ms),
-            "waited_ms" => (self.parts.clock.now() - job.arrived).as_millis() as u64);
+            "waited_ms" => (self.context.clock.now() - job.arrived).as_millis() as u64);
         let urgency = urgency(&plan);
         let pick = Pick {
             fleet: self.clone(),
             service: service.clone(),
             endpoint,
             key: plan.first,
-            readers: helpers.collect(),
+            prefillers: helpers.collect(),
             job: Some(plan.job),
             urgency,
         };
-        self.tell(Event::Sent(service.name.clone(), plan), urgency);
+        self.broadcast(Event::Sent(service.name.clone(), plan), urgency);
         Ok(pick)
     }
 
-    fn tell(&self, event: Event, urgency: Urgency) {
-        self.tell_by(event, urgency, RelayPath::Primary);
+    fn broadcast(&self, event: Event, urgency: Urgency) {
+        self.broadcast_via(event, urgency, RelayPath::Primary);
     }
 
-    fn tell_by(&self, event: Event, urgency: Urgency, path: RelayPath) {
-        if let Some(broadcaster) = &self.parts.broadcaster {
-            broadcaster.tell(event, urgency, path);
+    fn broadcast_via(&self, event: Event, urgency: Urgency, path: RelayPath) {
+        if let Some(broadcaster) = &self.context.broadcaster {
+            broadcaster.broadcast(event, urgency, path);
         }
     }
 
-    fn find(&self, name: &ServiceName) -> Option<Arc<Service>> {
+    fn find_service(&self, name: &ServiceName) -> Option<Arc<Service>> {
         self.services.read().get(name).cloned()
     }
 }
 
-/// A job that waits. Dropping it tells that it waits no longer.
-struct Queue<'a> {
+/// A queued job. Dropping it broadcasts that the job has left the queue.
+struct Waiter<'a> {
     fleet: &'a Fleet,
     service: &'a Service,
     job: JobId,
-    told: Option<(Moment, bool)>,
+    announced: Option<(Moment, bool)>,
 }
 
-impl Queue<'_> {
-    /// Tells of the turn, where that is due.
-    fn tell(&mut self, turn: Turn) {
-        let now = self.fleet.parts.clock.now();
+impl Waiter<'_> {
+    /// Broadcasts the job's turn if it has changed or the interval has passed.
+    fn announce(&mut self, turn: Turn) {
+        let now = self.fleet.context.clock.now();
         let is_due = self
-            .told
-            .is_none_or(|(at, blocked)| now - at >= TELL_TURN || blocked != turn.blocked);
+            .announced
+            .is_none_or(|(at, blocked)| now - at >= TURN_INTERVAL || blocked != turn.blocked);
         if is_due {
-            let is_news = self.told.is_none_or(|(_, blocked)| blocked != turn.blocked);
-            self.told = Some((now, turn.blocked));
+            let has_changed = self
+                .announced
+                .is_none_or(|(_, blocked)| blocked != turn.blocked);
+            self.announced = Some((now, turn.blocked));
             let event = Event::Queued(self.service.name.clone(), turn);
-            let urgency = if is_news {
+            let urgency = if has_changed {
                 Urgency::Urgent
             } else {
                 Urgency::Usual
             };
-            self.fleet.tell(event, urgency);
+            self.fleet.broadcast(event, urgency);
         }
     }
 }
 
-impl Drop for Queue<'_> {
+impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        if self.told.is_none() {
+        if self.announced.is_none() {
             return;
         }
         if let Policy::Engines(planner) = &mut self.service.state.lock().policy {
             planner.cancelled(self.job);
         }
         let event = Event::Cancelled(self.service.name.clone(), self.job);
-        self.fleet.tell(event, Urgency::Urgent);
+        self.fleet.broadcast(event, Urgency::Urgent);
         self.service.changed.notify_waiters();
     }
 }
 
-/// Endpoints of one data centre are cut off together.
+/// Returns the group of a data centre's endpoints, which share network failures.
 fn group(data_centre: &DataCentre) -> Group {
     let name = EndpointId::new(data_centre.as_str());
     Group(EndpointKey::of(&name, 0).0)
 }
 
-/// How soon hosts of other data centres have to hear of a job.
+/// Returns the urgency of events about a plan.
 fn urgency(plan: &Plan) -> Urgency {
     if plan.has_parts() {
         Urgency::Urgent
@@ -466,7 +468,7 @@
     }
 }
 
-/// The names of the engines that help, for logs.
+/// Returns the ids of a plan's helpers, for logs.
 fn helper_names(state: &State, plan: &Plan) -> String {
     let helpers = plan.helpers.iter();
     let helpers = helpers.filter_map(|part| state.directory.get(&part.endpoint));
@@ -474,19 +476,19 @@
     names.join(",")
 }
 
-/// Jobs in groups that fit a datagram each.
-fn batches(jobs: Vec<(Plan, bool)>) -> Vec<Vec<(Plan, bool)>> {
+/// Splits jobs into batches that each fit a datagram.
+fn split_into_batches(jobs: Vec<(Plan, bool)>) -> Vec<Vec<(Plan, bool)>> {
     let mut batches = Vec::new();
     let mut batch = Vec::new();
     let mut bytes = 0;
-    for (plan, is_reading) in jobs {
-        let size = PLAN_BYTES + PART_BYTES * plan.helpers.len();
-        if bytes + size > BATCH_BYTES {
+    for (plan, is_prefilling) in jobs {
+        let size = MAX_PLAN_BYTES + MAX_PART_BYTES * plan.helpers.len();
+        if bytes + size > MAX_BATCH_BYTES {
             batches.push(std::mem::take(&mut batch));
             bytes = 0;
         }
         bytes += size;
-        batch.push((plan, is_reading));
+        batch.push((plan, is_prefilling));
     }
     if !batch.is_empty() {
         batches.push(batch);
--- a/crates/kumquatdrum_gateway/src/fleet/pick.rs
+++ b/crates/kumquatdrum_gateway/src/fleet/pick.rs
@@ -1,4 +1,4 @@
-//! A picked endpoint, and what its answers tell of it.
+//! A picked endpoint, and the feedback from its responses.
 
 use std::sync::Arc;
 
@@ -12,99 +12,99 @@
 use crate::message::Event;
 use crate::protocol::Helper;
 
-/// An engine that reads a part for a picked one.
+/// An engine that prefills a part of a prompt for the picked engine.
 #[derive(Debug, Clone)]
-pub struct Reader {
-    /// Its name.
+pub struct Prefiller {
+    /// The engine's id.
     pub endpoint: EndpointId,
-    /// Its key.
+    /// The engine's key.
     pub key: EndpointKey,
-    /// Tokens of its memory that have to be reserved.
-    pub reserved: u64,
-    /// How the picked endpoint is told of it.
+    /// The number of tokens to reserve in the engine's memory.
+    pub reserved_tokens: u64,
+    /// The helper as sent to the picked endpoint.
     pub helper: Helper,
 }
 
-/// A picked endpoint. Dropping it tells that the request has ended there.
+/// A picked endpoint. Dropping it broadcasts that the request has ended.
 pub struct Pick {
     pub(super) fleet: Arc<Fleet>,
     pub(super) service: Arc<Service>,
-    /// The endpoint.
+    /// The picked endpoint.
     pub endpoint: Announcement,
-    /// Its key.
+    /// The endpoint's key.
     pub key: EndpointKey,
-    /// Engines that read parts of the prompt.
-    pub readers: Vec<Reader>,
+    /// The engines that prefill parts of the prompt.
+    pub prefillers: Vec<Prefiller>,
     pub(super) job: Option<JobId>,
     pub(super) urgency: Urgency,
 }
 
 impl Pick {
-    /// The first token has come.
-    pub fn began(&self) {
+    /// Records the arrival of the first token.
+    pub fn record_first_token(&self) {
         let Some(job) = self.job else {
             return;
         };
-        let now = self.fleet.parts.clock.now();
+        let now = self.fleet.context.clock.now();
         if let Policy::Engines(planner) = &mut self.service.state.lock().policy {
             planner.began(now, job);
         }
         self.service.changed.notify_waiters();
         let event = Event::Began(self.service.name.clone(), job);
-        self.fleet.tell(event, self.urgency);
+        self.fleet.broadcast(event, self.urgency);
     }
 
-    /// The endpoint has answered well, and may have told how much it has to do.
-    pub fn succeeded(&self, load: Option<u32>) {
-        let now = self.fleet.parts.clock.now();
+    /// Records a successful response and the load that it reported.
+    pub fn record_success(&self, load: Option<u32>) {
+        let now = self.fleet.context.clock.now();
         match &mut self.service.state.lock().policy {
             Policy::Engines(planner) => planner.succeeded(self.key),
             Policy::Plain(balancer) => balancer.succeeded(now, self.key, load),
         }
     }
 
-    /// The endpoint has failed.
-    pub fn failed(&self, failure: Failure) {
-        let now = self.fleet.parts.clock.now();
+    /// Records a failure of the endpoint.
+    pub fn record_failure(&self, failure: Failure) {
+        let now = self.fleet.context.clock.now();
         let is_ejected = match &mut self.service.state.lock().policy {
             Policy::Engines(planner) => planner.failed(now, self.key, failure),
             Policy::Plain(balancer) => balancer.failed(now, self.key, failure),
         };
         if is_ejected {
-            warn!(self.fleet.parts.logger, "endpoint_ejected"; "event" => "endpoint_ejected",
+            warn!(self.fleet.context.logger, "endpoint_ejected"; "event" => "endpoint_ejected",
                 "endpoint" => self.endpoint.id.as_str(), "failure" => ?failure);
         }
     }
 
-    /// A helper has failed the endpoint, which names it by its id or its address.
-    pub fn helper_failed(&self, name: &str) {
-        let now = self.fleet.parts.clock.now();
+    /// Records the failure of a helper, given by its id or address.
+    pub fn record_helper_failure(&self, name: &str) {
+        let now = self.fleet.context.clock.now();
         let mut state = self.service.state.lock();
-        let named = |endpoint: &Announcement| {
+        let is_named = |endpoint: &Announcement| {
             endpoint.id.as_str() == name || endpoint.address.to_string() == name
         };
         let found = state.directory.iter();
-        let mut found = found.filter(|(_, endpoint)| named(endpoint));
+        let mut found = found.filter(|(_, endpoint)| is_named(endpoint));
         let Some(key) = found.next().map(|(key, _)| *key) else {
             return;
         };
         if let Policy::Engines(planner) = &mut state.policy {
             planner.failed(now, key, Failure::Unreachable);
         }
-        warn!(self.fleet.parts.logger, "helper_failed"; "event" => "helper_failed",
+        warn!(self.fleet.context.logger, "helper_failed"; "event" => "helper_failed",
             "endpoint" => self.endpoint.id.as_str(), "helper" => name);
     }
 
-    /// Another endpoint answers at the address.
+    /// Marks the endpoint as gone because another endpoint answers at its address.
     pub fn mark_displaced(&self) {
-        self.fleet.parts.endpoints.mark_displaced(&self.endpoint);
+        self.fleet.context.endpoints.mark_displaced(&self.endpoint);
         self.fleet.refresh_service(&self.service);
     }
 }
 
 impl Drop for Pick {
     fn drop(&mut self) {
-        let now = self.fleet.parts.clock.now();
+        let now = self.fleet.context.clock.now();
         match (&mut self.service.state.lock().policy, self.job) {
             (Policy::Engines(planner), Some(job)) => planner.ended(now, job),
             (Policy::Plain(balancer), _) => balancer.ended(self.key),
@@ -113,7 +113,7 @@
         self.service.changed.notify_waiters();
         if let Some(job) = self.job {
             let event = Event::Ended(self.service.name.clone(), job);
-            self.fleet.tell(event, self.urgency);
+            self.fleet.broadcast(event, self.urgency);
         }
     }
 }
--- a/crates/kumquatdrum_gateway/src/gateway.rs
+++ b/crates/kumquatdrum_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway host: its parts, its rounds, its start and its stop.
+//! The gateway host, which combines the other modules.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,73 +19,73 @@
 use tokio::time::sleep;
 
 use crate::broadcast::Broadcaster;
+use crate::distribution::Distributor;
 use crate::endpoints::Endpoints;
 use crate::fleet::Fleet;
 use crate::hosts::Hosts;
-use crate::message::{Answer, Host, Question, Wanted};
-use crate::meters::Meters;
-use crate::replica::{Ask, Handle};
-use crate::spread::Spread;
-use crate::{Protocol, Settings, in_force, recall};
+use crate::message::{Host, Request, Response, Selection};
+use crate::metrics::Metrics;
+use crate::replica::{Command, Handle};
+use crate::{Protocol, Settings, active_setup, endpoint_cache};
 
-mod announced;
-mod rounds;
+mod endpoint_updates;
+mod periodic;
 mod start;
 
-/// How often a host greets that knows nothing yet.
-const FIRST_GREETING: Duration = Duration::from_millis(100);
-/// How long a request waits for what is in force: an election and a greeting.
-const INFORMED: Duration = Duration::from_secs(2);
-/// The share of a caller's patience that it may wait so.
-const INFORMED_SHARE: f64 = 0.4;
-/// How long a host that starts waits for a majority of the control hosts before it goes by what
-/// it was told by any.
-const CERTAINTY: Duration = Duration::from_secs(3);
+/// The interval between hellos until the host knows the active setup.
+const INITIAL_HELLO_INTERVAL: Duration = Duration::from_millis(100);
+/// The maximum time that a request waits for an active setup; covers an election and a hello.
+const SETUP_WAIT: Duration = Duration::from_secs(2);
+/// The maximum fraction of a caller's timeout that a request waits for an active setup.
+const SETUP_WAIT_FRACTION: f64 = 0.4;
+/// How long a starting host waits for a majority of the control hosts before it becomes ready
+/// without one.
+const MAJORITY_WAIT: Duration = Duration::from_secs(3);
 
-/// How long a host may take to say that it will send its record.
-const FETCH_LIMIT: Duration = Duration::from_millis(500);
+/// The timeout for the response to a fetch request.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A reservation's lease, as a share of the time that memory may lie unused. The rest is for an
-/// order that is on its way while the lease ends.
-const RESERVATION: f64 = 0.8;
+/// The duration of a reservation's lease, as a fraction of the maximum time that memory may stay
+/// unused. The rest allows for orders in flight when the lease ends.
+const LEASE_FRACTION: f64 = 0.8;
 
-/// Why a host did not start.
+/// An error that prevents a host from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A listener can't be opened.
+    /// A listener cannot be opened.
     #[error("the {name} listener can't be opened on {address}: {reason}")]
     Listen {
-        /// Which listener.
+        /// The listener's name.
         name: &'static str,
-        /// Its address.
+        /// The listener's address.
         address: SocketAddr,
-        /// What the system said.
+        /// The system error.
         reason: std::io::Error,
     },
-    /// The metrics can't be registered.
+    /// The metrics cannot be registered.
     #[error("the metrics can't be registered: {0}")]
     Metrics(#[from] prometheus::Error),
 }
 
-/// The settings file, and the signal that says that it has changed.
+/// The settings file and the signal that triggers its reload.
 #[derive(Debug)]
 pub struct SettingsFile {
-    /// Where it is.
+    /// The path of the file.
     pub path: PathBuf,
-    /// The signal.
+    /// The signal that is sent after a change.
     pub changed: Signal,
 }
 
-/// One gateway host.
+/// A running gateway host.
 pub struct Gateway {
     pub(crate) protocol: Arc<dyn Protocol>,
     pub(crate) clock: Clock,
     pub(crate) hosts: Arc<Hosts>,
     pub(crate) endpoints: Arc<Endpoints>,
-    pub(crate) in_force: Arc<in_force::Store>,
-    pub(crate) spread: Arc<Spread>,
+    pub(crate) active_setup: Arc<active_setup::Store>,
+    pub(crate) distributor: Arc<Distributor>,
     pub(crate) fleet: Arc<Fleet>,
-    pub(crate) meters: Arc<Meters>,
+    pub(crate) metrics: Arc<Metrics>,
     pub(crate) drain: Arc<Drain>,
     pub(crate) logger: slog::Logger,
     client: Arc<Client>,
@@ -94,7 +94,7 @@
     replica: Option<Handle>,
     settings: Settings,
     started: Moment,
-    heard_majority: Mutex<bool>,
+    has_heard_majority: Mutex<bool>,
     background: Mutex<JoinSet<()>>,
 }
 
@@ -109,19 +109,23 @@
     ) -> Result<(), StartError> {
         let logger = logger.new(o!("host" => settings.name.clone()));
         let stop_limit = Duration::from_millis(settings.stop_ms);
-        let file_of_endpoints = recall::file(&settings);
-        let announcement = Duration::from_millis(settings.announcement_ms);
-        let recalled = match &file_of_endpoints {
-            Some(file) => recall::read(file.clone(), announcement, &logger).await,
+        let cache_file = endpoint_cache::file(&settings);
+        let announcement_interval = Duration::from_millis(settings.announcement_ms);
+        let cached = match &cache_file {
+            Some(file) => endpoint_cache::load(file.clone(), announcement_interval, &logger).await,
             None => Vec::new(),
         };
-        let (gateway, mut running) = start::start(settings, protocol, logger, recalled)?;
-        if let Some(file) = file_of_endpoints {
+        let (gateway, mut running) = start::start(settings, protocol, logger, cached)?;
+        if let Some(file) = cache_file {
             let (endpoints, logger) = (gateway.endpoints.clone(), gateway.logger.clone());
-            running.tasks.spawn(recall::keep(file, endpoints, logger));
+            running
+                .tasks
+                .spawn(endpoint_cache::persist(file, endpoints, logger));
         }
         if let Some(file) = file {
-            running.tasks.spawn(rounds::reload(gateway.clone(), file));
+            running
+                .tasks
+                .spawn(periodic::watch_settings(gateway.clone(), file));
         }
         info!(gateway.logger, "started"; "event" => "started",
             "address" => %gateway.settings.address, "replica" => gateway.replica.is_some());
@@ -131,58 +135,61 @@
         Ok(())
     }
 
-    /// What callers may send.
+    /// Returns the limits on callers' requests.
     pub(crate) fn limits(&self) -> Limits {
-        let current = self.in_force.current();
-        current.map_or_else(Limits::default, |in_force| in_force.table.setup().limits)
+        let current = self.active_setup.current();
+        current.map_or_else(Limits::default, |active_setup| {
+            active_setup.table.setup().limits
+        })
     }
 
-    /// Runs something that outlives its request.
+    /// Spawns a task that may outlive its request.
     pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let mut background = self.background.lock();
         while background.try_join_next().is_some() {}
         background.spawn(task);
     }
 
-    /// How long a reservation lasts that is not renewed.
-    pub(crate) fn reservation_time(&self) -> Duration {
-        Duration::from_millis(self.settings.unused_memory_ms).mul_f64(RESERVATION)
+    /// Returns the duration of a reservation's lease.
+    pub(crate) fn lease_duration(&self) -> Duration {
+        Duration::from_millis(self.settings.unused_memory_ms).mul_f64(LEASE_FRACTION)
     }
 
-    /// Waits, on a host that has just started, until it knows what is in force. A caller whose
-    /// first host was lost has no further try than this one.
-    pub(crate) async fn informed(&self, patience: Option<Duration>) {
-        let share = patience.map_or(INFORMED, |patience| patience.mul_f64(INFORMED_SHARE));
-        let until = self.clock.now() + share.min(INFORMED);
-        while self.in_force.current().is_none() && self.clock.now() < until {
-            sleep(FIRST_GREETING / 4).await;
+    /// Waits on a newly started host until it has an active setup, since a caller whose first host
+    /// failed may retry only once.
+    pub(crate) async fn wait_for_setup(&self, timeout: Option<Duration>) {
+        let share = timeout.map_or(SETUP_WAIT, |timeout| timeout.mul_f64(SETUP_WAIT_FRACTION));
+        let deadline = self.clock.now() + share.min(SETUP_WAIT);
+        while self.active_setup.current().is_none() && self.clock.now() < deadline {
+            sleep(INITIAL_HELLO_INTERVAL / 4).await;
         }
     }
 
-    /// Whether this host takes callers.
+    /// Returns whether this host accepts callers.
     pub(crate) fn is_ready(&self) -> bool {
-        let is_certain = *self.heard_majority.lock() || self.clock.now() - self.started > CERTAINTY;
-        !self.drain.is_draining() && is_certain && self.in_force.current().is_some()
+        let is_certain =
+            *self.has_heard_majority.lock() || self.clock.now() - self.started > MAJORITY_WAIT;
+        !self.drain.is_draining() && is_certain && self.active_setup.current().is_some()
     }
 
-    /// Sets the gauges.
-    pub(crate) fn measure(&self) {
-        let revision = i64::try_from(self.in_force.revision()).unwrap_or(i64::MAX);
-        self.meters.revision.set(revision);
-        self.meters.hosts.set(self.hosts.live().len() as i64);
-        self.meters.under_way.set(self.drain.under_way());
-        self.meters.count_peers(&self.traffic);
+    /// Updates the gauges.
+    pub(crate) fn update_gauges(&self) {
+        let revision = i64::try_from(self.active_setup.revision()).unwrap_or(i64::MAX);
+        self.metrics.revision.set(revision);
+        self.metrics.hosts.set(self.hosts.live_hosts().len() as i64);
+        self.metrics.under_way.set(self.drain.under_way());
+        self.metrics.count_peers(&self.traffic);
     }
 
-    /// Asks another host; nothing where it does not answer in time.
-    pub(crate) async fn ask(
+    /// Sends a request to another host. Returns `None` if there is no response in time.
+    pub(crate) async fn send_request(
         &self,
         host: &HostId,
         channel: Channel,
-        question: &Question,
+        request: &Request,
         limit: Duration,
-    ) -> Option<Answer> {
-        let body = match postcard::to_stdvec(question) {
+    ) -> Option<Response> {
+        let body = match postcard::to_stdvec(request) {
             Ok(body) => Bytes::from(body),
             Err(error) => {
                 error!(self.logger, "question_not_encoded"; "event" => "question_not_encoded",
@@ -190,87 +197,89 @@
                 return None;
             }
         };
-        // Whether a host answers is logged where it turns from one to the other.
-        let answer = self.client.ask(host, channel, body, limit).await.ok()?;
-        postcard::from_bytes(&answer).ok()
+        // The client logs when a host stops or resumes responding.
+        let response = self.client.ask(host, channel, body, limit).await.ok()?;
+        postcard::from_bytes(&response).ok()
     }
 
-    /// Asks this host's replica.
-    pub(crate) async fn ask_replica(&self, ask: Ask) -> Answer {
+    /// Sends a command to this host's replica.
+    pub(crate) async fn send_command(&self, command: Command) -> Response {
         match &self.replica {
-            Some(replica) => replica.ask(ask).await,
-            None => Answer::NotLeader(None),
+            Some(replica) => replica.send_command(command).await,
+            None => Response::NotLeader(None),
         }
     }
 
-    /// A message for this host's replica.
-    pub(crate) fn replica_message(&self, message: Message) {
+    /// Passes a message to this host's replica.
+    pub(crate) fn deliver_to_replica(&self, message: Message) {
         if let Some(replica) = &self.replica {
             replica.message(message);
         }
     }
 
-    /// Another host, or this one's own log, tells of a committed record; `leads` where this host's
-    /// replica leads.
-    pub(crate) fn take_record(&self, record: &Record, from: &str, leads: bool) {
-        self.in_force.offer(record, from, leads);
+    /// Offers a committed record from another host or the local log. `is_leader` states whether this
+    /// host's replica is the leader.
+    pub(crate) fn offer_record(&self, record: &Record, from: &str, is_leader: bool) {
+        self.active_setup.offer(record, from, is_leader);
     }
 
-    /// Puts records in force as they come.
-    async fn take_records(self: Arc<Self>) {
+    /// Activates offered records and distributes them.
+    async fn activate_records(self: Arc<Self>) {
         loop {
-            let (in_force, leads) = self.in_force.next().await;
-            self.fleet.configure(in_force.table.setup());
-            self.spread.tell(&in_force.record, leads);
+            let (active_setup, is_leader) = self.active_setup.activate_next().await;
+            self.fleet.configure(active_setup.table.setup());
+            self.distributor.distribute(&active_setup.record, is_leader);
         }
     }
 
-    /// Answers a greeting.
-    pub(crate) fn welcome(
+    /// Answers a hello.
+    pub(crate) fn answer_hello(
         self: &Arc<Self>,
         host: Host,
         revision: u64,
         is_new: bool,
-        wanted: Wanted,
-    ) -> Answer {
+        selection: Selection,
+    ) -> Response {
         let id = host.id.clone();
-        self.hosts.heard(host);
-        self.hears(id, revision);
-        Answer::Welcome {
+        self.hosts.record_contact(host);
+        self.observe_revision(id, revision);
+        Response::Welcome {
             host: self.hosts.local(),
-            hosts: self.hosts.listing(wanted),
-            revision: self.in_force.revision(),
+            hosts: self.hosts.listing(selection),
+            revision: self.active_setup.revision(),
             endpoints: if is_new {
-                self.endpoints.all()
+                self.endpoints.all_updates()
             } else {
                 Vec::new()
             },
         }
     }
 
-    /// Another host goes by a revision: where it is higher, its record is asked for.
-    fn hears(self: &Arc<Self>, host: HostId, revision: u64) {
-        if self.spread.hears(revision) {
-            self.spawn(self.clone().fetch(host, revision));
+    /// Records another host's active revision, and fetches it if it is higher.
+    fn observe_revision(self: &Arc<Self>, host: HostId, revision: u64) {
+        if self.distributor.observe_revision(revision) {
+            self.spawn(self.clone().fetch_record(host, revision));
         }
     }
 
-    /// Asks whoever tells this host of records, which then sends none twice, and where that one has
-    /// nothing newer, the host that goes by the revision.
-    async fn fetch(self: Arc<Self>, host: HostId, revision: u64) {
-        let sender = self.spread.sender().filter(|sender| *sender != host);
-        for asked in sender.into_iter().chain([host]) {
+    /// Fetches a record from the control host assigned to this one, which then does not send it twice,
+    /// or else from the host that reported the revision.
+    async fn fetch_record(self: Arc<Self>, host: HostId, revision: u64) {
+        let sender = self.distributor.sender().filter(|sender| *sender != host);
+        for target in sender.into_iter().chain([host]) {
             let channel = Channel::Setup;
-            let question = Question::Fetch {
-                above: self.in_force.revision(),
+            let request = Request::Fetch {
+                above: self.active_setup.revision(),
             };
-            let answer = self.ask(&asked, channel, &question, FETCH_LIMIT).await;
-            if matches!(answer, Some(Answer::Taken)) {
+            let response = self
+                .send_request(&target, channel, &request, FETCH_TIMEOUT)
+                .await;
+            if matches!(response, Some(Response::Taken)) {
                 return;
             }
             info!(self.logger, "setup_not_fetched"; "event" => "setup_not_fetched",
-                "peer" => asked.as_str(), "revision" => revision, "answered" => answer.is_some());
+                "peer" => target.as_str(), "revision" => revision, "answered" => response.is_some());
         }
-        self.spread.not_fetched();
+        self.distributor.fetch_failed();
     }
 }
--- /dev/null
+++ b/crates/kumquatdrum_gateway/src/gateway/endpoint_updates.rs
@@ -0,0 +1,165 @@
+//! Propagation of endpoint updates: directly within the local data centre, through relays to others.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use kumquatdrum_peer::Channel;
+use kumquatdrum_registry::Update;
+use kumquatdrum_types::HostId;
+use slog::{info, warn};
+use tokio::task::JoinSet;
+
+use super::Gateway;
+use crate::broadcast::RelayPath;
+use crate::message::{Notice, Request, Response};
+
+/// The timeout for other hosts to confirm that an endpoint is leaving. Endpoints wait a second for the
+/// acknowledgement.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(600);
+/// The timeout for hosts in a relay's data centre, and for those asked after the relay failed.
+const LOCAL_CONFIRM_TIMEOUT: Duration = Duration::from_millis(250);
+/// The timeout for a relay.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(350);
+
+impl Gateway {
+    /// Merges endpoint updates from another host.
+    pub(crate) fn merge_endpoints(&self, updates: Vec<Update>, from: &str) {
+        if self.endpoints.merge(updates, from) {
+            self.refresh_fleet();
+        }
+    }
+
+    /// Applies changed endpoints to the fleet.
+    pub(crate) fn refresh_fleet(&self) {
+        self.fleet.refresh();
+    }
+
+    /// Sends endpoint updates to all hosts, best effort; lost updates are repeated in a later round.
+    pub(crate) fn broadcast_endpoints(&self, updates: Vec<Update>, path: RelayPath) {
+        if updates.is_empty() {
+            return;
+        }
+        let recipients = self.hosts.live_recipients();
+        self.send_endpoints(&updates, &recipients.direct);
+        for relay in recipients.relays {
+            let to = match path {
+                RelayPath::Primary => &relay.primary,
+                RelayPath::Secondary => &relay.secondary,
+            };
+            let hosts = relay.hosts.iter().filter(|host| *host != to);
+            let notice = Notice::RelayEndpoints {
+                updates: updates.clone(),
+                hosts: hosts.cloned().collect(),
+            };
+            if let Some(bytes) = notice.encode(&self.logger) {
+                self.client.send(to, Channel::Membership, bytes);
+            }
+        }
+    }
+
+    /// Sends endpoint updates directly to the given hosts.
+    pub(crate) fn send_endpoints(&self, updates: &[Update], hosts: &[HostId]) {
+        let notice = Notice::Endpoints(updates.to_vec());
+        let Some(bytes) = notice.encode(&self.logger) else {
+            return;
+        };
+        for host in hosts {
+            self.client.send(host, Channel::Membership, bytes.clone());
+        }
+    }
+
+    /// Sends endpoint updates to all hosts and waits for their confirmation. A leave request is only
+    /// acknowledged once the other hosts have stopped using the endpoint.
+    pub(crate) async fn confirm_endpoints(self: &Arc<Self>, updates: Vec<Update>) {
+        self.refresh_fleet();
+        let recipients = self.hosts.live_recipients();
+        let mut requests = JoinSet::new();
+        let (gateway, direct_updates) = (self.clone(), updates.clone());
+        let direct = async move {
+            gateway
+                .request_all(&direct_updates, recipients.direct, CONFIRM_TIMEOUT)
+                .await
+        };
+        requests.spawn(direct);
+        for relay in recipients.relays {
+            let (gateway, updates) = (self.clone(), updates.clone());
+            requests.spawn(async move {
+                let remaining = gateway
+                    .request_relay(&updates, relay.primary, relay.hosts)
+                    .await;
+                gateway
+                    .request_all(&updates, remaining, LOCAL_CONFIRM_TIMEOUT)
+                    .await
+            });
+        }
+        while let Some(joined) = requests.join_next().await {
+            match joined {
+                Ok(unconfirmed) => unconfirmed.iter().for_each(|host| {
+                    warn!(self.logger, "farewell_unconfirmed"; "event" => "farewell_unconfirmed",
+                        "peer" => host.as_str());
+                }),
+                Err(error) => {
+                    warn!(self.logger, "farewell_unconfirmed"; "event" => "farewell_unconfirmed",
+                        "reason" => %error);
+                }
+            }
+        }
+    }
+
+    /// Sends a control host's endpoint updates to hosts of the local data centre. Returns those that did
+    /// not confirm them.
+    pub(crate) async fn confirm_local(
+        self: &Arc<Self>,
+        updates: &[Update],
+        hosts: Vec<HostId>,
+    ) -> Vec<HostId> {
+        self.request_all(updates, hosts, LOCAL_CONFIRM_TIMEOUT)
+            .await
+    }
+
+    /// Sends endpoint updates through a relay. Returns the hosts to be asked directly.
+    async fn request_relay(
+        &self,
+        updates: &[Update],
+        relay: HostId,
+        mut hosts: Vec<HostId>,
+    ) -> Vec<HostId> {
+        hosts.retain(|host| *host != relay);
+        let request = Request::RelayEndpoints {
+            updates: updates.to_vec(),
+            hosts: hosts.clone(),
+        };
+        let response = self.send_request(&relay, Channel::Membership, &request, RELAY_TIMEOUT);
+        match response.await {
+            Some(Response::Taken) => Vec::new(),
+            Some(Response::Unconfirmed(hosts)) => hosts,
+            _ => {
+                info!(self.logger, "relay_silent"; "event" => "relay_silent",
+                    "peer" => relay.as_str(), "hosts" => hosts.len());
+                hosts.push(relay);
+                hosts
+            }
+        }
+    }
+
+    /// Sends endpoint updates to the given hosts. Returns those that did not confirm them.
+    async fn request_all(
+        self: &Arc<Self>,
+        updates: &[Update],
+        hosts: Vec<HostId>,
+        limit: Duration,
+    ) -> Vec<HostId> {
+        let mut requests = JoinSet::new();
+        for host in hosts {
+            let gateway = self.clone();
+            let request = Request::Endpoints(updates.to_vec());
+            requests.spawn(async move {
+                let response = gateway.send_request(&host, Channel::Membership, &request, limit);
+                let is_taken = matches!(response.await, Some(Response::Taken));
+                (!is_taken).then_some(host)
+            });
+        }
+        let unconfirmed = requests.join_all().await;
+        unconfirmed.into_iter().flatten().collect()
+    }
+}
--- /dev/null
+++ b/crates/kumquatdrum_gateway/src/gateway/periodic.rs
@@ -0,0 +1,159 @@
+//! Periodic tasks: hellos, endpoint updates, rebroadcast of jobs, and reloading of settings.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use kumquatdrum_peer::Channel;
+use slog::{error, info};
+use tokio::task::JoinSet;
+use tokio::time::{interval, sleep};
+
+use super::{Gateway, INITIAL_HELLO_INTERVAL, SettingsFile};
+use crate::broadcast::RelayPath;
+use crate::message::{Request, Response, Selection};
+use crate::settings;
+
+/// The interval between hellos to the control hosts of the local data centre.
+const HELLO_INTERVAL: Duration = Duration::from_millis(500);
+/// The timeout for the response to a hello.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(700);
+/// The interval at which a control host publishes endpoint updates.
+const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
+/// The interval at which a host rebroadcasts its jobs, so that a starting host knows them before it
+/// accepts callers.
+const JOB_REBROADCAST_INTERVAL: Duration = Duration::from_millis(500);
+/// The interval at which the settings file is checked without a signal.
+const RELOAD_INTERVAL: Duration = Duration::from_secs(1);
+
+impl Gateway {
+    pub(super) async fn send_hellos(self: Arc<Self>) {
+        let mut is_new = true;
+        for round in 0.. {
+            let mut hellos = JoinSet::new();
+            let at_once = is_new || self.distributor.is_behind();
+            let targets = self.hosts.hello_targets(round, at_once);
+            let listing_source = if is_new {
+                None
+            } else {
+                self.hosts.listing_source(round, &targets)
+            };
+            for host in targets {
+                let gateway = self.clone();
+                let request = Request::Hello {
+                    host: self.hosts.local(),
+                    revision: self.active_setup.revision(),
+                    is_new,
+                    hosts: if listing_source.as_ref().is_none_or(|source| *source == host) {
+                        self.hosts.listing_selection(&host)
+                    } else {
+                        Selection::Nothing
+                    },
+                };
+                hellos.spawn(async move {
+                    let channel = Channel::Membership;
+                    let response = gateway.send_request(&host, channel, &request, HELLO_TIMEOUT);
+                    match response.await {
+                        Some(response) => gateway.apply_welcome(response),
+                        None => false,
+                    }
+                });
+            }
+            while let Some(is_welcomed) = hellos.join_next().await {
+                is_new &= !is_welcomed.unwrap_or(false);
+                if self.hosts.has_control_majority() && !self.distributor.is_behind() {
+                    *self.has_heard_majority.lock() = true;
+                }
+            }
+            self.hosts.expire_silent();
+            self.fleet.refresh();
+            if let Some(broadcaster) = &self.broadcaster {
+                broadcaster.refresh();
+            }
+            let pause = if is_new || self.distributor.is_behind() {
+                INITIAL_HELLO_INTERVAL
+            } else {
+                HELLO_INTERVAL
+            };
+            sleep(pause).await;
+        }
+    }
+
+    /// Applies the response to a hello. Returns whether it is a welcome.
+    fn apply_welcome(self: &Arc<Self>, response: Response) -> bool {
+        let Response::Welcome {
+            host,
+            hosts,
+            revision,
+            endpoints,
+        } = response
+        else {
+            return false;
+        };
+        let id = host.id.clone();
+        self.hosts.record_contact(host);
+        if let Some(listing) = hosts {
+            self.hosts.merge_listing(&id, listing);
+        }
+        self.merge_endpoints(endpoints, id.as_str());
+        self.observe_revision(id, revision);
+        true
+    }
+
+    pub(super) async fn rebroadcast_jobs(self: Arc<Self>) {
+        let mut rounds = interval(JOB_REBROADCAST_INTERVAL);
+        for path in [RelayPath::Secondary, RelayPath::Primary]
+            .into_iter()
+            .cycle()
+        {
+            rounds.tick().await;
+            self.fleet.rebroadcast_jobs(path);
+        }
+    }
+
+    pub(super) async fn publish_endpoints(self: Arc<Self>) {
+        let mut rounds = interval(PUBLISH_INTERVAL);
+        for path in [RelayPath::Primary, RelayPath::Secondary]
+            .into_iter()
+            .cycle()
+        {
+            rounds.tick().await;
+            let updates = self.endpoints.take_round();
+            self.broadcast_endpoints(updates, path);
+        }
+    }
+}
+
+/// Watches the settings file for new seeds. Other settings require a restart.
+pub(super) async fn watch_settings(gateway: Arc<Gateway>, mut file: SettingsFile) {
+    let mut known = gateway.settings.seeds.clone();
+    let mut rounds = interval(RELOAD_INTERVAL);
+    loop {
+        tokio::select! {
+            _ = rounds.tick() => {}
+            Some(()) = file.changed.recv() => {
+                info!(gateway.logger, "reload_asked"; "event" => "reload_asked");
+            }
+        }
+        let text = match std::fs::read_to_string(&file.path) {
+            Ok(text) => text,
+            Err(error) => {
+                error!(gateway.logger, "settings_unreadable"; "event" => "settings_unreadable",
+                    "reason" => %error);
+                continue;
+            }
+        };
+        match settings::parse(&text) {
+            Ok(settings) if settings.seeds != known => {
+                gateway.hosts.set_seeds(settings.seed_hosts());
+                info!(gateway.logger, "reloaded"; "event" => "reloaded",
+                    "seeds" => format!("{:?}", settings.seeds));
+                known = settings.seeds;
+            }
+            Ok(_) => {}
+            Err(finding) => {
+                error!(gateway.logger, "settings_invalid"; "event" => "settings_invalid",
+                    "finding" => %finding);
+            }
+        }
+    }
+}
--- a/crates/kumquatdrum_gateway/src/gateway/start.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/start.rs
@@ -1,4 +1,4 @@
-//! How a gateway host starts and stops.
+//! Startup and shutdown of a gateway host.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -21,50 +21,50 @@
 use super::{Gateway, StartError};
 use crate::body::Body;
 use crate::broadcast::Broadcaster;
-use crate::callers::{self, Phase};
+use crate::distribution::Distributor;
 use crate::endpoints::Endpoints;
 use crate::fleet::{self, Fleet};
 use crate::hosts::Hosts;
 use crate::inbox::Inbox;
+use crate::listener::{self, Phase};
 use crate::message::Host;
-use crate::meters::Meters;
+use crate::metrics::Metrics;
 use crate::replica::{self, Event, Handle};
-use crate::spread::Spread;
-use crate::{Protocol, Settings, call, control, health, in_force, sockets};
+use crate::{Protocol, Settings, active_setup, call, control, health, sockets};
 
-/// How long a host that stops still accepts: the balancer needs two misses, a second apart.
-const LAST_CALLS: Duration = Duration::from_millis(2_600);
-/// What is left of the time for a stop when the last requests are cut.
-const LAST_MOMENT: Duration = Duration::from_millis(300);
-/// How long a leader gives its successor before it ends.
-const HANDOVER: Duration = Duration::from_millis(300);
+/// How long a stopping host accepts connections, until two health checks a second apart have failed.
+const DRAIN_DELAY: Duration = Duration::from_millis(2_600);
+/// The part of the shutdown time that remains after the last requests are cancelled.
+const CLEANUP_TIME: Duration = Duration::from_millis(300);
+/// How long a resigning leader waits for its successor.
+const HANDOVER_DELAY: Duration = Duration::from_millis(300);
 
-/// What runs on a host that has started.
+/// The tasks of a running host.
 pub(super) struct Running {
     pub(super) tasks: JoinSet<()>,
     callers: JoinSet<()>,
-    others: JoinSet<()>,
-    phase: watch::Sender<Phase>,
-    others_phase: watch::Sender<Phase>,
+    auxiliary: JoinSet<()>,
+    callers_phase: watch::Sender<Phase>,
+    auxiliary_phase: watch::Sender<Phase>,
     stopped: watch::Sender<bool>,
 }
 
 impl Running {
     fn new() -> (Self, watch::Receiver<Phase>, watch::Receiver<Phase>) {
-        let (phase, callers_open) = watch::channel(Phase::Open);
-        let (others_phase, others_open) = watch::channel(Phase::Open);
+        let (callers_phase, callers_phase_receiver) = watch::channel(Phase::Open);
+        let (auxiliary_phase, auxiliary_phase_receiver) = watch::channel(Phase::Open);
         let running = Self {
             tasks: JoinSet::new(),
             callers: JoinSet::new(),
-            others: JoinSet::new(),
-            phase,
-            others_phase,
+            auxiliary: JoinSet::new(),
+            callers_phase,
+            auxiliary_phase,
             stopped: watch::Sender::new(false),
         };
-        (running, callers_open, others_open)
+        (running, callers_phase_receiver, auxiliary_phase_receiver)
     }
 
-    /// Health turns red, requests run to their end, listeners close, tasks are joined.
+    /// Stops the host: fails health checks, completes requests, closes listeners and joins tasks.
     pub(super) async fn stop(mut self, gateway: &Arc<Gateway>, limit: Duration) {
         info!(gateway.logger, "stopping"; "event" => "stopping",
             "under_way" => gateway.drain.under_way());
@@ -72,14 +72,14 @@
         gateway.hosts.set_stopping();
         if let Some(replica) = &gateway.replica {
             replica.resign();
-            sleep(HANDOVER).await;
+            sleep(HANDOVER_DELAY).await;
         }
         if !self.callers.is_empty() {
-            sleep(LAST_CALLS).await;
-            self.phase.send_replace(Phase::Closing);
-            let left = limit.saturating_sub(LAST_CALLS + LAST_MOMENT);
+            sleep(DRAIN_DELAY).await;
+            self.callers_phase.send_replace(Phase::Closing);
+            let remaining = limit.saturating_sub(DRAIN_DELAY + CLEANUP_TIME);
             let joined = async { while self.callers.join_next().await.is_some() {} };
-            let is_joined = timeout(left, joined).await.is_ok();
+            let is_joined = timeout(remaining, joined).await.is_ok();
             if !is_joined {
                 info!(gateway.logger, "requests_cut"; "event" => "requests_cut",
                     "under_way" => gateway.drain.under_way());
@@ -87,22 +87,22 @@
         }
         let mut background = std::mem::take(&mut *gateway.background.lock());
         let released = async { while background.join_next().await.is_some() {} };
-        let _ = timeout(LAST_MOMENT, released).await;
+        let _ = timeout(CLEANUP_TIME, released).await;
         self.stopped.send_replace(true);
-        self.others_phase.send_replace(Phase::Closing);
+        self.auxiliary_phase.send_replace(Phase::Closing);
         self.callers.shutdown().await;
-        self.others.shutdown().await;
+        self.auxiliary.shutdown().await;
         self.tasks.shutdown().await;
         gateway.client.shutdown().await;
     }
 }
 
-/// Opens all listeners and starts all rounds.
+/// Opens all listeners and starts all tasks.
 pub(super) fn start(
     settings: Settings,
     protocol: Arc<dyn Protocol>,
     logger: slog::Logger,
-    recalled: Vec<Update>,
+    cached: Vec<Update>,
 ) -> Result<(Arc<Gateway>, Running), StartError> {
     let boot = BootId(unix_ms());
     let local = Local {
@@ -117,9 +117,9 @@
     };
     let replica = settings.replica.as_ref().map(|_| Handle::new());
     let handle = replica.as_ref().map(|(handle, _)| handle.clone());
-    let gateway = gateway(settings, protocol, logger, &local, handle)?;
-    gateway.take_endpoints(recalled, "disk");
-    let (mut running, callers_open, others_open) = Running::new();
+    let gateway = build_gateway(settings, protocol, logger, &local, handle)?;
+    gateway.merge_endpoints(cached, "disk");
+    let (mut running, callers_phase_receiver, auxiliary_phase_receiver) = Running::new();
     let address = SocketAddr::new(gateway.settings.address, gateway.settings.peer_port);
     let listener = listen("peers", address)?;
     let stop = running.stopped.subscribe();
@@ -129,25 +129,30 @@
     if let Some((handle, received)) = replica {
         start_replica(&gateway, &mut running, handle, received);
     }
-    running.tasks.spawn(gateway.clone().greet());
-    running.tasks.spawn(gateway.clone().take_records());
-    let spread = gateway.spread.clone();
-    running.tasks.spawn(async move { spread.run().await });
+    running.tasks.spawn(gateway.clone().send_hellos());
+    running.tasks.spawn(gateway.clone().activate_records());
+    let distributor = gateway.distributor.clone();
+    running.tasks.spawn(async move { distributor.run().await });
     if let Some(broadcaster) = gateway.broadcaster.clone() {
-        running.tasks.spawn(gateway.clone().retell());
+        running.tasks.spawn(gateway.clone().rebroadcast_jobs());
         let gateway = gateway.clone();
         let listening = async move {
             broadcaster
-                .listen(|events| gateway.fleet.take(events))
+                .listen(|events| gateway.fleet.apply_events(events))
                 .await;
         };
         running.tasks.spawn(listening);
     }
-    open(&gateway, &mut running, &callers_open, &others_open)?;
+    open_listeners(
+        &gateway,
+        &mut running,
+        &callers_phase_receiver,
+        &auxiliary_phase_receiver,
+    )?;
     Ok((gateway, running))
 }
 
-fn gateway(
+fn build_gateway(
     settings: Settings,
     protocol: Arc<dyn Protocol>,
     logger: slog::Logger,
@@ -170,41 +175,41 @@
     let hosts = Arc::new(hosts);
     hosts.set_seeds(settings.seed_hosts());
     let endpoints = Arc::new(Endpoints::new(clock, logger.clone()));
-    let meters = Arc::new(Meters::new()?);
+    let metrics = Arc::new(Metrics::new()?);
     let broadcaster = match settings.listen.callers {
         Some(_) => Some(open_broadcaster(
-            &settings, clock, &hosts, &meters, &logger,
+            &settings, clock, &hosts, &metrics, &logger,
         )?),
         None => None,
     };
-    let fleet = Fleet::new(fleet::Parts {
+    let fleet = Fleet::new(fleet::Context {
         clock,
         endpoints: endpoints.clone(),
         hosts: hosts.clone(),
         broadcaster: broadcaster.clone(),
         retries: settings.retries,
-        announcement: Duration::from_millis(settings.announcement_ms),
-        number: number(&settings),
+        announcement_interval: Duration::from_millis(settings.announcement_ms),
+        number: dispatcher_number(&settings),
         data_centre: settings.data_centre.clone(),
         logger: logger.clone(),
     });
-    let in_force = in_force::Store::new(protocol.clone(), logger.clone());
-    let in_force = Arc::new(in_force);
-    let spread = Spread::new(
+    let active_setup = active_setup::Store::new(protocol.clone(), logger.clone());
+    let active_setup = Arc::new(active_setup);
+    let distributor = Distributor::new(
         hosts.clone(),
         client.clone(),
-        in_force.clone(),
+        active_setup.clone(),
         logger.clone(),
     );
     Ok(Arc::new(Gateway {
-        in_force,
-        spread: Arc::new(spread),
+        active_setup,
+        distributor: Arc::new(distributor),
         protocol,
         clock,
         hosts,
         endpoints,
         fleet: Arc::new(fleet),
-        meters,
+        metrics,
         drain: Arc::default(),
         logger,
         client,
@@ -213,7 +218,7 @@
         replica,
         started: clock.now(),
         settings,
-        heard_majority: Mutex::new(false),
+        has_heard_majority: Mutex::new(false),
         background: Mutex::default(),
     }))
 }
@@ -224,60 +229,60 @@
     handle: Handle,
     received: mpsc::UnboundedReceiver<Event>,
 ) {
-    let taker = gateway.clone();
-    let parts = replica::Parts {
+    let target = gateway.clone();
+    let context = replica::Context {
         settings: gateway.settings.clone(),
         client: gateway.client.clone(),
         hosts: gateway.hosts.clone(),
-        take: Box::new(move |record, leads| taker.take_record(record, "log", leads)),
+        on_commit: Box::new(move |record, is_leader| target.offer_record(record, "log", is_leader)),
         clock: gateway.clock,
-        meters: gateway.meters.clone(),
+        metrics: gateway.metrics.clone(),
         logger: gateway.logger.clone(),
     };
     let stop = running.stopped.subscribe();
     running
         .tasks
-        .spawn(replica::run(parts, handle, received, stop));
-    running.tasks.spawn(gateway.clone().pass_on());
+        .spawn(replica::run(context, handle, received, stop));
+    running.tasks.spawn(gateway.clone().publish_endpoints());
 }
 
-fn open(
+fn open_listeners(
     gateway: &Arc<Gateway>,
     running: &mut Running,
-    callers_open: &watch::Receiver<Phase>,
-    others_open: &watch::Receiver<Phase>,
+    callers_phase_receiver: &watch::Receiver<Phase>,
+    auxiliary_phase_receiver: &watch::Receiver<Phase>,
 ) -> Result<(), StartError> {
     let listeners = gateway.settings.listen.clone();
     if let Some(address) = listeners.callers {
         let listener = listen("callers", address)?;
-        let phase = callers_open.clone();
-        let serving = callers::serve(gateway.clone(), listener, phase, call::handle);
+        let phase = callers_phase_receiver.clone();
+        let serving = listener::serve(gateway.clone(), listener, phase, call::handle);
         running.callers.spawn(serving);
     }
     let mut open = |name, address: Option<SocketAddr>, handler| match address {
-        Some(address) => open_other(
+        Some(address) => open_auxiliary(
             gateway,
-            &mut running.others,
-            others_open,
+            &mut running.auxiliary,
+            auxiliary_phase_receiver,
             (name, address),
             handler,
         ),
         None => Ok(()),
     };
-    open("control", listeners.control, Other::Control)?;
-    open("health", listeners.health, Other::Health)?;
-    open("metrics", listeners.metrics, Other::Metrics)
+    open("control", listeners.control, Auxiliary::Control)?;
+    open("health", listeners.health, Auxiliary::Health)?;
+    open("metrics", listeners.metrics, Auxiliary::Metrics)
 }
 
-/// Listeners that callers don't come to.
+/// A listener that does not serve callers.
 #[derive(Debug, Clone, Copy)]
-enum Other {
+enum Auxiliary {
     Control,
     Health,
     Metrics,
 }
 
-impl Other {
+impl Auxiliary {
     async fn handle(
         self,
         gateway: Arc<Gateway>,
@@ -291,16 +296,16 @@
     }
 }
 
-fn open_other(
+fn open_auxiliary(
     gateway: &Arc<Gateway>,
-    others: &mut JoinSet<()>,
+    auxiliary: &mut JoinSet<()>,
     phase: &watch::Receiver<Phase>,
     (name, address): (&'static str, SocketAddr),
-    other: Other,
+    kind: Auxiliary,
 ) -> Result<(), StartError> {
     let listener = listen(name, address)?;
-    let handler = move |gateway, request| other.handle(gateway, request);
-    others.spawn(callers::serve(
+    let handler = move |gateway, request| kind.handle(gateway, request);
+    auxiliary.spawn(listener::serve(
         gateway.clone(),
         listener,
         phase.clone(),
@@ -313,7 +318,7 @@
     settings: &Settings,
     clock: Clock,
     hosts: &Arc<Hosts>,
-    meters: &Arc<Meters>,
+    metrics: &Arc<Metrics>,
     logger: &slog::Logger,
 ) -> Result<Arc<Broadcaster>, StartError> {
     let address = SocketAddr::new(settings.address, settings.peer_port + 1);
@@ -321,7 +326,7 @@
         clock,
         address,
         hosts.clone(),
-        meters.clone(),
+        metrics.clone(),
         logger.clone(),
     );
     opened.map(Arc::new).map_err(|reason| StartError::Listen {
@@ -339,8 +344,8 @@
     })
 }
 
-/// A number for this host that no other host has: its IPv4 address.
-fn number(settings: &Settings) -> u32 {
+/// Returns a number unique to this host, its IPv4 address.
+fn dispatcher_number(settings: &Settings) -> u32 {
     match settings.address {
         std::net::IpAddr::V4(address) => u32::from(address),
         std::net::IpAddr::V6(address) => (u128::from(address) & u128::from(u32::MAX)) as u32,
--- a/crates/kumquatdrum_gateway/src/hosts.rs
+++ b/crates/kumquatdrum_gateway/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The other hosts: who they are, and when they were last heard.
+//! Membership: the known hosts and when they were last heard.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -6,28 +6,27 @@
 
 use indexmap::IndexMap;
 use kumquatdrum_consensus::Member as ReplicaMember;
-use kumquatdrum_fanout::{Recipients, Peer};
+use kumquatdrum_fanout::{Peer, Recipients};
 use kumquatdrum_peer::Client;
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_types::{HostId, Moment};
 use parking_lot::Mutex;
 use slog::info;
 
-use crate::message::{Edition, Host, Listing, Sighting, Wanted};
+use crate::message::{Host, Listing, Member, Selection, Version};
 
-pub mod vouchers;
+pub mod reports;
 
-use vouchers::Vouchers;
+use reports::Reports;
 
-/// A host that was not heard for so long counts as lost: four rounds of greetings.
-pub const LOST: Duration = Duration::from_secs(2);
-/// A host that was not heard for so long is not greeted any more, nor counted.
-const FORGOTTEN: Duration = Duration::from_secs(20);
-/// Control hosts of other data centres are greeted once in so many rounds: two greetings in the time
-/// after which silence counts as a loss.
-const FAR_ROUNDS: usize = 2;
+/// The silence after which a host counts as lost.
+pub const LOST_AFTER: Duration = Duration::from_secs(2);
+/// The silence after which a host is removed.
+const EXPIRE_AFTER: Duration = Duration::from_secs(20);
+/// The number of rounds between hellos to a control host of another data centre.
+const REMOTE_HELLO_ROUNDS: usize = 2;
 
-/// The other hosts, and this one.
+/// Tracks the other hosts and describes this one.
 pub struct Hosts {
     clock: Clock,
     client: Arc<Client>,
@@ -39,37 +38,37 @@
 struct State {
     local: Host,
     seeds: Vec<HostId>,
-    others: IndexMap<HostId, Seen>,
-    vouchers: Vouchers,
-    /// Counts the changes that listings tell of.
+    others: IndexMap<HostId, Entry>,
+    reports: Reports,
+    /// The number of changes that listings report.
     changes: u64,
 }
 
 impl State {
-    /// How long ago a host was heard, by this host or one that vouches for it.
-    fn age(&self, now: Moment, seen: &Seen) -> Duration {
-        let heard = now - seen.heard;
-        let vouched = self.vouchers.age(now, &seen.host.id);
-        vouched.map_or(heard, |vouched| vouched.min(heard))
+    /// Returns the time since a host was last heard, directly or through a control host's report.
+    fn age(&self, now: Moment, entry: &Entry) -> Duration {
+        let heard = now - entry.heard;
+        let reported = self.reports.age(now, &entry.host.id);
+        reported.map_or(heard, |reported| reported.min(heard))
     }
 
-    /// Other hosts, each with how long ago it was heard.
-    fn aged(&self, now: Moment) -> impl Iterator<Item = (&Seen, Duration)> {
+    /// Returns the other hosts, each with the time since it was last heard.
+    fn aged(&self, now: Moment) -> impl Iterator<Item = (&Entry, Duration)> {
         let others = self.others.values();
-        others.map(move |seen| (seen, self.age(now, seen)))
+        others.map(move |entry| (entry, self.age(now, entry)))
     }
 }
 
-struct Seen {
+struct Entry {
     host: Host,
     heard: Moment,
     is_lost: bool,
-    /// The change that it was last part of.
+    /// The number of the host's last change.
     changed: u64,
 }
 
 impl Hosts {
-    /// Knows this host and the seeds.
+    /// Creates a membership that contains only this host.
     pub fn new(
         clock: Clock,
         client: Arc<Client>,
@@ -81,7 +80,7 @@
             local,
             seeds: Vec::new(),
             others: IndexMap::new(),
-            vouchers: Vouchers::default(),
+            reports: Reports::default(),
             changes: 0,
         };
         Self {
@@ -93,113 +92,113 @@
         }
     }
 
-    /// The seeds, as the settings name them now.
+    /// Replaces the seeds.
     pub fn set_seeds(&self, seeds: Vec<HostId>) {
         for seed in &seeds {
-            self.reach(seed);
+            self.register_address(seed);
         }
         self.state.lock().seeds = seeds;
     }
 
-    /// This host, as it tells of itself.
+    /// Returns the description of this host.
     pub fn local(&self) -> Host {
         self.state.lock().local.clone()
     }
 
-    /// This host's replica has a new identity.
+    /// Sets the replica that this host reports.
     pub fn set_replica(&self, replica: Option<ReplicaMember>) {
         self.state.lock().local.replica = replica;
     }
 
-    /// This host is about to stop.
+    /// Marks this host as stopping.
     pub fn set_stopping(&self) {
         self.state.lock().local.stopping = true;
     }
 
-    /// A host has spoken to this one.
-    pub fn heard(&self, host: Host) {
-        self.sighted(host, Duration::ZERO);
+    /// Records a message from a host.
+    pub fn record_contact(&self, host: Host) {
+        self.observe(host, Duration::ZERO);
     }
 
-    /// A control host tells of others.
-    pub fn merge(&self, from: &HostId, listing: Listing) {
+    /// Merges a control host's listing.
+    pub fn merge_listing(&self, from: &HostId, listing: Listing) {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        // Control hosts that took each other's word would keep a lost host alive among them.
+        // Control hosts ignore each other's reports, which would otherwise keep a lost host alive.
         if !state.local.control {
-            state.vouchers.take(now, from, &listing, LOST);
+            state.reports.apply(now, from, &listing, LOST_AFTER);
         }
         drop(state);
-        for sighting in listing.hosts {
-            self.sighted(sighting.host, Duration::from_millis(sighting.age_ms));
+        for member in listing.hosts {
+            self.observe(member.host, Duration::from_millis(member.age_ms));
         }
     }
 
-    /// What to ask a control host for: what has changed since it last told of hosts.
-    pub fn wanted(&self, from: &HostId) -> Wanted {
+    /// Returns the selection to request from a control host: the changes since its last listing.
+    pub fn listing_selection(&self, from: &HostId) -> Selection {
         let state = self.state.lock();
-        // None is known on a control host: it needs the ages of all.
-        let edition = state.vouchers.edition(from);
-        edition.map_or(Wanted::All, Wanted::Since)
+        // Control hosts store no reports, so they always request all hosts.
+        let version = state.reports.version(from);
+        version.map_or(Selection::All, Selection::Since)
     }
 
-    /// What a greeting host wants to know.
-    pub fn listing(&self, wanted: Wanted) -> Option<Listing> {
+    /// Returns a listing of the selected hosts.
+    pub fn listing(&self, selection: Selection) -> Option<Listing> {
         let now = self.clock.now();
         let state = self.state.lock();
-        let edition = Edition {
+        let version = Version {
             boot: state.local.boot,
             changes: state.changes,
         };
-        let since = match wanted {
-            Wanted::Nothing => return None,
-            Wanted::Since(known) if known.boot == edition.boot => Some(known.changes),
-            Wanted::Since(_) | Wanted::All => None,
+        let since = match selection {
+            Selection::Nothing => return None,
+            Selection::Since(known) if known.boot == version.boot => Some(known.changes),
+            Selection::Since(_) | Selection::All => None,
         };
-        let local = Sighting {
+        let local = Member {
             host: state.local.clone(),
             age_ms: 0,
         };
-        let is_told = |seen: &Seen| since.is_none_or(|since| seen.changed > since);
-        let others = state.aged(now).filter(|(seen, _)| is_told(seen));
-        let others = others.map(|(seen, age)| Sighting {
-            host: seen.host.clone(),
+        let is_selected = |entry: &Entry| since.is_none_or(|since| entry.changed > since);
+        let others = state.aged(now).filter(|(entry, _)| is_selected(entry));
+        let others = others.map(|(entry, age)| Member {
+            host: entry.host.clone(),
             age_ms: age.as_millis() as u64,
         });
         Some(Listing {
-            edition,
+            version,
             is_whole: since.is_none(),
             hosts: std::iter::once(local).chain(others).collect(),
         })
     }
 
-    fn sighted(&self, host: Host, age: Duration) {
+    fn observe(&self, host: Host, age: Duration) {
         let now = self.clock.now();
         let heard = Moment {
             micros: now.micros.saturating_sub(age.as_micros() as u64),
         };
         let mut state = self.state.lock();
-        if host.id == state.local.id || age > FORGOTTEN {
+        if host.id == state.local.id || age > EXPIRE_AFTER {
             return;
         }
         let id = host.id.clone();
         let change = state.changes + 1;
         let mut has_changed = true;
         match state.others.get_mut(&id) {
-            Some(seen) if host.boot < seen.host.boot => has_changed = false,
-            Some(seen) => {
-                has_changed = heard > seen.heard && seen.host != host;
-                if heard > seen.heard {
-                    seen.host = host;
-                    seen.heard = heard;
+            Some(entry) if host.boot < entry.host.boot => has_changed = false,
+            Some(entry) => {
+                has_changed = heard > entry.heard && entry.host != host;
+                if heard > entry.heard {
+                    entry.host = host;
+                    entry.heard = heard;
                 }
-                if seen.is_lost && now - seen.heard <= LOST {
-                    seen.is_lost = false;
+                if entry.is_lost && now - entry.heard <= LOST_AFTER {
+                    entry.is_lost = false;
                     has_changed = true;
                     info!(self.logger, "host_back"; "event" => "host_back", "peer" => id.as_str());
                 }
                 if has_changed {
-                    seen.changed = change;
+                    entry.changed = change;
                 }
             }
             None => {
@@ -207,167 +206,167 @@
                     "data_centre" => host.data_centre.as_str(), "callers" => host.callers,
                     "control" => host.control, "boot" => host.boot);
                 let is_lost = false;
-                let seen = Seen {
+                let entry = Entry {
                     host,
                     heard,
                     is_lost,
                     changed: change,
                 };
-                state.others.insert(id.clone(), seen);
-                self.reach(&id);
+                state.others.insert(id.clone(), entry);
+                self.register_address(&id);
             }
         }
         state.changes += u64::from(has_changed);
     }
 
-    /// Notes who has fallen silent, and forgets who has been for long.
-    pub fn sweep(&self) {
+    /// Marks silent hosts as lost, and removes those that have been silent for too long.
+    pub fn expire_silent(&self) {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let State {
             seeds,
             others,
-            vouchers,
+            reports,
             changes,
             ..
         } = &mut *state;
-        others.retain(|id, seen| {
-            let heard = now - seen.heard;
-            let vouched = vouchers.age(now, id);
-            let age = vouched.map_or(heard, |vouched| vouched.min(heard));
-            if !seen.is_lost && age > LOST {
-                seen.is_lost = true;
+        others.retain(|id, entry| {
+            let heard = now - entry.heard;
+            let reported = reports.age(now, id);
+            let age = reported.map_or(heard, |reported| reported.min(heard));
+            if !entry.is_lost && age > LOST_AFTER {
+                entry.is_lost = true;
                 *changes += 1;
-                seen.changed = *changes;
+                entry.changed = *changes;
                 info!(self.logger, "host_lost"; "event" => "host_lost", "peer" => id.as_str(),
                     "silent_ms" => age.as_millis() as u64);
             }
-            let is_kept = age <= FORGOTTEN;
+            let is_kept = age <= EXPIRE_AFTER;
             if !is_kept && !seeds.contains(id) {
                 self.client.remove(id);
             }
             is_kept
         });
-        vouchers.retain(|id| others.contains_key(id));
+        reports.retain(|id| others.contains_key(id));
     }
 
-    /// Whom to greet in a round: control hosts of the own data centre, every other time those
-    /// elsewhere, and seeds that are not known. A control host greets all others, and so does whoever
-    /// has to know what is in force `at_once`.
-    pub fn greeted(&self, round: usize, at_once: bool) -> Vec<HostId> {
+    /// Returns the hosts to send a hello to in a round: control hosts of the local data centre, those of
+    /// other data centres every other round, and unknown seeds. Control hosts include all control hosts
+    /// in every round, and so do other hosts if `at_once` is set.
+    pub fn hello_targets(&self, round: usize, at_once: bool) -> Vec<HostId> {
         let state = self.state.lock();
-        let greets_all = at_once || state.local.control;
-        let known = state.others.values().filter(|seen| seen.host.control);
-        let due = known.enumerate().filter(|(number, seen)| {
-            let is_near = seen.host.data_centre == state.local.data_centre;
-            greets_all || is_near || (number + round).is_multiple_of(FAR_ROUNDS)
+        let includes_all = at_once || state.local.control;
+        let known = state.others.values().filter(|entry| entry.host.control);
+        let due = known.enumerate().filter(|(number, entry)| {
+            let is_local = entry.host.data_centre == state.local.data_centre;
+            includes_all || is_local || (number + round).is_multiple_of(REMOTE_HELLO_ROUNDS)
         });
-        let mut greeted: Vec<HostId> = due.map(|(_, seen)| seen.host.id.clone()).collect();
+        let mut targets: Vec<HostId> = due.map(|(_, entry)| entry.host.id.clone()).collect();
         for seed in &state.seeds {
             let is_known = state.others.contains_key(seed) || *seed == state.local.id;
             if !is_known {
-                greeted.push(seed.clone());
+                targets.push(seed.clone());
             }
         }
-        greeted
+        targets
     }
 
-    /// The control host among those that are greeted which tells this one of hosts; none where all
-    /// should. Each is asked in turn, so that one which is cut off does not hide hosts for long.
-    pub fn lister(&self, round: usize, greeted: &[HostId]) -> Option<HostId> {
+    /// Returns the control host to request a listing from, in rotation, so that a partitioned one does
+    /// not hide hosts for long. Returns `None` if all targets should send one.
+    pub fn listing_source(&self, round: usize, targets: &[HostId]) -> Option<HostId> {
         if self.state.lock().local.control {
             return None;
         }
-        let mut control = self.control();
-        control.retain(|host| greeted.contains(host));
-        let turn = (round / FAR_ROUNDS).checked_rem(control.len())?;
+        let mut control = self.control_hosts();
+        control.retain(|host| targets.contains(host));
+        let turn = (round / REMOTE_HELLO_ROUNDS).checked_rem(control.len())?;
         control.into_iter().nth(turn)
     }
 
-    /// Control hosts that were heard lately, the nearest first; this one is not among them.
-    pub fn control(&self) -> Vec<HostId> {
+    /// Returns the other live control hosts, those of the local data centre first.
+    pub fn control_hosts(&self) -> Vec<HostId> {
         let now = self.clock.now();
         let state = self.state.lock();
         let mut hosts: Vec<(bool, HostId)> = state
             .aged(now)
-            .filter(|(seen, age)| seen.host.control && *age <= LOST)
-            .map(|(seen, _)| {
-                let is_far = seen.host.data_centre != state.local.data_centre;
-                (is_far, seen.host.id.clone())
+            .filter(|(entry, age)| entry.host.control && *age <= LOST_AFTER)
+            .map(|(entry, _)| {
+                let is_remote = entry.host.data_centre != state.local.data_centre;
+                (is_remote, entry.host.id.clone())
             })
             .collect();
         hosts.sort();
         hosts.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// All hosts that were heard lately, without this one.
-    pub fn live(&self) -> Vec<Host> {
+    /// Returns the other live hosts.
+    pub fn live_hosts(&self) -> Vec<Host> {
         let now = self.clock.now();
         let state = self.state.lock();
-        let live = state.aged(now).filter(|(_, age)| *age <= LOST);
-        live.map(|(seen, _)| seen.host.clone()).collect()
+        let live = state.aged(now).filter(|(_, age)| *age <= LOST_AFTER);
+        live.map(|(entry, _)| entry.host.clone()).collect()
     }
 
-    /// Hosts that take callers, this one included. Those that are silent but not forgotten
-    /// count, as they may still serve.
-    pub fn caller_hosts(&self) -> usize {
+    /// Returns the number of hosts that accept callers, including this one. Lost hosts count until they
+    /// are removed, since they may still serve.
+    pub fn count_caller_hosts(&self) -> usize {
         let state = self.state.lock();
-        let others = state.others.values().filter(|seen| seen.host.callers);
+        let others = state.others.values().filter(|entry| entry.host.callers);
         others.count() + usize::from(state.local.callers)
     }
 
-    /// Whom this host tells of its dispatches: hosts that take callers.
-    pub fn audience(&self) -> Recipients {
+    /// Returns the recipients of dispatch events: hosts that accept callers.
+    pub fn event_recipients(&self) -> Recipients {
         let now = self.clock.now();
         let state = self.state.lock();
         let others = state.aged(now);
-        let others = others.filter(|(seen, age)| seen.host.callers && *age <= FORGOTTEN);
-        let places = others.map(|(seen, age)| place(&seen.host, age <= LOST));
-        let places: Vec<Peer> = places.collect();
-        Recipients::select(&place(&state.local, true), &places)
+        let others = others.filter(|(entry, age)| entry.host.callers && *age <= EXPIRE_AFTER);
+        let peers = others.map(|(entry, age)| to_peer(&entry.host, age <= LOST_AFTER));
+        let peers: Vec<Peer> = peers.collect();
+        Recipients::select(&to_peer(&state.local, true), &peers)
     }
 
-    /// Whom this host tells of endpoints: all hosts that were heard lately.
-    pub fn live_audience(&self) -> Recipients {
-        let live = self.live();
-        let places: Vec<Peer> = live.iter().map(|host| place(host, true)).collect();
-        Recipients::select(&place(&self.local(), true), &places)
+    /// Returns the recipients of endpoint updates: all live hosts.
+    pub fn live_recipients(&self) -> Recipients {
+        let live = self.live_hosts();
+        let peers: Vec<Peer> = live.iter().map(|host| to_peer(host, true)).collect();
+        Recipients::select(&to_peer(&self.local(), true), &peers)
     }
 
-    /// Where the hosts that take callers in this host's data centre receive datagrams.
-    pub fn near_callers(&self) -> Vec<SocketAddr> {
+    /// Returns the datagram addresses of the hosts that accept callers in the local data centre.
+    pub fn local_caller_addresses(&self) -> Vec<SocketAddr> {
         let now = self.clock.now();
         let state = self.state.lock();
-        let near = state.aged(now).filter(|(seen, age)| {
-            seen.host.callers
-                && seen.host.data_centre == state.local.data_centre
-                && *age <= FORGOTTEN
+        let local = state.aged(now).filter(|(entry, age)| {
+            entry.host.callers
+                && entry.host.data_centre == state.local.data_centre
+                && *age <= EXPIRE_AFTER
         });
-        let ids = near.map(|(seen, _)| &seen.host.id);
-        ids.filter_map(|id| self.datagrams_at(id)).collect()
+        let ids = local.map(|(entry, _)| &entry.host.id);
+        ids.filter_map(|id| self.datagram_address(id)).collect()
     }
 
-    /// Where a host receives datagrams.
-    pub fn datagrams_at(&self, id: &HostId) -> Option<SocketAddr> {
+    /// Returns the address at which a host receives datagrams.
+    pub fn datagram_address(&self, id: &HostId) -> Option<SocketAddr> {
         address(id).map(|ip| SocketAddr::new(ip, self.peer_port + 1))
     }
 
-    /// Whether a majority of the control hosts was heard lately.
-    pub fn hears_majority(&self) -> bool {
+    /// Returns whether a majority of the control hosts is live, counting this one.
+    pub fn has_control_majority(&self) -> bool {
         let now = self.clock.now();
         let state = self.state.lock();
-        let control = state.others.values().filter(|seen| seen.host.control);
+        let control = state.others.values().filter(|entry| entry.host.control);
         let (mut known, mut heard) = (0, 0);
-        for seen in control {
+        for entry in control {
             known += 1;
-            heard += usize::from(now - seen.heard <= LOST);
+            heard += usize::from(now - entry.heard <= LOST_AFTER);
         }
         let own = usize::from(state.local.control);
         let known = (known + own).max(state.seeds.len());
         (heard + own) * 2 > known
     }
 
-    fn reach(&self, id: &HostId) {
+    fn register_address(&self, id: &HostId) {
         if let Some(ip) = address(id) {
             let address = SocketAddr::new(ip, self.peer_port);
             self.client.set_address(id, address);
@@ -375,7 +374,7 @@
     }
 }
 
-fn place(host: &Host, is_heard: bool) -> Peer {
+fn to_peer(host: &Host, is_heard: bool) -> Peer {
     Peer {
         id: host.id.clone(),
         data_centre: host.data_centre.clone(),
@@ -383,7 +382,7 @@
     }
 }
 
-/// The address that a host's name is.
+/// Parses a host id as an address.
 fn address(id: &HostId) -> Option<IpAddr> {
     id.as_str().parse().ok()
 }
--- a/crates/kumquatdrum_gateway/src/inbox.rs
+++ b/crates/kumquatdrum_gateway/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What other hosts say to this one.
+//! Handling of messages from other hosts.
 
 use std::sync::{Arc, Weak};
 
@@ -8,16 +8,16 @@
 use slog::warn;
 
 use crate::Gateway;
-use crate::message::{Answer, Notice, Question};
-use crate::replica::Ask;
+use crate::message::{Notice, Request, Response};
+use crate::replica::Command;
 
-/// Takes what other hosts say.
+/// Handles messages from other hosts.
 pub struct Inbox {
     gateway: Weak<Gateway>,
 }
 
 impl Inbox {
-    /// An inbox of a gateway.
+    /// Creates an inbox for a gateway.
     pub fn new(gateway: &Arc<Gateway>) -> Self {
         Self {
             gateway: Arc::downgrade(gateway),
@@ -32,20 +32,20 @@
         };
         if channel == Channel::Consensus {
             match postcard::from_bytes::<Message>(&body) {
-                Ok(message) => gateway.replica_message(message),
-                Err(error) => unreadable(&gateway, from, &error),
+                Ok(message) => gateway.deliver_to_replica(message),
+                Err(error) => log_unreadable(&gateway, from, &error),
             }
             return;
         }
         match postcard::from_bytes::<Notice>(&body) {
             Ok(Notice::Endpoints(updates)) => {
-                gateway.take_endpoints(updates, from.host.as_str());
+                gateway.merge_endpoints(updates, from.host.as_str());
             }
             Ok(Notice::RelayEndpoints { updates, hosts }) => {
-                gateway.relay_endpoints(&updates, &hosts);
-                gateway.take_endpoints(updates, from.host.as_str());
+                gateway.send_endpoints(&updates, &hosts);
+                gateway.merge_endpoints(updates, from.host.as_str());
             }
-            Err(error) => unreadable(&gateway, from, &error),
+            Err(error) => log_unreadable(&gateway, from, &error),
         }
     }
 
@@ -56,12 +56,12 @@
                 .gateway
                 .upgrade()
                 .ok_or_else(|| Error::Handler("this host is stopping".to_owned()))?;
-            let question = postcard::from_bytes::<Question>(&body).map_err(|error| {
-                unreadable(&gateway, &from, &error);
+            let request = postcard::from_bytes::<Request>(&body).map_err(|error| {
+                log_unreadable(&gateway, &from, &error);
                 Error::Handler(error.to_string())
             })?;
-            let answer = reply(&gateway, &from, question).await;
-            let bytes = postcard::to_stdvec(&answer);
+            let response = handle_request(&gateway, &from, request).await;
+            let bytes = postcard::to_stdvec(&response);
             bytes
                 .map(Bytes::from)
                 .map_err(|error| Error::Handler(error.to_string()))
@@ -69,37 +69,39 @@
     }
 }
 
-async fn reply(gateway: &Arc<Gateway>, from: &Identity, question: Question) -> Answer {
-    match question {
-        Question::Hello {
+async fn handle_request(gateway: &Arc<Gateway>, from: &Identity, request: Request) -> Response {
+    match request {
+        Request::Hello {
             host,
             revision,
             is_new,
             hosts,
-        } => gateway.welcome(host, revision, is_new, hosts),
-        Question::Fetch { above } if gateway.spread.add(&from.host, above) => Answer::Taken,
-        Question::Fetch { .. } => Answer::Unavailable,
-        Question::Record(record) => {
-            gateway.take_record(&record, from.host.as_str(), false);
-            Answer::Taken
+        } => gateway.answer_hello(host, revision, is_new, hosts),
+        Request::Fetch { above } if gateway.distributor.enqueue(&from.host, above) => {
+            Response::Taken
         }
-        Question::Endpoints(updates) => {
-            gateway.take_endpoints(updates, from.host.as_str());
-            Answer::Taken
+        Request::Fetch { .. } => Response::Unavailable,
+        Request::Record(record) => {
+            gateway.offer_record(&record, from.host.as_str(), false);
+            Response::Taken
         }
-        Question::RelayEndpoints { updates, hosts } => {
-            gateway.take_endpoints(updates.clone(), from.host.as_str());
-            match gateway.confirm_near(&updates, hosts).await {
-                unconfirmed if unconfirmed.is_empty() => Answer::Taken,
-                unconfirmed => Answer::Unconfirmed(unconfirmed),
+        Request::Endpoints(updates) => {
+            gateway.merge_endpoints(updates, from.host.as_str());
+            Response::Taken
+        }
+        Request::RelayEndpoints { updates, hosts } => {
+            gateway.merge_endpoints(updates.clone(), from.host.as_str());
+            match gateway.confirm_local(&updates, hosts).await {
+                unconfirmed if unconfirmed.is_empty() => Response::Taken,
+                unconfirmed => Response::Unconfirmed(unconfirmed),
             }
         }
-        Question::Apply(record) => gateway.ask_replica(Ask::Apply(record)).await,
-        Question::Read => gateway.ask_replica(Ask::Read).await,
+        Request::Apply(record) => gateway.send_command(Command::Apply(record)).await,
+        Request::Read => gateway.send_command(Command::Read).await,
     }
 }
 
-fn unreadable(gateway: &Gateway, from: &Identity, error: &postcard::Error) {
+fn log_unreadable(gateway: &Gateway, from: &Identity, error: &postcard::Error) {
     warn!(gateway.logger, "message_unreadable"; "event" => "message_unreadable",
         "from" => from.host.as_str(), "reason" => %error);
 }
