--- a/crates/kumquatdrum_fanout/src/recipients.rs
+++ b/crates/kumquatdrum_fanout/src/recipients.rs
@@ -3,7 +3,8 @@
 use indexmap::IndexMap;
 use kumquatdrum_types::{DataCentre, HostId, hash};
 
-/// The number of relays in a data centre. More relays spread the load, fewer fill their batches better.
+/// The number of relays in a data centre. More relays spread the load, fewer fill their batches
+/// better.
 const RELAYS_PER_DATA_CENTRE: usize = 8;
 
 /// Another host as a potential recipient.
@@ -78,9 +79,9 @@
     }
 }
 
-/// Selects the relays for a host's events in a data centre; `None` if it has too few hosts. Rendezvous
-/// hashing makes hosts with the same view agree on the relays, and the loss of a relay reassigns only
-/// its senders.
+/// Selects the relays for a host's events in a data centre; `None` if it has too few hosts.
+/// Rendezvous hashing makes hosts with the same view agree on the relays, and the loss of a relay
+/// reassigns only its senders.
 fn select_relay(from: &HostId, data_centre: &DataCentre, peers: &[&Peer]) -> Option<Relay> {
     if peers.len() <= RELAYS_PER_DATA_CENTRE {
         return None;
--- a/crates/kumquatdrum_gateway/src/broadcast.rs
+++ b/crates/kumquatdrum_gateway/src/broadcast.rs
@@ -25,7 +25,8 @@
 /// The minimum interval between log lines about unreadable datagrams.
 const UNREADABLE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Broadcasts dispatch events to other hosts. A lost event is corrected when the job ends or expires.
+/// Broadcasts dispatch events to other hosts. A lost event is corrected when the job ends or
+/// expires.
 pub struct Broadcaster {
     clock: Clock,
     socket: UdpSocket,
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Receives events indefinitely: passes them to `handle`, and relays those for the whole data centre.
+    /// Receives events indefinitely: passes them to `handle`, and relays those for the whole data
+    /// centre.
     pub async fn listen(&self, handle: impl Fn(Vec<Event>)) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut batch = Batch::new(MAX_BATCH_BYTES);
--- a/crates/kumquatdrum_gateway/src/call/run.rs
+++ b/crates/kumquatdrum_gateway/src/call/run.rs
@@ -78,8 +78,9 @@
         match call.resolve(&mut attempts, outcome) {
             Some(response) => return response,
             None => {
-                info!(call.gateway.logger, "retry"; "event" => "retry", "request" => &call.attempt_id,
-                    "sent" => attempts.sent, "unsent" => attempts.unsent);
+                info!(call.gateway.logger, "retry"; "event" => "retry",
+                    "request" => &call.attempt_id, "sent" => attempts.sent,
+                    "unsent" => attempts.unsent);
             }
         }
     }
@@ -252,8 +253,9 @@
         let ms = |span: Duration| span.as_millis() as u64;
         self.gateway.metrics.ended.with_label_values(&[end]).inc();
         info!(self.gateway.logger, "request_ended"; "event" => "request_ended",
-            "request" => &self.attempt_id, "end" => end, "reason" => reason, "sent" => attempts.sent,
-            "unsent" => attempts.unsent, "prompt" => self.metadata.prompt_tokens,
+            "request" => &self.attempt_id, "end" => end, "reason" => reason,
+            "sent" => attempts.sent, "unsent" => attempts.unsent,
+            "prompt" => self.metadata.prompt_tokens,
             "due_ms" => ms(self.route.target_latency), "ms" => ms(self.elapsed()),
             "first_ms" => timing.map(|timing| ms(timing.first_event)),
             "pause_ms" => timing.map(|_| ms(self.max_pause())),
--- a/crates/kumquatdrum_gateway/src/call/stream.rs
+++ b/crates/kumquatdrum_gateway/src/call/stream.rs
@@ -24,8 +24,9 @@
 use crate::reservation::Reservation;
 use crate::upstream::Exchange;
 
-/// The silence after which a stream is resumed elsewhere, in multiples of the caller's maximum pause.
-/// Shorter silences are more likely caused by an engine that is busy with prefill than by a failure.
+/// The silence after which a stream is resumed elsewhere, in multiples of the caller's maximum
+/// pause. Shorter silences are more likely caused by an engine that is busy with prefill than by a
+/// failure.
 const MAX_SILENT_PAUSES: u32 = 8;
 /// The maximum number of endpoints that are tried to resume a stream.
 const MAX_RESUME_ATTEMPTS: usize = 6;
--- a/crates/kumquatdrum_gateway/src/distribution.rs
+++ b/crates/kumquatdrum_gateway/src/distribution.rs
@@ -1,5 +1,5 @@
-//! Distribution of records: control hosts send them to their share of the hosts, and a host that was
-//! missed fetches the record when it learns of a higher revision.
+//! Distribution of records: control hosts send them to their share of the hosts, and a host that
+//! was missed fetches the record when it learns of a higher revision.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -20,7 +20,8 @@
 use crate::hosts::Hosts;
 use crate::message::{Host, Request};
 
-/// The timeout for sending a record. It allows the largest record to be sent over a slow, busy link.
+/// The timeout for sending a record. It allows the largest record to be sent over a slow, busy
+/// link.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// The time after which an unacknowledged transfer stops blocking those to other hosts.
 const BLOCKING_TIMEOUT: Duration = Duration::from_millis(400);
@@ -42,7 +43,8 @@
 struct State {
     /// The highest revision reported by any host.
     highest_reported: u64,
-    /// The start of the current fetch. There is at most one, since all would return the same record.
+    /// The start of the current fetch. There is at most one, since all would return the same
+    /// record.
     fetch_started: Option<Instant>,
     queue: distribution::Queue,
     /// The revision and the encoded request of the newest record.
@@ -67,8 +69,8 @@
         }
     }
 
-    /// Sends a newly activated record to this host's share of the hosts. The leader first sends it to
-    /// all control hosts, since not all of them have a voting replica.
+    /// Sends a newly activated record to this host's share of the hosts. The leader first sends it
+    /// to all control hosts, since not all of them have a voting replica.
     pub fn distribute(&self, record: &Record, is_leader: bool) {
         self.state.lock().fetch_started = None;
         let local = self.hosts.local();
@@ -92,8 +94,8 @@
         self.wake.notify_one();
     }
 
-    /// Queues the active record for a host that requests one newer than `above`. Returns whether there
-    /// is one.
+    /// Queues the active record for a host that requests one newer than `above`. Returns whether
+    /// there is one.
     pub fn enqueue(&self, host: &HostId, above: u64) -> bool {
         if self.active_setup.revision() <= above {
             return false;
@@ -164,8 +166,8 @@
         distribution::sender(&self.hosts.local().id, &control).cloned()
     }
 
-    /// Records another host's active revision. Returns whether the caller should fetch a record now; if
-    /// that fails, it must call [`Self::fetch_failed`].
+    /// Records another host's active revision. Returns whether the caller should fetch a record
+    /// now; if that fails, it must call [`Self::fetch_failed`].
     pub fn observe_revision(&self, revision: u64) -> bool {
         let mut state = self.state.lock();
         state.highest_reported = state.highest_reported.max(revision);
--- a/crates/kumquatdrum_gateway/src/endpoint_cache.rs
+++ b/crates/kumquatdrum_gateway/src/endpoint_cache.rs
@@ -1,7 +1,7 @@
 //! A cache of the announced endpoints on the disk of a control host.
 //!
-//! After a restart of all hosts, it provides the known endpoints at once, so that the first requests
-//! are not all placed on the few endpoints that have already announced themselves again.
+//! After a restart of all hosts, it provides the known endpoints at once, so that the first
+//! requests are not all placed on the few endpoints that have already announced themselves again.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/kumquatdrum_gateway/src/endpoints.rs
+++ b/crates/kumquatdrum_gateway/src/endpoints.rs
@@ -113,8 +113,8 @@
         state.registry.updates(self.clock.now(), Duration::MAX)
     }
 
-    /// Returns the updates to publish in this round: endpoints that announced themselves to this host,
-    /// and recent departures. Also evicts expired endpoints.
+    /// Returns the updates to publish in this round: endpoints that announced themselves to this
+    /// host, and recent departures. Also evicts expired endpoints.
     pub fn take_round(&self) -> Vec<Update> {
         let now = self.clock.now();
         let mut state = self.state.lock();
--- a/crates/kumquatdrum_gateway/src/fleet.rs
+++ b/crates/kumquatdrum_gateway/src/fleet.rs
@@ -28,8 +28,8 @@
 
 pub use pick::{Pick, Prefiller};
 
-/// The number of announcement intervals after which a silent endpoint is not used. It tolerates a lost
-/// announcement and a late one.
+/// The number of announcement intervals after which a silent endpoint is not used. It tolerates a
+/// lost announcement and a late one.
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 4;
 /// The interval at which a queued request is retried without a notification.
 const RETRY_INTERVAL: Duration = Duration::from_millis(25);
--- a/crates/kumquatdrum_gateway/src/gateway.rs
+++ b/crates/kumquatdrum_gateway/src/gateway.rs
@@ -138,9 +138,7 @@
     /// Returns the limits on callers' requests.
     pub(crate) fn limits(&self) -> Limits {
         let current = self.active_setup.current();
-        current.map_or_else(Limits::default, |active_setup| {
-            active_setup.table.setup().limits
-        })
+        current.map_or_else(Limits::default, |active| active.table.setup().limits)
     }
 
     /// Spawns a task that may outlive its request.
@@ -217,8 +215,8 @@
         }
     }
 
-    /// Offers a committed record from another host or the local log. `is_leader` states whether this
-    /// host's replica is the leader.
+    /// Offers a committed record from another host or the local log. `is_leader` states whether
+    /// this host's replica is the leader.
     pub(crate) fn offer_record(&self, record: &Record, from: &str, is_leader: bool) {
         self.active_setup.offer(record, from, is_leader);
     }
@@ -262,8 +260,8 @@
         }
     }
 
-    /// Fetches a record from the control host assigned to this one, which then does not send it twice,
-    /// or else from the host that reported the revision.
+    /// Fetches a record from the control host assigned to this one, which then does not send it
+    /// twice, or else from the host that reported the revision.
     async fn fetch_record(self: Arc<Self>, host: HostId, revision: u64) {
         let sender = self.distributor.sender().filter(|sender| *sender != host);
         for target in sender.into_iter().chain([host]) {
--- a/crates/kumquatdrum_gateway/src/gateway/endpoint_updates.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/endpoint_updates.rs
@@ -1,4 +1,5 @@
-//! Propagation of endpoint updates: directly within the local data centre, through relays to others.
+//! Propagation of endpoint updates: directly within the local data centre, through relays to
+//! others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,8 +14,8 @@
 use crate::broadcast::RelayPath;
 use crate::message::{Notice, Request, Response};
 
-/// The timeout for other hosts to confirm that an endpoint is leaving. Endpoints wait a second for the
-/// acknowledgement.
+/// The timeout for other hosts to confirm that an endpoint is leaving. Endpoints wait a second for
+/// the acknowledgement.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(600);
 /// The timeout for hosts in a relay's data centre, and for those asked after the relay failed.
 const LOCAL_CONFIRM_TIMEOUT: Duration = Duration::from_millis(250);
@@ -34,7 +35,8 @@
         self.fleet.refresh();
     }
 
-    /// Sends endpoint updates to all hosts, best effort; lost updates are repeated in a later round.
+    /// Sends endpoint updates to all hosts, best effort; lost updates are repeated in a later
+    /// round.
     pub(crate) fn broadcast_endpoints(&self, updates: Vec<Update>, path: RelayPath) {
         if updates.is_empty() {
             return;
@@ -68,8 +70,8 @@
         }
     }
 
-    /// Sends endpoint updates to all hosts and waits for their confirmation. A leave request is only
-    /// acknowledged once the other hosts have stopped using the endpoint.
+    /// Sends endpoint updates to all hosts and waits for their confirmation. A leave request is
+    /// only acknowledged once the other hosts have stopped using the endpoint.
     pub(crate) async fn confirm_endpoints(self: &Arc<Self>, updates: Vec<Update>) {
         self.refresh_fleet();
         let recipients = self.hosts.live_recipients();
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Sends a control host's endpoint updates to hosts of the local data centre. Returns those that did
-    /// not confirm them.
+    /// Sends a control host's endpoint updates to hosts of the local data centre. Returns those
+    /// that did not confirm them.
     pub(crate) async fn confirm_local(
         self: &Arc<Self>,
         updates: &[Update],
--- a/crates/kumquatdrum_gateway/src/gateway/start.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/start.rs
@@ -32,7 +32,8 @@
 use crate::replica::{self, Event, Handle};
 use crate::{Protocol, Settings, active_setup, call, control, health, sockets};
 
-/// How long a stopping host accepts connections, until two health checks a second apart have failed.
+/// How long a stopping host accepts connections, until two health checks a second apart have
+/// failed.
 const DRAIN_DELAY: Duration = Duration::from_millis(2_600);
 /// The part of the shutdown time that remains after the last requests are cancelled.
 const CLEANUP_TIME: Duration = Duration::from_millis(300);
--- a/crates/kumquatdrum_gateway/src/hosts.rs
+++ b/crates/kumquatdrum_gateway/src/hosts.rs
@@ -250,9 +250,9 @@
         reports.retain(|id| others.contains_key(id));
     }
 
-    /// Returns the hosts to send a hello to in a round: control hosts of the local data centre, those of
-    /// other data centres every other round, and unknown seeds. Control hosts include all control hosts
-    /// in every round, and so do other hosts if `at_once` is set.
+    /// Returns the hosts to send a hello to in a round: unknown seeds and the other control hosts.
+    /// Those of other data centres are included every other round only, unless this host is a
+    /// control host or `at_once` is set.
     pub fn hello_targets(&self, round: usize, at_once: bool) -> Vec<HostId> {
         let state = self.state.lock();
         let includes_all = at_once || state.local.control;
@@ -271,8 +271,8 @@
         targets
     }
 
-    /// Returns the control host to request a listing from, in rotation, so that a partitioned one does
-    /// not hide hosts for long. Returns `None` if all targets should send one.
+    /// Returns the control host to request a listing from, in rotation, so that a partitioned one
+    /// does not hide hosts for long. Returns `None` if all targets should send one.
     pub fn listing_source(&self, round: usize, targets: &[HostId]) -> Option<HostId> {
         if self.state.lock().local.control {
             return None;
@@ -307,8 +307,8 @@
         live.map(|(entry, _)| entry.host.clone()).collect()
     }
 
-    /// Returns the number of hosts that accept callers, including this one. Lost hosts count until they
-    /// are removed, since they may still serve.
+    /// Returns the number of hosts that accept callers, including this one. Lost hosts count until
+    /// they are removed, since they may still serve.
     pub fn count_caller_hosts(&self) -> usize {
         let state = self.state.lock();
         let others = state.others.values().filter(|entry| entry.host.callers);
@@ -351,7 +351,8 @@
         address(id).map(|ip| SocketAddr::new(ip, self.peer_port + 1))
     }
 
-    /// Returns whether a majority of the control hosts is live, counting this one.
+    /// Returns whether this host has recently heard from a majority of the control hosts, itself
+    /// included.
     pub fn has_control_majority(&self) -> bool {
         let now = self.clock.now();
         let state = self.state.lock();
--- a/crates/kumquatdrum_gateway/src/lib.rs
+++ b/crates/kumquatdrum_gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! Runtime of a gateway host: the sockets, timers and disk access around the I/O-free crates.
 //!
 //! A gateway host forwards HTTP requests that match a route, byte for byte, to an endpoint of the
-//! route's service. Hosts with a data folder also run a replica of the setup and serve operators and
-//! endpoints. [`Protocol`] implements the wire protocol of callers, operators and endpoints.
+//! route's service. Hosts with a data folder also run a replica of the setup and serve operators
+//! and endpoints. [`Protocol`] abstracts the wire protocol of callers, operators and endpoints.
 
 pub mod active_setup;
 pub mod body;
--- a/crates/kumquatdrum_gateway/src/listener.rs
+++ b/crates/kumquatdrum_gateway/src/listener.rs
@@ -49,7 +49,12 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let connection = serve_connection(gateway.clone(), stream, phase.clone(), handler.clone());
+                    let connection = serve_connection(
+                        gateway.clone(),
+                        stream,
+                        phase.clone(),
+                        handler.clone(),
+                    );
                     connections.spawn(connection);
                 }
                 Err(error) => {
--- a/crates/kumquatdrum_gateway/src/protocol.rs
+++ b/crates/kumquatdrum_gateway/src/protocol.rs
@@ -118,7 +118,8 @@
     /// Parses the head of an endpoint's response.
     fn parse_response(&self, status: StatusCode, headers: &HeaderMap) -> Reply;
 
-    /// Builds an order that reserves an engine's memory for the `hold` time, or renews the reservation.
+    /// Builds an order that reserves an engine's memory for the `hold` time, or renews the
+    /// reservation.
     fn build_reserve(
         &self,
         endpoint: &EndpointId,
--- a/crates/kumquatdrum_gateway/src/replica.rs
+++ b/crates/kumquatdrum_gateway/src/replica.rs
@@ -36,8 +36,8 @@
 const PERSIST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The maximum time for a new voter to catch up.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// The number of log entries after which a snapshot is taken. It is low because entries may be large
-/// and only the last one matters.
+/// The number of log entries after which a snapshot is taken. It is low because entries may be
+/// large and only the last one matters.
 const SNAPSHOT_ENTRIES: u64 = 64;
 /// The size of the log in bytes after which a snapshot is taken.
 const SNAPSHOT_BYTES: usize = 2 * 1024 * 1024;
--- a/crates/kumquatdrum_gateway/src/replica/commands.rs
+++ b/crates/kumquatdrum_gateway/src/replica/commands.rs
@@ -104,7 +104,8 @@
         let _ = proposal.sender.send(response);
     }
 
-    /// Logs the outcome of a proposal. For a committed entry, this includes the replicas that store it.
+    /// Logs the outcome of a proposal. For a committed entry, this includes the replicas that store
+    /// it.
     fn log_outcome(&self, proposal: &PendingProposal, outcome: &ProposalOutcome) {
         let ms = (self.context.clock.now() - proposal.proposed).as_millis() as u64;
         let (index, holders) = match outcome {
--- a/crates/kumquatdrum_gateway/src/replica/voters.rs
+++ b/crates/kumquatdrum_gateway/src/replica/voters.rs
@@ -72,7 +72,8 @@
         (next.len() > voters.len()).then_some(next)
     }
 
-    /// Returns the live replicas on hosts without a voter, data centres with the fewest voters first.
+    /// Returns the live replicas on hosts without a voter, data centres with the fewest voters
+    /// first.
     fn spares(&self, voters: &[Member]) -> Vec<Member> {
         let hosts = self.context.hosts.live_hosts();
         let live = hosts.into_iter().filter(|host| !host.stopping);
--- a/crates/kumquatdrum_gateway/src/reservation.rs
+++ b/crates/kumquatdrum_gateway/src/reservation.rs
@@ -1,8 +1,8 @@
 //! Reservations of engine memory for a prompt.
 //!
 //! A reservation is a lease: it is renewed while its prompt is in flight, released afterwards, and
-//! expires if this host fails. An order whose response is lost may take effect late, so the lease is
-//! shorter than the maximum time that memory may stay unused.
+//! expires if this host fails. An order whose response is lost may take effect late, so the lease
+//! is shorter than the maximum time that memory may stay unused.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/kumquatdrum_gateway/src/upstream.rs
+++ b/crates/kumquatdrum_gateway/src/upstream.rs
@@ -18,8 +18,8 @@
 
 use crate::sockets;
 
-/// The timeout for opening a connection. It is shorter than the retransmission timeout of a lost SYN
-/// packet, so that another endpoint is tried instead.
+/// The timeout for opening a connection. It is shorter than the retransmission timeout of a lost
+/// SYN packet, so that another endpoint is tried instead.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The reason why there is no response.
--- a/crates/kumquatdrum_gateway/tests/active_setup.rs
+++ b/crates/kumquatdrum_gateway/tests/active_setup.rs
@@ -1,6 +1,7 @@
 //! Activation of setups while the host does other work.
 //!
-//! Guards against a leader that misses heartbeats because decoding a large setup blocks its runtime.
+//! Guards against a leader that misses heartbeats because decoding a large setup blocks its
+//! runtime.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -94,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn decoding_a_setup_does_not_block_the_runtime() {
+async fn a_host_goes_on_while_it_reads_a_setup() {
     let (decoder, end, has_timed_out) = Decoder::new();
     let store = Arc::new(Store::new(Arc::new(decoder), logger()));
     store.offer(&record(1), "log", true);
@@ -104,7 +105,7 @@
     tokio::task::yield_now().await;
     tokio::task::yield_now().await;
     end.send(()).expect("the decoder waits");
-    let (active_setup, is_leader) = taken.await.expect("a record in force");
+    let (active_setup, is_leader) = taken.await.expect("an active record");
     assert!(!has_timed_out.load(Ordering::Relaxed));
     assert!(is_leader);
     assert_eq!((active_setup.record.revision, store.revision()), (1, 1));
--- a/crates/kumquatdrum_registry/src/registry.rs
+++ b/crates/kumquatdrum_registry/src/registry.rs
@@ -7,8 +7,8 @@
 
 use crate::{Announcement, Update};
 
-/// How long an entry is kept after its last announcement. Entries of endpoints that have left are kept
-/// as tombstones, so that delayed announcements are rejected.
+/// How long an entry is kept after its last announcement. Entries of endpoints that have left are
+/// kept as tombstones, so that delayed announcements are rejected.
 const ENTRY_TTL: Duration = Duration::from_secs(60);
 
 /// The effect of an announcement on the registry.
@@ -76,8 +76,8 @@
         Some(to_update(entry, now))
     }
 
-    /// Returns the endpoints that accept new requests for a service, each with the time since its last
-    /// announcement.
+    /// Returns the endpoints that accept new requests for a service, each with the time since its
+    /// last announcement.
     pub fn usable<'a>(
         &'a self,
         now: Moment,
@@ -90,7 +90,8 @@
         usable.map(move |entry| (&entry.announcement, now - entry.heard_at))
     }
 
-    /// Returns updates for the endpoints heard within `recent`, and for all that are leaving or gone.
+    /// Returns updates for the endpoints heard within `recent`, and for all that are leaving or
+    /// gone.
     pub fn updates(&self, now: Moment, recent: Duration) -> Vec<Update> {
         let is_included = |entry: &&Entry| {
             entry.is_gone || entry.announcement.leaving || now - entry.heard_at <= recent
--- a/crates/kumquatdrum_routes/src/distribution.rs
+++ b/crates/kumquatdrum_routes/src/distribution.rs
@@ -8,8 +8,8 @@
 use indexmap::{IndexMap, IndexSet};
 use kumquatdrum_types::{HostId, hash};
 
-/// The maximum number of record bytes in flight from one host. Heartbeats queue behind them, so this
-/// stays within what a 170 Mbit/s link sends in one heartbeat interval.
+/// The maximum number of record bytes in flight from one host. Heartbeats queue behind them, so
+/// this stays within what a 170 Mbit/s link sends in one heartbeat interval.
 const MAX_IN_FLIGHT_BYTES: usize = 2 * 1024 * 1024;
 
 /// Selects the control host that sends records to a host, by rendezvous hashing: if a control host
@@ -56,9 +56,9 @@
         self.waiting.extend(hosts);
     }
 
-    /// Starts the transfer of a record of `bytes` bytes and returns its receiver. Returns `None` while
-    /// the transfer would exceed the limit, or while every waiting host is still receiving an earlier
-    /// record.
+    /// Starts the transfer of a record of `bytes` bytes and returns its receiver. Returns `None`
+    /// while the transfer would exceed the limit, or while every waiting host is still receiving an
+    /// earlier record.
     pub fn start_next(&mut self, bytes: usize) -> Option<HostId> {
         let sum: usize = self.in_flight.values().sum();
         if sum > 0 && sum + bytes > MAX_IN_FLIGHT_BYTES {
--- a/crates/kumquatdrum_routes/src/lib.rs
+++ b/crates/kumquatdrum_routes/src/lib.rs
@@ -1,9 +1,9 @@
 //! Setups that operators apply to the gateway, versioned by a revision number, without I/O.
 //!
 //! A [`Setup`] holds routes, services and workspaces. [`validate`] reports its errors and [`Table`]
-//! indexes it. [`Register`] is the replicated state: the [`Record`] with the highest revision, whose
-//! text is stored as the operator sent it. [`distribution`] assigns the control host that sends a
-//! new record to each host.
+//! indexes it. [`Register`] is the replicated state: the [`Record`] with the highest revision,
+//! whose text is stored as the operator sent it. [`distribution`] assigns the control host that
+//! sends a new record to each host.
 
 pub mod distribution;
 pub mod record;
--- a/crates/kumquatdrum_routes/src/register.rs
+++ b/crates/kumquatdrum_routes/src/register.rs
@@ -11,7 +11,8 @@
 }
 
 impl Register {
-    /// Stores a record if its revision is higher than the current one; returns whether it was stored.
+    /// Stores a record if its revision is higher than the current one; returns whether it was
+    /// stored.
     pub fn apply(&mut self, record: Record) -> bool {
         if record.revision <= self.revision() {
             return false;
--- a/crates/kumquatdrum_routes/src/setup.rs
+++ b/crates/kumquatdrum_routes/src/setup.rs
@@ -103,7 +103,8 @@
     pub step_ms: f64,
     /// The time that each decoding request adds to a step, in milliseconds.
     pub decode_request_ms: f64,
-    /// The time that every 1,000 context tokens of decoding requests add to a step, in milliseconds.
+    /// The time that every 1,000 context tokens of decoding requests add to a step, in
+    /// milliseconds.
     pub context_ms_per_k_tokens: f64,
     /// The number of prompt tokens prefilled per millisecond, without attention.
     pub prefill_tokens_per_ms: f64,
--- a/crates/kumquatdrum_routes/tests/distribution.rs
+++ b/crates/kumquatdrum_routes/tests/distribution.rs
@@ -72,7 +72,8 @@
     assert_eq!(distribution::sender(&entries[0], &[]), None);
 }
 
-// Guards against a leader that loses its quorum because heartbeats queue behind records on its link.
+// Guards against a leader that loses its quorum because heartbeats queue behind records on its
+// link.
 
 /// The bandwidth of a control host's link in bytes per millisecond.
 const CONTROL_LINK_BYTES_PER_MS: usize = 170_000_000 / 8 / 1_000;
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn records_delay_a_heartbeat_by_at_most_its_interval() {
+fn a_heartbeat_never_waits_longer_than_its_interval_behind_records() {
     for bytes in [20_000, 70_000, 250_000, 600_000] {
         let (wait, arrival) = simulate(bytes, 360, 10);
         assert!(wait <= HEARTBEAT_MS, "{bytes} bytes: {wait} ms");
