--- a/crates/kumquatdrum_gateway/src/fleet.rs
+++ b/crates/kumquatdrum_gateway/src/fleet.rs
@@ -136,8 +136,8 @@
         let window = Duration::from_secs_f64(retries.window_s);
         let policy = match engine {
             Some(engine) => {
-                let here = group(&self.context.data_centre);
-                let planner = Planner::new(engine.clone()).standing_in(here);
+                let local_group = group(&self.context.data_centre);
+                let planner = Planner::new(engine.clone()).standing_in(local_group);
                 Policy::Engines(Box::new(planner))
             }
             None => Policy::Plain(Balancer::default()),
--- a/crates/kumquatdrum_gateway/src/gateway.rs
+++ b/crates/kumquatdrum_gateway/src/gateway.rs
@@ -211,7 +211,7 @@
     /// Passes a message to this host's replica.
     pub(crate) fn deliver_to_replica(&self, message: Message) {
         if let Some(replica) = &self.replica {
-            replica.message(message);
+            replica.send_message(message);
         }
     }
 
--- a/crates/kumquatdrum_gateway/src/replica.rs
+++ b/crates/kumquatdrum_gateway/src/replica.rs
@@ -92,7 +92,7 @@
     }
 
     /// Passes a message from another replica.
-    pub fn message(&self, message: Message) {
+    pub fn send_message(&self, message: Message) {
         let _ = self.events.send(Event::Message(Box::new(message)));
     }
 
