--- a/crates/kumquatdrum_gateway/src/call/run.rs
+++ b/crates/kumquatdrum_gateway/src/call/run.rs
@@ -91,13 +91,13 @@
     pub(super) async fn pick(&self, attempts: &Attempts) -> Result<Pick, Problem> {
         let job = Job {
             id: self.gateway.fleet.next_job_id(),
-            prompt: self.metadata.prompt_tokens.unwrap_or(0),
-            answer: self.metadata.max_answer_tokens.unwrap_or(0),
-            pause: self.max_pause(),
+            prompt_tokens: self.metadata.prompt_tokens.unwrap_or(0),
+            answer_tokens: self.metadata.max_answer_tokens.unwrap_or(0),
+            max_pause: self.max_pause(),
             arrived: self.arrived,
             due: self.arrived + self.route.target_latency,
             deadline: self.deadline,
-            spared: attempts.excluded.clone(),
+            excluded: attempts.excluded.clone(),
         };
         let picked = self
             .gateway
--- a/crates/kumquatdrum_gateway/src/fleet.rs
+++ b/crates/kumquatdrum_gateway/src/fleet.rs
@@ -7,7 +7,8 @@
 use indexmap::IndexMap;
 use kumquatdrum_fanout::Urgency;
 use kumquatdrum_placement::{
-    Balancer, Basis, Budget, Decision, EndpointKey, Group, Job, JobId, Plan, Planner, Turn,
+    Balancer, Budget, DataCentreKey, Decision, Diagnostics, EndpointKey, Job, JobId, Plan, Planner,
+    Waiter,
 };
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_registry::Announcement;
@@ -34,7 +35,7 @@
 /// The interval at which a queued request is retried without a notification.
 const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 /// The interval at which a queued job is broadcast.
-const TURN_INTERVAL: Duration = Duration::from_millis(100);
+const QUEUE_BROADCAST_INTERVAL: Duration = Duration::from_millis(100);
 /// The maximum encoded size of a plan without its parts, in bytes.
 const MAX_PLAN_BYTES: usize = 48;
 /// The maximum encoded size of a part, in bytes.
@@ -99,7 +100,7 @@
     /// The cost of the request to other callers exceeds its value.
     TooCostly,
     /// No engine had capacity in time.
-    NoCapacity(Turn),
+    NoCapacity(Waiter),
 }
 
 impl Fleet {
@@ -136,8 +137,8 @@
         let window = Duration::from_secs_f64(retries.window_s);
         let policy = match engine {
             Some(engine) => {
-                let local_group = group(&self.context.data_centre);
-                let planner = Planner::new(engine.clone()).standing_in(local_group);
+                let local_key = data_centre_key(&self.context.data_centre);
+                let planner = Planner::new(engine.clone()).with_data_centre(local_key);
                 Policy::Engines(Box::new(planner))
             }
             None => Policy::Plain(Balancer::default()),
@@ -178,12 +179,12 @@
             Policy::Engines(planner) => {
                 let grouped = directory.iter();
                 planner.set_endpoints(
-                    grouped.map(|(key, endpoint)| (*key, group(&endpoint.data_centre))),
+                    grouped.map(|(key, endpoint)| (*key, data_centre_key(&endpoint.data_centre))),
                 );
             }
             Policy::Plain(balancer) => {
                 let slots = |(key, endpoint): (&EndpointKey, &Announcement)| {
-                    (*key, group(&endpoint.data_centre), endpoint.slots)
+                    (*key, data_centre_key(&endpoint.data_centre), endpoint.slots)
                 };
                 balancer.set_endpoints(directory.iter().map(slots));
             }
@@ -197,7 +198,7 @@
     pub fn record_request(&self, name: &ServiceName) {
         if let Some(service) = self.find_service(name) {
             let now = self.context.clock.now();
-            service.state.lock().budget.requested(now);
+            service.state.lock().budget.record_request(now);
         }
     }
 
@@ -206,7 +207,7 @@
         let now = self.context.clock.now();
         let hosts = self.context.hosts.count_caller_hosts();
         self.find_service(name)
-            .is_some_and(|service| service.state.lock().budget.take(now, hosts))
+            .is_some_and(|service| service.state.lock().budget.try_take(now, hosts))
     }
 
     /// Applies dispatch events from other hosts.
@@ -240,14 +241,14 @@
             return None;
         };
         match event {
-            Event::Sent(_, plan) => planner.sent(now, plan),
-            Event::Began(_, job) => planner.began(now, job),
-            Event::Ended(_, job) => planner.ended(now, job),
-            Event::Queued(_, turn) => planner.queued(now, turn),
-            Event::Cancelled(_, job) => planner.cancelled(job),
+            Event::Sent(_, plan) => planner.record_dispatch(now, plan),
+            Event::Began(_, job) => planner.record_first_token(now, job),
+            Event::Ended(_, job) => planner.record_end(now, job),
+            Event::Queued(_, waiter) => planner.enqueue(now, waiter),
+            Event::Cancelled(_, job) => planner.dequeue(job),
             Event::Running(_, jobs) => {
                 for (plan, is_prefilling) in jobs {
-                    planner.running(now, plan, is_prefilling);
+                    planner.refresh(now, plan, is_prefilling);
                 }
             }
         }
@@ -261,7 +262,7 @@
         let services: Vec<Arc<Service>> = self.services.read().values().cloned().collect();
         for service in services {
             let jobs = match &mut service.state.lock().policy {
-                Policy::Engines(planner) => planner.jobs_of(now, self.context.number),
+                Policy::Engines(planner) => planner.renew_jobs(now, self.context.number),
                 Policy::Plain(_) => continue,
             };
             for jobs in split_into_batches(jobs) {
@@ -288,7 +289,7 @@
         job: &Job,
     ) -> Result<Pick, Rejection> {
         let service = self.find_service(name).ok_or(Rejection::NoEndpoint)?;
-        let mut waiter = Waiter {
+        let mut entry = QueueEntry {
             fleet: self,
             service: &service,
             job: job.id,
@@ -297,11 +298,11 @@
         loop {
             let changed = service.changed.notified();
             match self.try_pick(&service, request, job) {
-                Err(Rejection::NoCapacity(turn)) if self.context.clock.now() < job.deadline => {
-                    waiter.announce(turn);
+                Err(Rejection::NoCapacity(waiter)) if self.context.clock.now() < job.deadline => {
+                    entry.announce(waiter);
                 }
                 Ok(pick) => {
-                    waiter.announced = None;
+                    entry.announced = None;
                     return Ok(pick);
                 }
                 result => return result,
@@ -321,17 +322,17 @@
         match &mut state.policy {
             Policy::Engines(planner) => {
                 let decision = planner.place(now, job);
-                let (plan, basis) = match decision {
-                    Decision::Send(plan, basis) => (plan, basis),
-                    Decision::Wait(turn) => return Err(Rejection::NoCapacity(turn)),
+                let (plan, diagnostics) = match decision {
+                    Decision::Send(plan, diagnostics) => (plan, diagnostics),
+                    Decision::Wait(waiter) => return Err(Rejection::NoCapacity(waiter)),
                     Decision::TooCostly => return Err(Rejection::TooCostly),
                     Decision::TooLarge => return Err(Rejection::TooLarge),
-                    Decision::Nobody => return Err(Rejection::NoEndpoint),
+                    Decision::NoEngine => return Err(Rejection::NoEndpoint),
                 };
-                self.dispatch(service, &state, (request, job), plan, &basis)
+                self.dispatch(service, &state, (request, job), plan, &diagnostics)
             }
             Policy::Plain(balancer) => {
-                let key = balancer.choose(now, &job.spared);
+                let key = balancer.choose(now, &job.excluded);
                 let key = key.ok_or(Rejection::NoEndpoint)?;
                 let endpoint = state.directory.get(&key).cloned();
                 let endpoint = endpoint.ok_or(Rejection::NoEndpoint)?;
@@ -354,7 +355,7 @@
         state: &State,
         (request, job): (&str, &Job),
         plan: Plan,
-        basis: &Basis,
+        diagnostics: &Diagnostics,
     ) -> Result<Pick, Rejection> {
         let endpoint = state.directory.get(&plan.first).cloned();
         let endpoint = endpoint.ok_or(Rejection::NoEndpoint)?;
@@ -373,11 +374,11 @@
             })
         });
         info!(self.context.logger, "placed"; "event" => "placed", "request" => request,
-            "endpoint" => endpoint.id.as_str(), "prompt" => job.prompt,
+            "endpoint" => endpoint.id.as_str(), "prompt" => job.prompt_tokens,
             "readers" => plan.helpers.len() + 1, "helpers" => helper_names(state, &plan),
             "part_ms" => format!("{:.1}", plan.part_ms),
-            "engines" => basis.engines, "backlog_ms" => format!("{:.1}", basis.backlog_ms),
-            "writers" => basis.writers, "pass_ms" => format!("{:.1}", basis.pass_ms),
+            "engines" => diagnostics.engines, "backlog_ms" => format!("{:.1}", diagnostics.backlog_ms),
+            "writers" => diagnostics.decodes, "pass_ms" => format!("{:.1}", diagnostics.pass_ms),
             "waited_ms" => (self.context.clock.now() - job.arrived).as_millis() as u64);
         let urgency = urgency(&plan);
         let pick = Pick {
@@ -409,26 +410,26 @@
 }
 
 /// A queued job. Dropping it broadcasts that the job has left the queue.
-struct Waiter<'a> {
+struct QueueEntry<'a> {
     fleet: &'a Fleet,
     service: &'a Service,
     job: JobId,
     announced: Option<(Moment, bool)>,
 }
 
-impl Waiter<'_> {
-    /// Broadcasts the job's turn if it has changed or the interval has passed.
-    fn announce(&mut self, turn: Turn) {
+impl QueueEntry<'_> {
+    /// Broadcasts the job's queue state if it has changed or the interval has passed.
+    fn announce(&mut self, waiter: Waiter) {
         let now = self.fleet.context.clock.now();
-        let is_due = self
-            .announced
-            .is_none_or(|(at, blocked)| now - at >= TURN_INTERVAL || blocked != turn.blocked);
+        let is_due = self.announced.is_none_or(|(at, blocked)| {
+            now - at >= QUEUE_BROADCAST_INTERVAL || blocked != waiter.blocked
+        });
         if is_due {
             let has_changed = self
                 .announced
-                .is_none_or(|(_, blocked)| blocked != turn.blocked);
-            self.announced = Some((now, turn.blocked));
-            let event = Event::Queued(self.service.name.clone(), turn);
+                .is_none_or(|(_, blocked)| blocked != waiter.blocked);
+            self.announced = Some((now, waiter.blocked));
+            let event = Event::Queued(self.service.name.clone(), waiter);
             let urgency = if has_changed {
                 Urgency::Urgent
             } else {
@@ -439,13 +440,13 @@
     }
 }
 
-impl Drop for Waiter<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         if self.announced.is_none() {
             return;
         }
         if let Policy::Engines(planner) = &mut self.service.state.lock().policy {
-            planner.cancelled(self.job);
+            planner.dequeue(self.job);
         }
         let event = Event::Cancelled(self.service.name.clone(), self.job);
         self.fleet.broadcast(event, Urgency::Urgent);
@@ -453,15 +454,15 @@
     }
 }
 
-/// Returns the group of a data centre's endpoints, which share network failures.
-fn group(data_centre: &DataCentre) -> Group {
+/// Returns the key of a data centre; its endpoints share network failures.
+fn data_centre_key(data_centre: &DataCentre) -> DataCentreKey {
     let name = EndpointId::new(data_centre.as_str());
-    Group(EndpointKey::of(&name, 0).0)
+    DataCentreKey(EndpointKey::of(&name, 0).0)
 }
 
 /// Returns the urgency of events about a plan.
 fn urgency(plan: &Plan) -> Urgency {
-    if plan.has_parts() {
+    if plan.has_long_prefill() {
         Urgency::Urgent
     } else {
         Urgency::Usual
--- a/crates/kumquatdrum_gateway/src/message.rs
+++ b/crates/kumquatdrum_gateway/src/message.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use kumquatdrum_consensus::Member as ReplicaMember;
 use kumquatdrum_fanout::Urgency;
-use kumquatdrum_placement::{JobId, Plan, Turn};
+use kumquatdrum_placement::{JobId, Plan, Waiter};
 use kumquatdrum_registry::Update;
 use kumquatdrum_routes::Record;
 use kumquatdrum_types::{DataCentre, HostId, ServiceName};
@@ -190,7 +190,7 @@
     /// The job has ended.
     Ended(ServiceName, JobId),
     /// The job is queued.
-    Queued(ServiceName, Turn),
+    Queued(ServiceName, Waiter),
     /// The job has left the queue without being sent.
     Cancelled(ServiceName, JobId),
     /// Jobs in flight, each with whether its prefill is still in progress.
--- a/crates/kumquatdrum_membership/src/host.rs
+++ b/crates/kumquatdrum_membership/src/host.rs
@@ -1,60 +1,60 @@
-//! The other hosts of the data centre: heartbeats, suspicion confirmed through others.
+//! Failure detection for the other hosts of the data centre, by direct and indirect heartbeats.
 
 use indexmap::IndexSet;
 use kumquatdrum_types::{BootId, HostId, Moment};
 
 use crate::Member;
 use crate::backlog::Backlog;
-use crate::timing::{DEAD_AFTER, RECENT, SILENT_AFTER};
+use crate::timing::{DEAD_AFTER, REPORT_VALIDITY, SILENT_AFTER};
 
-/// Whether a host lives, as far as this host knows.
+/// Liveness of a host from this host's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// It is heard, by this host or by another one of the data centre.
+    /// Heartbeats arrive at this host or at another host of the data centre.
     Alive,
-    /// No host that this one hears has heard it for a while.
+    /// No heartbeat has arrived recently, at this host or at any host that it hears from.
     Suspect,
-    /// So for long.
+    /// The host was suspect for longer than [`DEAD_AFTER`].
     Dead,
 }
 
-/// A host as `status` shows it.
+/// A known host and its condition.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
-    /// Who and where it is.
+pub struct Peer<'a> {
+    /// Identity and location of the host.
     pub member: &'a Member,
-    /// Whether it lives.
+    /// Condition of the host.
     pub condition: Condition,
 }
 
-/// Another host.
+/// State of another host of the data centre.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) member: Member,
-    /// The life of its daemon that speaks.
+    /// Latest known incarnation of its daemon.
     pub(crate) boot: BootId,
     pub(crate) condition: Condition,
-    /// When its daemon last spoke; the start of this one where it never did.
-    pub(crate) heard: Moment,
-    /// The hosts that it didn't hear, as of its last push.
-    pub(crate) silent: IndexSet<HostId>,
-    /// The last push taken from it.
-    pub(crate) push_taken: u64,
-    /// The last push sent to it.
-    pub(crate) push_sent: u64,
-    pub(crate) push_due: Moment,
+    /// Time of the last message from the host, initially the start of this daemon.
+    pub(crate) last_heard: Moment,
+    /// Hosts that the host reported as silent in its last push.
+    pub(crate) silent_hosts: IndexSet<HostId>,
+    /// Sequence number of the last push received from the host.
+    pub(crate) last_push_received: u64,
+    /// Sequence number of the last push sent to the host.
+    pub(crate) last_push_sent: u64,
+    pub(crate) next_push: Moment,
     pub(crate) backlog: Backlog,
-    /// Since when its table differs from this host's.
+    /// Time since which the host's table differs from this host's.
     pub(crate) differs_since: Option<Moment>,
     suspect_since: Moment,
 }
 
-/// What others say of a host that this one doesn't hear.
+/// Evidence from other hosts about a host that is silent towards this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Hearsay {
-    /// Some host that this one hears has heard it.
+pub(crate) enum Evidence {
+    /// At least one host has heard from it recently.
     Heard,
-    /// All hosts that this one hears say it is silent; true also where there are none.
+    /// All hosts that reported recently list it as silent, or no host reported.
     Silent,
 }
 
@@ -64,49 +64,49 @@
             member,
             boot: BootId(0),
             condition: Condition::Alive,
-            heard: now,
-            silent: IndexSet::new(),
-            push_taken: 0,
-            push_sent: 0,
-            push_due: now,
+            last_heard: now,
+            silent_hosts: IndexSet::new(),
+            last_push_received: 0,
+            last_push_sent: 0,
+            next_push: now,
             backlog: Backlog::default(),
             differs_since: None,
             suspect_since: now,
         }
     }
 
-    /// Forgets all that belonged to the daemon's former life.
+    /// Resets the state that belongs to the daemon's previous incarnation.
     pub(crate) fn restart(&mut self) {
-        self.silent.clear();
-        self.push_taken = 0;
+        self.silent_hosts.clear();
+        self.last_push_received = 0;
         self.backlog.clear();
         self.differs_since = None;
     }
 
-    /// Whether this host hasn't heard it for a while.
+    /// Returns whether nothing was heard from the host for [`SILENT_AFTER`].
     pub(crate) fn is_silent(&self, now: Moment) -> bool {
-        now - self.heard > SILENT_AFTER
+        now - self.last_heard > SILENT_AFTER
     }
 
-    /// Whether what it says of others counts.
-    pub(crate) fn is_recent(&self, now: Moment) -> bool {
-        now - self.heard <= RECENT
+    /// Returns whether the host's reports about other hosts are still valid.
+    pub(crate) fn is_recently_heard(&self, now: Moment) -> bool {
+        now - self.last_heard <= REPORT_VALIDITY
     }
 
-    /// The condition that follows from what is heard.
-    pub(crate) fn judge(&mut self, now: Moment, hearsay: Hearsay) -> Condition {
-        match (self.is_silent(now), hearsay, self.condition) {
-            (false, _, _) | (true, Hearsay::Heard, _) => Condition::Alive,
-            (true, Hearsay::Silent, Condition::Alive) => {
+    /// Returns the condition that follows from direct and indirect evidence.
+    pub(crate) fn evaluate(&mut self, now: Moment, indirect_evidence: Evidence) -> Condition {
+        match (self.is_silent(now), indirect_evidence, self.condition) {
+            (false, _, _) | (true, Evidence::Heard, _) => Condition::Alive,
+            (true, Evidence::Silent, Condition::Alive) => {
                 self.suspect_since = now;
                 Condition::Suspect
             }
-            (true, Hearsay::Silent, Condition::Suspect)
+            (true, Evidence::Silent, Condition::Suspect)
                 if now - self.suspect_since > DEAD_AFTER =>
             {
                 Condition::Dead
             }
-            (true, Hearsay::Silent, condition) => condition,
+            (true, Evidence::Silent, condition) => condition,
         }
     }
 }
--- a/crates/kumquatdrum_peer/src/server.rs
+++ b/crates/kumquatdrum_peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The listener for peers: checks each frame and hands its bodies to the handler.
+//! Server for peers, which verifies each frame and passes its bodies to the handler.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -15,29 +15,29 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status};
 
-use crate::frame::{self, Accepted, FRAME_LIMIT, Purpose, Violation};
+use crate::frame::{self, Accepted, FRAME_LIMIT_BYTES, Purpose, Violation};
 use crate::generated::peer_server::{Peer, PeerServer};
 use crate::generated::{Ack, Frame};
-use crate::{Error, Handler, Local};
+use crate::{Error, Handler, LocalDaemon};
 
-/// An idle connection is pinged this often.
+/// Interval at which idle connections are pinged.
 const PING_INTERVAL: Duration = Duration::from_secs(5);
-/// A ping unanswered for this long closes the connection.
+/// Time without a response to a ping after which the connection is closed.
 const PING_TIMEOUT: Duration = Duration::from_secs(1);
-const STREAM_WINDOW: u32 = 1 << 20;
-const CONNECTION_WINDOW: u32 = 4 << 20;
-/// The longest reason that travels back with a failure.
-const REASON_LIMIT: usize = 512;
-/// The longest name of a refused host that is logged.
-const NAME_LIMIT: usize = 64;
+const STREAM_WINDOW_BYTES: u32 = 1 << 20;
+const CONNECTION_WINDOW_BYTES: u32 = 4 << 20;
+/// Maximum length of the reason in an error response, in characters.
+const REASON_LIMIT_CHARACTERS: usize = 512;
+/// Maximum length of a refused host's name in the log, in characters.
+const NAME_LIMIT_CHARACTERS: usize = 64;
 const REFUSAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves peers on a listener until `shutdown` resolves and all calls under way have ended. A
-/// connection that went silent holds it up for at most six seconds.
+/// Serves peers on a listener until `shutdown` resolves and all calls in flight have ended. A
+/// silent connection delays the return by at most six seconds.
 pub async fn serve(
     listener: TcpListener,
     handler: Arc<dyn Handler>,
-    local: Local,
+    local: LocalDaemon,
     shutdown: impl Future<Output = ()> + Send,
 ) -> Result<(), Error> {
     let service = PeerServer::new(Service {
@@ -45,13 +45,13 @@
         local,
         refusals: Refusals::default(),
     })
-    .max_decoding_message_size(FRAME_LIMIT)
-    .max_encoding_message_size(FRAME_LIMIT);
+    .max_decoding_message_size(FRAME_LIMIT_BYTES)
+    .max_encoding_message_size(FRAME_LIMIT_BYTES);
     Server::builder()
         .http2_keepalive_interval(Some(PING_INTERVAL))
         .http2_keepalive_timeout(Some(PING_TIMEOUT))
-        .initial_stream_window_size(STREAM_WINDOW)
-        .initial_connection_window_size(CONNECTION_WINDOW)
+        .initial_stream_window_size(STREAM_WINDOW_BYTES)
+        .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
         .tcp_nodelay(true)
         .add_service(service)
         .serve_with_incoming_shutdown(TcpListenerStream::new(listener), shutdown)
@@ -61,17 +61,18 @@
 
 struct Service {
     handler: Arc<dyn Handler>,
-    local: Local,
+    local: LocalDaemon,
     refusals: Refusals,
 }
 
-/// Refusals are logged at most once in [`REFUSAL_INTERVAL`], so that no stranger fills the log.
+/// Rate limiter that logs at most one refusal per [`REFUSAL_INTERVAL`].
 #[derive(Debug, Default)]
 struct Refusals(Mutex<(Option<Instant>, u64)>);
 
 impl Refusals {
-    /// Whether to log this one, and how many were not logged since the last.
-    fn tell(&self) -> Option<u64> {
+    /// Returns the number of refusals suppressed since the last one logged, or `None` if this one
+    /// is suppressed.
+    fn take_suppressed(&self) -> Option<u64> {
         let mut state = self.0.lock();
         let is_due = state
             .0
@@ -105,11 +106,11 @@
         claimed: &str,
         address: Option<std::net::SocketAddr>,
     ) -> Status {
-        if let Some(untold) = self.refusals.tell() {
+        if let Some(suppressed) = self.refusals.take_suppressed() {
             let address = address.map(|address| address.to_string());
-            let claimed: String = claimed.chars().take(NAME_LIMIT).collect();
+            let claimed: String = claimed.chars().take(NAME_LIMIT_CHARACTERS).collect();
             warn!(self.local.logger, "peer_refused"; "event" => "peer_refused", "claimed_host" => claimed,
-                "address" => address, "reason" => %violation, "untold_before" => untold);
+                "address" => address, "reason" => %violation, "untold_before" => suppressed);
         }
         Status::unauthenticated(violation.to_string())
     }
@@ -127,28 +128,38 @@
 
     async fn ask(&self, request: Request<Frame>) -> Result<Response<Frame>, Status> {
         let code = request.get_ref().code.clone();
-        let accepted = self.accept(request, Purpose::Ask)?;
-        let question = accepted.bodies.into_iter().next().unwrap_or_default();
+        let accepted = self.accept(request, Purpose::Request)?;
+        let request_body = accepted.bodies.into_iter().next().unwrap_or_default();
         let body = self
             .handler
-            .answer(&accepted.from, accepted.channel, question)
+            .answer(&accepted.from, accepted.channel, request_body)
             .await
-            .map_err(failure)?;
-        let answer = self.answer(&accepted.from.host, accepted.channel, body, &code);
-        Ok(Response::new(answer))
+            .map_err(error_status)?;
+        let response = self.response_frame(&accepted.from.host, accepted.channel, body, &code);
+        Ok(Response::new(response))
     }
 }
 
 impl Service {
-    fn answer(&self, to: &HostId, channel: crate::Channel, body: Bytes, question: &[u8]) -> Frame {
-        let purpose = Purpose::Answer(question);
-        let frame = frame::make(&self.local, to, channel, vec![body], purpose);
+    fn response_frame(
+        &self,
+        to: &HostId,
+        channel: crate::Channel,
+        body: Bytes,
+        request_code: &[u8],
+    ) -> Frame {
+        let purpose = Purpose::Response(request_code);
+        let frame = frame::build(&self.local, to, channel, vec![body], purpose);
         self.local.counters.sent(channel, 1, frame.encoded_len());
         frame
     }
 }
 
-fn failure(error: Error) -> Status {
-    let reason: String = error.to_string().chars().take(REASON_LIMIT).collect();
+fn error_status(error: Error) -> Status {
+    let reason: String = error
+        .to_string()
+        .chars()
+        .take(REASON_LIMIT_CHARACTERS)
+        .collect();
     Status::aborted(reason)
 }
--- /dev/null
+++ b/crates/kumquatdrum_placement/tests/retries_and_ejection.rs
@@ -0,0 +1,82 @@
+//! Retry budgets and the ejection of endpoints.
+
+use std::time::Duration;
+
+use kumquatdrum_placement::{Balancer, Budget, DataCentreKey, EndpointKey, Failure};
+use kumquatdrum_types::Moment;
+
+const START: Moment = Moment::from_millis(60_000);
+
+fn take_all(budget: &mut Budget, now: Moment, hosts: usize) -> usize {
+    (0..1_000).filter(|_| budget.try_take(now, hosts)).count()
+}
+
+#[test]
+fn all_hosts_together_stay_within_the_retry_budget() {
+    let window = Duration::from_secs(10);
+    let mut total = 0;
+    for _ in 0..8 {
+        let mut budget = Budget::new(0.2, 104.0, window);
+        for _ in 0..100 {
+            budget.record_request(START);
+        }
+        total += take_all(&mut budget, START, 8);
+    }
+    assert!(total <= 160 + 104, "{total} retries allowed of 264");
+    assert!(total > 130, "only {total} of 264 retries allowed");
+}
+
+#[test]
+fn the_retry_window_slides() {
+    let mut budget = Budget::new(0.0, 10.0, Duration::from_secs(10));
+    let first = take_all(&mut budget, START, 1);
+    assert!(first > 0);
+    assert_eq!(take_all(&mut budget, START + Duration::from_secs(9), 1), 0);
+    let later = START + Duration::from_millis(10_001);
+    assert_eq!(take_all(&mut budget, later, 1), first);
+}
+
+#[test]
+fn an_unreachable_endpoint_is_ejected_and_probed_again() {
+    let (good, bad) = (EndpointKey(1), EndpointKey(2));
+    let mut balancer = Balancer::default();
+    balancer.set_endpoints([(good, DataCentreKey(0), 4), (bad, DataCentreKey(1), 4)]);
+    assert!(balancer.record_failure(START, bad, Failure::Unreachable));
+    for _ in 0..8 {
+        assert_eq!(balancer.choose(START, &[]), Some(good));
+    }
+    let later = START + Duration::from_secs(5);
+    let chosen: Vec<_> = (0..4).filter_map(|_| balancer.choose(later, &[])).collect();
+    assert!(chosen.contains(&bad));
+    // If all endpoints are ejected, all remain candidates.
+    balancer.record_failure(later, good, Failure::Unreachable);
+    balancer.record_failure(later, bad, Failure::Unreachable);
+    assert!(balancer.choose(later, &[]).is_some());
+    assert_eq!(balancer.choose(later, &[good, bad]), None);
+}
+
+#[test]
+fn a_data_centre_that_can_t_be_reached_is_spared_as_a_whole() {
+    let (local, remote) = (DataCentreKey(0), DataCentreKey(1));
+    let mut balancer = Balancer::default();
+    balancer.set_endpoints((0..10).map(|number| {
+        (
+            EndpointKey(number),
+            if number < 2 { local } else { remote },
+            4,
+        )
+    }));
+    for key in 2..5 {
+        balancer.record_failure(START, EndpointKey(key), Failure::Unreachable);
+    }
+    for _ in 0..6 {
+        let chosen = balancer.choose(START, &[]).expect("an endpoint");
+        assert!(chosen.0 < 2, "{chosen:?} is in the unreachable data centre");
+    }
+    balancer.record_success(START, EndpointKey(9), None);
+    let chosen: Vec<_> = (0..6).filter_map(|_| balancer.choose(START, &[])).collect();
+    assert!(
+        chosen.iter().any(|key| key.0 >= 5),
+        "one response makes the data centre usable again"
+    );
+}
