--- a/crates/kumquatdrum_daemon/src/lifecycle/event.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/event.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use kumquatdrum_types::exchange::{Fault, Standing, Target};
+use kumquatdrum_types::exchange::{Fault, Status, Target};
 use kumquatdrum_types::{AttemptId, EndpointId, Refusal};
 
 /// An event for the life cycle.
@@ -26,9 +26,9 @@
     /// The exchange ended without a complete answer.
     Fault(Fault),
     /// The engine answered a probe with the attempt's status.
-    Probed(Standing),
+    Probed(Status),
     /// The engine confirmed a cancel, with the attempt's status before it.
-    Cancelled(Standing),
+    Cancelled(Status),
     /// The engine could not be reached by a probe or cancel.
     Unreachable,
     /// The retry budget is exhausted.
--- a/crates/kumquatdrum_daemon/src/lifecycle/machine.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/machine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use kumquatdrum_types::exchange::{Fault, Standing, State, Target};
+use kumquatdrum_types::exchange::{Fault, Stage, Status, Target};
 use kumquatdrum_types::{AttemptId, EndpointId, Moment, Refusal};
 
 use super::{Cause, Ending, Input, Output, Policy, Timing};
@@ -155,8 +155,8 @@
             Input::Accepted => self.record_progress(now, |attempt| attempt.is_accepted = true),
             Input::Progress(tokens) => self.handle_progress(now, tokens),
             Input::Fault(fault) => self.handle_fault(now, fault),
-            Input::Probed(standing) => self.handle_probed(now, &standing),
-            Input::Cancelled(standing) => self.handle_cancelled(&standing),
+            Input::Probed(status) => self.handle_probed(now, &status),
+            Input::Cancelled(status) => self.handle_cancelled(&status),
             Input::Unreachable => self.handle_unreachable(now),
             Input::ReservationLost => self.handle_reservation_loss(),
             Input::RetryDenied => self.give_up(self.last_cause.clone()),
@@ -230,13 +230,13 @@
             }
             Fault::NotStarted => self.retry_elsewhere(),
             Fault::Rejected { status, body } => self.handle_rejection(status, body),
-            Fault::Broken | Fault::Crossed if self.policy.is_resumable => {
+            Fault::Broken | Fault::WrongAttempt if self.policy.is_resumable => {
                 if let Some(attempt) = &mut self.attempt {
                     attempt.is_broken = true;
                 }
                 self.probe(now)
             }
-            Fault::Broken | Fault::Crossed => {
+            Fault::Broken | Fault::WrongAttempt => {
                 self.may_have_run = true;
                 self.retry_if_idempotent()
             }
@@ -253,10 +253,10 @@
     }
 
     /// Resumes the answer if the connection has ended or doesn't deliver what the engine generated.
-    fn resume_if_stalled(&mut self, attempt: &Attempt, standing: &Standing) -> Vec<Output> {
+    fn resume_if_stalled(&mut self, attempt: &Attempt, status: &Status) -> Vec<Output> {
         let is_connected = attempt.is_accepted && !attempt.is_broken;
-        let is_finished = standing.state == State::Finished;
-        if is_connected && !is_finished && standing.tokens <= attempt.tokens {
+        let is_finished = status.state == Stage::Finished;
+        if is_connected && !is_finished && status.tokens <= attempt.tokens {
             return Vec::new();
         }
         if let Some(attempt) = &mut self.attempt {
@@ -279,7 +279,7 @@
         vec![output]
     }
 
-    fn handle_probed(&mut self, now: Moment, standing: &Standing) -> Vec<Output> {
+    fn handle_probed(&mut self, now: Moment, status: &Status) -> Vec<Output> {
         let Some(attempt) = self.attempt.clone() else {
             return Vec::new();
         };
@@ -287,38 +287,38 @@
             // The old exchange made progress while the probe was in flight.
             return Vec::new();
         }
-        if standing.boot != attempt.target.boot {
+        if status.boot != attempt.target.boot {
             self.may_have_run = true;
             return self.retry_if_idempotent();
         }
-        match standing.state {
-            State::NeverSeen if self.is_attached => self.give_up(Cause::EndpointLost),
-            State::NeverSeen => {
+        match status.state {
+            Stage::NeverSeen if self.is_attached => self.give_up(Cause::EndpointLost),
+            Stage::NeverSeen => {
                 // The dispatch may still arrive; the cancel prevents it from starting.
                 self.phase = Phase::Cancelling;
                 vec![Output::Cancel(attempt.target, attempt.id)]
             }
-            State::Waiting | State::Running | State::Finished => {
+            Stage::Waiting | Stage::Running | Stage::Finished => {
                 self.phase = Phase::Exchanging;
                 self.next_probe_at = now + self.timing.alive_interval;
-                self.resume_if_stalled(&attempt, standing)
+                self.resume_if_stalled(&attempt, status)
             }
-            State::Failed | State::Cancelled => {
+            Stage::Failed | Stage::Cancelled => {
                 self.may_have_run = true;
                 self.retry_if_idempotent()
             }
         }
     }
 
-    fn handle_cancelled(&mut self, standing: &Standing) -> Vec<Output> {
+    fn handle_cancelled(&mut self, status: &Status) -> Vec<Output> {
         let is_same_boot = self
             .attempt
             .as_ref()
-            .is_some_and(|attempt| attempt.target.boot == standing.boot);
-        match standing.state {
+            .is_some_and(|attempt| attempt.target.boot == status.boot);
+        match status.state {
             _ if self.phase != Phase::Cancelling => Vec::new(),
             // Only the connection failed, so the engine isn't excluded.
-            State::NeverSeen | State::Cancelled if is_same_boot && !standing.started => {
+            Stage::NeverSeen | Stage::Cancelled if is_same_boot && !status.started => {
                 self.attempt = None;
                 self.place_again()
             }
--- a/crates/kumquatdrum_daemon/tests/flight_world.rs
+++ b/crates/kumquatdrum_daemon/tests/flight_world.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use kumquatdrum_daemon::lifecycle::{Ending, Input, Lifecycle, Output, Policy, Timing};
-use kumquatdrum_types::exchange::{Fault, Standing, State, Target};
+use kumquatdrum_types::exchange::{Fault, Stage, Status, Target};
 use kumquatdrum_types::{AttemptId, BootId, EndpointId, Moment, Refusal};
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -154,19 +154,19 @@
         found.expect("the attempt was dispatched")
     }
 
-    fn standing(&mut self, id: &AttemptId) -> Standing {
+    fn status(&mut self, id: &AttemptId) -> Status {
         let boots = self.boots.clone();
         let attempt = self.attempt(id);
         let boot = BootId(boots[attempt.engine]);
         let state = match attempt.started {
-            Some(started_boot) if started_boot == boot && attempt.is_cancelled => State::Cancelled,
+            Some(started_boot) if started_boot == boot && attempt.is_cancelled => Stage::Cancelled,
             Some(started_boot) if started_boot == boot && attempt.tokens == TOKENS => {
-                State::Finished
+                Stage::Finished
             }
-            Some(started_boot) if started_boot == boot => State::Running,
-            _ => State::NeverSeen,
+            Some(started_boot) if started_boot == boot => Stage::Running,
+            _ => Stage::NeverSeen,
         };
-        Standing {
+        Status {
             boot,
             state,
             tokens: attempt.tokens,
@@ -179,7 +179,7 @@
         if self.frozen_until[engine] > self.now || self.chance(10) {
             return self.schedule(1_000, Input::Unreachable);
         }
-        let standing = self.standing(id);
+        let status = self.status(id);
         if is_cancel {
             let attempt = self.attempt(id);
             attempt.is_blocked = true;
@@ -188,9 +188,9 @@
             if self.chance(20) {
                 return self.schedule(1_000, Input::Unreachable);
             }
-            return self.schedule(50, Input::Cancelled(standing));
+            return self.schedule(50, Input::Cancelled(status));
         }
-        self.schedule(50, Input::Probed(standing));
+        self.schedule(50, Input::Probed(status));
     }
 
     fn resume(&mut self, id: &AttemptId, from: u64) {
--- a/crates/kumquatdrum_host/src/canceller.rs
+++ b/crates/kumquatdrum_host/src/canceller.rs
@@ -78,9 +78,9 @@
     }
 
     async fn cancel(&self, cancel: Cancel) {
-        if let Ok(standing) = self.engine.cancel(&cancel.target, &cancel.attempt).await {
+        if let Ok(status) = self.engine.cancel(&cancel.target, &cancel.attempt).await {
             // A different boot of the engine doesn't hold the attempt either.
-            let _ = standing;
+            let _ = status;
             self.queue.lock().confirm(&cancel.attempt);
         }
     }
--- a/crates/kumquatdrum_host/src/control/batch.rs
+++ b/crates/kumquatdrum_host/src/control/batch.rs
@@ -1,7 +1,7 @@
 //! Batches of claims and settlements, and the responses to waiting requests.
 
 use kumquatdrum_setup::control::Page;
-use kumquatdrum_setup::{Answer as Applied, Failure, Standing, State};
+use kumquatdrum_setup::{Answer as Applied, Failure, Standing, StateMachine};
 use tokio::sync::oneshot;
 
 use super::request::Outcome;
@@ -81,7 +81,7 @@
 }
 
 /// Reads the response to a request from the state.
-pub(super) fn read_state(state: &State, request: &Request, standing: Standing) -> Outcome {
+pub(super) fn read_state(state: &StateMachine, request: &Request, standing: Standing) -> Outcome {
     match request {
         Request::Show(selector) => state
             .show(*selector, standing)
@@ -103,7 +103,7 @@
         Request::Key(workspace, key) => {
             let entry = state.claims().get(workspace, key);
             Ok(Response::Key(
-                entry.map(kumquatdrum_setup::claim::Entry::held),
+                entry.map(kumquatdrum_setup::claim::Entry::holder),
             ))
         }
         Request::Apply(_) | Request::Claim(_) | Request::Settle(_) => Err(Failure::Unavailable),
--- a/crates/kumquatdrum_host/src/control/proxy.rs
+++ b/crates/kumquatdrum_host/src/control/proxy.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use kumquatdrum_peer::{Channel, Client};
-use kumquatdrum_setup::claim::Held;
+use kumquatdrum_setup::claim::Holder;
 use kumquatdrum_setup::control::{Page, Reply, Status};
 use kumquatdrum_setup::{
-    ApplyAnswer, Claim, ClaimAnswer, Control, Digest, Failure, Selector, SettleAnswer, Settlement,
-    Shown, Standing,
+    ApplyAnswer, Claim, ClaimAnswer, Control, Digest, Failure, Revision, Selector, SettleAnswer,
+    Settlement, Standing,
 };
 use kumquatdrum_types::{HostId, IdempotencyKey, Version, WorkspaceName};
 use parking_lot::Mutex;
@@ -94,7 +94,7 @@
                         *self.leader.lock() = Some(host);
                         return Ok(response);
                     }
-                    Err(Failure::NotCurrent { leader }) => {
+                    Err(Failure::NotLeader { leader }) => {
                         let hint = leader.filter(|leader| *leader != host);
                         let is_new = hint.is_some() && *self.leader.lock() != hint;
                         if is_new {
@@ -150,9 +150,9 @@
         }
     }
 
-    fn last_known(&self) -> Option<Shown> {
+    fn last_known(&self) -> Option<Revision> {
         let current = self.in_force.current()?;
-        Some(Shown {
+        Some(Revision {
             version: current.offer.version,
             digest: current.offer.digest,
             accepted_unix_ms: current.offer.accepted_unix_ms,
@@ -167,7 +167,7 @@
         }
     }
 
-    async fn show_current(&self, selector: Selector) -> Result<Shown, Failure> {
+    async fn show_current(&self, selector: Selector) -> Result<Revision, Failure> {
         match self.request(Request::Show(selector)).await {
             Ok(Response::Show(shown)) => Ok(shown),
             Ok(_) => Err(Failure::Unavailable),
@@ -177,7 +177,7 @@
     }
 
     /// Returns the version in force on this host, for use without a majority.
-    fn show_last_known(&self, selector: Selector) -> Option<Shown> {
+    fn show_last_known(&self, selector: Selector) -> Option<Revision> {
         let shown = self.last_known()?;
         match selector {
             Selector::Current => Some(shown),
@@ -225,11 +225,11 @@
 }
 
 impl Control for Proxy {
-    fn apply(&self, request: kumquatdrum_setup::Request) -> Reply<'_, ApplyAnswer> {
+    fn apply(&self, request: kumquatdrum_setup::ApplyRequest) -> Reply<'_, ApplyAnswer> {
         expect!(self.request(Request::Apply(request)), Response::Apply)
     }
 
-    fn show(&self, selector: Selector) -> Reply<'_, Shown> {
+    fn show(&self, selector: Selector) -> Reply<'_, Revision> {
         Box::pin(self.show_current(selector))
     }
 
@@ -253,7 +253,7 @@
         expect!(self.request(Request::Settle(settlements)), Response::Settle)
     }
 
-    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Held>> {
+    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Holder>> {
         let request = Request::Key(workspace.clone(), key.clone());
         expect!(self.request(request), Response::Key)
     }
--- a/crates/kumquatdrum_host/src/control/replica.rs
+++ b/crates/kumquatdrum_host/src/control/replica.rs
@@ -13,9 +13,9 @@
 use kumquatdrum_orders::Leadership;
 use kumquatdrum_peer::{Channel, Client};
 use kumquatdrum_process::Metrics;
-use kumquatdrum_setup::state::Prepared;
+use kumquatdrum_setup::state::Preparation;
 use kumquatdrum_setup::{
-    Action, Answer as Applied, Claim, Command, Failure, Settlement, Stamper, Standing, State,
+    Action, Answer as Applied, Claim, Command, Failure, Settlement, Stamper, Standing, StateMachine,
 };
 use kumquatdrum_types::{HostId, Moment, Version};
 use slog::{error, info};
@@ -42,7 +42,7 @@
     /// A request for the leadership that the replica can prove.
     Leadership(oneshot::Sender<Option<Leadership>>),
     /// The host is about to stop, so leadership is transferred.
-    Resign,
+    TransferLeadership,
     /// A batch was written to disk.
     Persisted(u64),
     /// A write to disk failed.
@@ -84,14 +84,14 @@
 
 /// A request that awaits the confirmation of leadership.
 enum Read {
-    Apply(Box<kumquatdrum_setup::Request>),
+    Apply(Box<kumquatdrum_setup::ApplyRequest>),
     Request(Box<Request>),
 }
 
 /// One replica of the control plane.
 pub struct Replica {
     dependencies: Dependencies,
-    state: State,
+    state: StateMachine,
     stamper: Stamper,
     next_tick: Moment,
     published: Version,
@@ -143,7 +143,7 @@
 
     /// Transfers leadership before a planned stop.
     pub fn resign(&self) {
-        let _ = self.events.send(Event::Resign);
+        let _ = self.events.send(Event::TransferLeadership);
     }
 
     /// Returns the node's status; `None` once it has stopped.
@@ -159,7 +159,7 @@
     pub fn new(dependencies: Dependencies) -> Self {
         Self {
             dependencies,
-            state: State::default(),
+            state: StateMachine::default(),
             stamper: Stamper::default(),
             next_tick: Moment::ZERO,
             published: Version(0),
@@ -208,7 +208,7 @@
             Event::Message(message) => self.step(Input::Message(message)),
             Event::Persisted(sequence) => self.step(Input::Persisted { sequence }),
             Event::PersistFailed(reason) => self.step(Input::PersistFailed { reason }),
-            Event::Resign => self.step(Input::Resign),
+            Event::TransferLeadership => self.step(Input::TransferLeadership),
             Event::Status(sender) => {
                 let _ = sender.send(self.dependencies.node.status());
             }
@@ -222,7 +222,7 @@
     fn leadership(&self) -> Option<Leadership> {
         let node = &self.dependencies.node;
         // A leader that is behind would issue orders for an outdated declaration.
-        node.leads_current().then(|| Leadership {
+        node.is_caught_up_leader().then(|| Leadership {
             term: node.term().0,
             lease_until: node.lease_until(),
         })
@@ -235,7 +235,7 @@
                 .node
                 .leader()
                 .map(|leader| leader.host.clone());
-            let _ = sender.send(Err(Failure::NotCurrent { leader }));
+            let _ = sender.send(Err(Failure::NotLeader { leader }));
             return;
         }
         match request {
@@ -293,7 +293,7 @@
             Output::Proposed { token, outcome } => self.handle_proposed(token, outcome),
             Output::ReadConfirmed { token, .. } => self.handle_read_confirmed(token),
             Output::ReadRefused { token, leader } => self.handle_read_refused(token, leader),
-            Output::SnapshotWanted => {
+            Output::SnapshotRequested => {
                 let index = LogIndex(self.state.applied());
                 let data = Bytes::from(self.state.encode());
                 self.step(Input::Snapshot { index, data });
@@ -348,10 +348,10 @@
 
     fn restore(&mut self, index: LogIndex, data: &[u8]) {
         if data.is_empty() {
-            self.state = State::default();
+            self.state = StateMachine::default();
             self.state.skip(index.0);
         } else {
-            match State::restore(data) {
+            match StateMachine::restore(data) {
                 Ok(state) => self.state = state,
                 Err(reason) => {
                     self.is_halted = true;
@@ -401,10 +401,10 @@
         };
         match read {
             Read::Apply(request) => match self.state.prepare(&request) {
-                Prepared::Answered(answer) => {
+                Preparation::Answered(answer) => {
                     let _ = sender.send(Ok(Response::Apply(answer)));
                 }
-                Prepared::Propose(action) => self.propose(action, Waiters::Apply(sender)),
+                Preparation::Propose(action) => self.propose(action, Waiters::Apply(sender)),
             },
             Read::Request(request) => {
                 let _ = sender.send(read_state(&self.state, &request, Standing::Confirmed));
@@ -420,7 +420,7 @@
 }
 
 fn not_current(leader: Option<ReplicaId>) -> Failure {
-    Failure::NotCurrent {
+    Failure::NotLeader {
         leader: leader.map(|leader| leader.host),
     }
 }
--- a/crates/kumquatdrum_host/src/control/request.rs
+++ b/crates/kumquatdrum_host/src/control/request.rs
@@ -1,9 +1,9 @@
 //! Requests to the leading replica.
 
-use kumquatdrum_setup::claim::Held;
+use kumquatdrum_setup::claim::Holder;
 use kumquatdrum_setup::control::Page;
 use kumquatdrum_setup::{
-    ApplyAnswer, Claim, ClaimAnswer, Failure, Selector, SettleAnswer, Settlement, Shown,
+    ApplyAnswer, Claim, ClaimAnswer, Failure, Revision, Selector, SettleAnswer, Settlement,
 };
 use kumquatdrum_types::{IdempotencyKey, WorkspaceName};
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Request {
     /// Apply a declaration.
-    Apply(kumquatdrum_setup::Request),
+    Apply(kumquatdrum_setup::ApplyRequest),
     /// Read a declaration.
     Show(Selector),
     /// Read a page of the audit trail.
@@ -36,7 +36,7 @@
     /// The response to an apply.
     Apply(ApplyAnswer),
     /// The declaration read.
-    Show(Shown),
+    Show(Revision),
     /// The page of the audit trail.
     Audit(Page),
     /// The responses to claims, in their order.
@@ -44,7 +44,7 @@
     /// The responses to settlements, in their order.
     Settle(Vec<SettleAnswer>),
     /// The state of the key, if one is known.
-    Key(Option<Held>),
+    Key(Option<Holder>),
 }
 
 /// A response or the reason for its absence.
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -138,7 +138,7 @@
         workspace: &Workspace,
         prompt_tokens: u64,
         deadline: Duration,
-    ) -> Result<routing::Ask, Problem> {
+    ) -> Result<routing::Request, Problem> {
         let named = ask.priority.as_deref().or(workspace.priority.as_deref());
         let priority = match named.map(|name| index.priority(name)) {
             None => routing::Priority::default(),
@@ -153,8 +153,8 @@
                     .with_message("header x-priority names no declared priority"));
             }
         };
-        Ok(routing::Ask {
-            request: caller.request.clone(),
+        Ok(routing::Request {
+            id: caller.request.clone(),
             workspace: workspace.name.clone(),
             weight: workspace.weight,
             priority,
@@ -163,10 +163,10 @@
             prefix: hash_prefix(ask),
             deadline: self.context.clock.now() + deadline,
             excluded: Vec::new(),
-            work: if ask.model {
-                routing::Work::Model
+            kind: if ask.model {
+                routing::RequestKind::Model
             } else {
-                routing::Work::Plain
+                routing::RequestKind::Plain
             },
         })
     }
@@ -256,14 +256,14 @@
             let caller = self.open(bearer)?;
             let key = IdempotencyKey::new(key);
             let found = self.context.control.key(&caller.workspace, &key).await;
-            let held =
+            let holder =
                 found.map_err(|_| self.refuse(Refusal::ClaimUnavailable, Some(&caller.request)))?;
             Ok(KeyState {
                 key: key.to_string(),
-                state: held
+                state: holder
                     .as_ref()
                     .map_or_else(|| "never_seen".to_owned(), state_name),
-                host: held.map(|held| held.host.to_string()),
+                host: holder.map(|holder| holder.host.to_string()),
             })
         })
     }
@@ -274,8 +274,8 @@
     blocks.into_iter().map(routing::BlockHash).collect()
 }
 
-fn state_name(held: &kumquatdrum_setup::claim::Held) -> String {
-    match serde_json::to_value(held.settled) {
+fn state_name(holder: &kumquatdrum_setup::claim::Holder) -> String {
+    match serde_json::to_value(holder.settled) {
         Ok(serde_json::Value::String(name)) => name,
         _ => "unknown".to_owned(),
     }
--- a/crates/kumquatdrum_host/src/host/components.rs
+++ b/crates/kumquatdrum_host/src/host/components.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use kumquatdrum_peer::{Client, Counters, Identity, Local, Secret};
+use kumquatdrum_peer::{Client, Counters, Identity, LocalDaemon, Secret};
 use kumquatdrum_process::{Drain, Metrics};
 use kumquatdrum_types::BootId;
 use slog::o;
@@ -28,7 +28,7 @@
     pub(super) plain: Arc<kumquatdrum_service::Client>,
     pub(super) canceller: Arc<Canceller>,
     pub(super) reservations: Arc<Reservations>,
-    pub(super) local: Local,
+    pub(super) local: LocalDaemon,
     pub(super) client: Arc<Client>,
     pub(super) logger: slog::Logger,
 }
@@ -92,8 +92,8 @@
     others.chain([settings.host.to_string()]).collect()
 }
 
-fn build_local(settings: &Settings, boot: BootId, logger: &slog::Logger) -> Local {
-    Local {
+fn build_local(settings: &Settings, boot: BootId, logger: &slog::Logger) -> LocalDaemon {
+    LocalDaemon {
         cluster: settings.cluster.name.clone(),
         secret: Secret::new(&settings.cluster.secret),
         identity: Identity {
--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -6,11 +6,11 @@
 use futures::future::join_all;
 use kumquatdrum_caller::admission::Problem;
 use kumquatdrum_daemon::lifecycle::Ending;
-use kumquatdrum_setup::claim::Held;
-use kumquatdrum_setup::{Claim, ClaimAnswer, Failure, Settled, Settlement};
-use kumquatdrum_types::exchange::{State, Target};
+use kumquatdrum_setup::claim::Holder;
+use kumquatdrum_setup::{AttemptStatus, Claim, ClaimAnswer, Failure, Settlement};
+use kumquatdrum_types::exchange::{Stage, Target};
 use kumquatdrum_types::{
-    AttemptId, Class, IdempotencyKey, Moment, Refusal, RequestId, ServiceName, WorkspaceName,
+    AttemptId, FailureClass, IdempotencyKey, Moment, Refusal, RequestId, ServiceName, WorkspaceName,
 };
 use tokio::time::{Instant, sleep, timeout};
 
@@ -61,7 +61,7 @@
                 self.handle_answer(context, answers.into_iter().next())
                     .await
             }
-            Ok(Err(Failure::Unavailable | Failure::NotCurrent { .. })) => {
+            Ok(Err(Failure::Unavailable | Failure::NotLeader { .. })) => {
                 Outcome::Refused(Refusal::ClaimUnavailable, None)
             }
             Ok(Err(_)) | Err(_) => {
@@ -74,11 +74,11 @@
     async fn handle_answer(&self, context: &Arc<Context>, answer: Option<ClaimAnswer>) -> Outcome {
         match answer {
             Some(ClaimAnswer::Granted) => Outcome::Granted,
-            Some(ClaimAnswer::Held(held)) => self.handle_held(context, held).await,
+            Some(ClaimAnswer::Held(holder)) => self.handle_held(context, holder).await,
             Some(ClaimAnswer::Mismatch) => Outcome::Problem(build_problem(
                 "key_mismatch",
                 422,
-                Class::NotRun,
+                FailureClass::NotRun,
                 "the idempotency key belongs to another request",
             )),
             Some(ClaimAnswer::Full) | None => Outcome::Refused(Refusal::ClaimUnavailable, None),
@@ -86,32 +86,34 @@
     }
 
     /// Follows the earlier request's attempt if an engine still holds it.
-    async fn handle_held(&self, context: &Arc<Context>, held: Held) -> Outcome {
-        let followed = match held.settled {
-            Settled::NotRun => return Outcome::Refused(Refusal::ClaimUnavailable, None),
+    async fn handle_held(&self, context: &Arc<Context>, holder: Holder) -> Outcome {
+        let followed = match holder.settled {
+            AttemptStatus::NotRun => return Outcome::Refused(Refusal::ClaimUnavailable, None),
             _ if !self.is_resumable => None,
-            _ => self.find_attempt(context, &held.attempt).await,
+            _ => self.find_attempt(context, &holder.attempt).await,
         };
         match followed {
             Some((target, attempt)) => Outcome::Follow(target, attempt),
-            None => Outcome::Problem(build_key_problem(self.settle_if_orphaned(context, &held))),
+            None => Outcome::Problem(build_key_problem(self.settle_if_orphaned(context, &holder))),
         }
     }
 
     /// Settles a running claim as unknown if its host is dead: no engine holds the attempt, so its
     /// outcome can't be determined.
-    fn settle_if_orphaned(&self, context: &Arc<Context>, held: &Held) -> Settled {
-        let is_orphan = !context.members.live_hosts().contains(&held.host);
-        if held.settled != Settled::Running || !is_orphan {
-            return held.settled;
+    fn settle_if_orphaned(&self, context: &Arc<Context>, holder: &Holder) -> AttemptStatus {
+        let is_orphan = !context.members.live_hosts().contains(&holder.host);
+        if holder.settled != AttemptStatus::Running || !is_orphan {
+            return holder.settled;
         }
         let mut orphan = self.clone();
-        orphan.claim.attempt = held.attempt.clone();
+        orphan.claim.attempt = holder.attempt.clone();
         let shared = Arc::clone(context);
         context.requests.spawn(async move {
-            orphan.settle_with_retries(&shared, Settled::Unknown).await;
+            orphan
+                .settle_with_retries(&shared, AttemptStatus::Unknown)
+                .await;
         });
-        Settled::Unknown
+        AttemptStatus::Unknown
     }
 
     async fn find_attempt(
@@ -127,10 +129,10 @@
             })
         });
         let probes = pairs.map(|(target, attempt)| async move {
-            let standing = context.engine.probe(&target, &attempt).await.ok()?;
+            let status = context.engine.probe(&target, &attempt).await.ok()?;
             let is_held = matches!(
-                standing.state,
-                State::Waiting | State::Running | State::Finished
+                status.state,
+                Stage::Waiting | Stage::Running | Stage::Finished
             );
             is_held.then_some((target, attempt))
         });
@@ -140,13 +142,13 @@
     /// Settles the key in the log. Waits for a short time, then continues in the background.
     pub async fn settle(self, context: &Arc<Context>, ending: &Ending) {
         let settled = match ending {
-            Ending::Finished => Settled::Finished,
+            Ending::Finished => AttemptStatus::Finished,
             Ending::NotRun {
                 refusal: Refusal::ClaimUnavailable,
                 ..
             } => return,
-            Ending::NotRun { .. } => Settled::NotRun,
-            Ending::Failed(_) | Ending::Unknown(_) | Ending::CallerGone => Settled::Unknown,
+            Ending::NotRun { .. } => AttemptStatus::NotRun,
+            Ending::Failed(_) | Ending::Unknown(_) | Ending::CallerGone => AttemptStatus::Unknown,
         };
         let job = context.requests.spawn({
             let context = Arc::clone(context);
@@ -155,7 +157,7 @@
         let _ = timeout(SETTLE_TIMEOUT, job).await;
     }
 
-    async fn settle_with_retries(self, context: &Context, settled: Settled) {
+    async fn settle_with_retries(self, context: &Context, settled: AttemptStatus) {
         let settlement = Settlement {
             workspace: self.claim.workspace.clone(),
             key: self.claim.key.clone(),
@@ -186,7 +188,9 @@
             let mut backoff = Backoff::new();
             while backoff.wait(&shared).await {
                 if shared.control.claim(vec![self.claim.clone()]).await.is_ok() {
-                    return self.settle_with_retries(&shared, Settled::NotRun).await;
+                    return self
+                        .settle_with_retries(&shared, AttemptStatus::NotRun)
+                        .await;
                 }
             }
         });
@@ -223,28 +227,28 @@
 }
 
 /// Returns the problem for a key whose earlier request can't be followed.
-fn build_key_problem(settled: Settled) -> Problem {
+fn build_key_problem(settled: AttemptStatus) -> Problem {
     match settled {
-        Settled::Finished => build_problem(
+        AttemptStatus::Finished => build_problem(
             "key_finished",
             409,
-            Class::Failed,
+            FailureClass::Failed,
             "the key's request ran to its end; its answer is no longer held",
         ),
-        Settled::Running => {
+        AttemptStatus::Running => {
             let mut problem = build_problem(
                 "key_running",
                 409,
-                Class::Unknown,
+                FailureClass::Unknown,
                 "the key's request was dispatched and is not settled yet",
             );
             problem.retry_after_ms = Some(1_000);
             problem
         }
-        Settled::NotRun | Settled::Unknown => build_problem(
+        AttemptStatus::NotRun | AttemptStatus::Unknown => build_problem(
             "key_unknown",
             409,
-            Class::Unknown,
+            FailureClass::Unknown,
             "the key's request was dispatched, and what became of it could not be learnt",
         ),
     }
@@ -258,18 +262,18 @@
     problem: Problem,
 ) -> Problem {
     let unclaimed = kumquatdrum_caller::admission::code(Refusal::ClaimUnavailable);
-    if problem.class != Class::NotRun || problem.code == unclaimed {
+    if problem.class != FailureClass::NotRun || problem.code == unclaimed {
         return problem;
     }
     match context.control.key(workspace, key).await {
         Ok(None) => problem,
-        Ok(Some(held)) if held.settled == Settled::NotRun => problem,
-        Ok(Some(held)) => build_key_problem(held.settled),
+        Ok(Some(holder)) if holder.settled == AttemptStatus::NotRun => problem,
+        Ok(Some(holder)) => build_key_problem(holder.settled),
         Err(_) => Problem::refused(Refusal::ClaimUnavailable, None, problem.request),
     }
 }
 
-fn build_problem(code: &str, status: u16, class: Class, message: &str) -> Problem {
+fn build_problem(code: &str, status: u16, class: FailureClass, message: &str) -> Problem {
     Problem {
         code: code.to_owned(),
         class,
--- a/crates/kumquatdrum_host/src/members.rs
+++ b/crates/kumquatdrum_host/src/members.rs
@@ -1,4 +1,4 @@
-//! Runs the membership and setup distribution cores and applies their outputs to the host.
+//! Runs the membership and setup propagation cores and applies their outputs to the host.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use indexmap::IndexMap;
-use kumquatdrum_membership::spread::{self, Setup, Spread};
+use kumquatdrum_membership::propagation::{self, Propagation, Setup};
 use kumquatdrum_membership::{Change, Condition, Input, Member, Membership, Output, timing};
 use kumquatdrum_peer::{Channel, Client, Identity};
 use kumquatdrum_process::{Drain, Metrics};
@@ -61,7 +61,7 @@
 
 struct Cores {
     membership: Membership,
-    spread: Spread,
+    propagation: Propagation,
     unacknowledged: IndexMap<AnnouncementId, oneshot::Sender<bool>>,
     services: IndexMap<EndpointId, (ServiceName, BootId)>,
     is_ready: bool,
@@ -89,7 +89,7 @@
 /// An input for one of the cores.
 enum Step {
     Membership(Input),
-    Spread(spread::Input),
+    Propagation(propagation::Input),
 }
 
 impl Members {
@@ -100,22 +100,22 @@
         replicas: Vec<HostId>,
         dependencies: Dependencies,
     ) -> Self {
-        let config = spread::Config {
+        let config = propagation::Config {
             host: local.host.clone(),
             data_centre: local.data_centre.clone(),
             boot: local.boot,
-            held: None,
+            stored: None,
         };
-        let mut spread = Spread::new(config);
+        let mut propagation = Propagation::new(config);
         let mut out = Vec::new();
         let now = dependencies.clock.now();
         for member in &others {
-            spread.step(now, build_host_input(member, true), &mut out);
+            propagation.step(now, build_host_input(member, true), &mut out);
         }
-        spread.step(now, spread::Input::Control(replicas), &mut out);
+        propagation.step(now, propagation::Input::Control(replicas), &mut out);
         let cores = Cores {
             membership: Membership::new(local.clone(), others),
-            spread,
+            propagation,
             unacknowledged: IndexMap::new(),
             services: IndexMap::new(),
             is_ready: false,
@@ -136,12 +136,12 @@
 
     /// Ticks the cores until `stopped` resolves.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
-        let mut slots = tokio::time::interval(timing::SLOT);
+        let mut slots = tokio::time::interval(timing::TICK_INTERVAL);
         slots.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = slots.tick() => {
-                    self.step([Step::Membership(Input::Tick), Step::Spread(spread::Input::Tick)]);
+                    self.step([Step::Membership(Input::Tick), Step::Propagation(propagation::Input::Tick)]);
                 }
                 _ = stopped.wait_for(|stopped| *stopped) => return,
             }
@@ -179,14 +179,14 @@
         Ok(())
     }
 
-    /// Handles a setup distribution message of another host.
+    /// Handles a setup propagation message of another host.
     pub fn handle_setup_message(
         &self,
         from: &Identity,
         body: &[u8],
     ) -> Result<(), postcard::Error> {
         let message = postcard::from_bytes(body)?;
-        self.step([Step::Spread(spread::Input::Peer {
+        self.step([Step::Propagation(propagation::Input::Peer {
             from: from.host.clone(),
             boot: from.boot,
             message,
@@ -197,18 +197,18 @@
     /// Distributes a version that this host's replica has applied.
     pub fn publish(&self, offer: &Offer) {
         let setup = Setup::new(offer.version, Bytes::copy_from_slice(offer.text.as_bytes()));
-        self.step([Step::Spread(spread::Input::Offer(setup))]);
+        self.step([Step::Propagation(propagation::Input::Offer(setup))]);
     }
 
     /// Records that this host's replica is in contact with a majority and up to date.
     pub fn record_majority(&self) {
-        self.step([Step::Spread(spread::Input::Majority)]);
+        self.step([Step::Propagation(propagation::Input::Majority)]);
     }
 
     /// Reports a failed dispatch that makes the endpoint suspect.
     pub fn report_failure(&self, endpoint: &EndpointId) {
         let endpoint = endpoint.clone();
-        self.step([Step::Membership(Input::Failed { endpoint })]);
+        self.step([Step::Membership(Input::DispatchFailed { endpoint })]);
     }
 
     fn step(&self, steps: impl IntoIterator<Item = Step>) {
@@ -224,11 +224,11 @@
                         steps.extend(self.execute_membership(&mut cores, output));
                     }
                 }
-                Step::Spread(input) => {
+                Step::Propagation(input) => {
                     let mut out = Vec::new();
-                    cores.spread.step(now, input, &mut out);
+                    cores.propagation.step(now, input, &mut out);
                     for output in out {
-                        steps.extend(self.execute_spread(&mut cores, output));
+                        steps.extend(self.execute_propagation(&mut cores, output));
                     }
                 }
             }
@@ -251,18 +251,22 @@
             Output::Send { to, message } => self.send(&to, Channel::Membership, &message),
             Output::Endpoint { id, change } => self.update_endpoint(cores, &id, change),
             Output::Host { id, condition } => return self.update_host(cores, &id, condition),
-            Output::DataCentre { id, reach } => {
+            Output::DataCentre { id, reachability } => {
                 warn!(self.dependencies.logger, ""; "event" => "data_centre_reach",
-                    "data_centre" => %id, "reach" => ?reach);
+                    "data_centre" => %id, "reach" => ?reachability);
             }
             Output::Member(member) => {
                 self.dependencies
                     .client
                     .set_address(&member.host, member.address);
-                return Some(Step::Spread(build_host_input(&member, true)));
+                return Some(Step::Propagation(build_host_input(&member, true)));
             }
-            Output::Setup { from, boot, status } => {
-                return Some(Step::Spread(spread::Input::Status { from, boot, status }));
+            Output::SetupStatus { from, boot, status } => {
+                return Some(Step::Propagation(propagation::Input::Status {
+                    from,
+                    boot,
+                    status,
+                }));
             }
             Output::AckAnnounce {
                 endpoint,
@@ -286,7 +290,7 @@
 
     fn update_endpoint(&self, cores: &mut Cores, id: &EndpointId, change: Change) {
         let health = match change {
-            Change::Refreshed(announcement) => {
+            Change::Renewed(announcement) => {
                 self.dependencies.routers.announce(&announcement);
                 return;
             }
@@ -295,7 +299,7 @@
                 return;
             }
             Change::Suspect => Health::Suspect,
-            Change::Returned => Health::Alive,
+            Change::Recovered => Health::Alive,
             Change::Leaving => Health::Leaving,
             Change::Gone => Health::Gone,
         };
@@ -360,7 +364,7 @@
         info!(self.dependencies.logger, ""; "event" => "host_changed", "other" => %id,
             "condition" => ?condition);
         let views: Vec<_> = cores.membership.hosts().collect();
-        let is_local = |view: &&kumquatdrum_membership::View<'_>| {
+        let is_local = |view: &&kumquatdrum_membership::Peer<'_>| {
             view.member.data_centre == self.local.data_centre
         };
         let alive = views
@@ -376,32 +380,34 @@
             self.push_orphan(Orphan::Host(id.clone()));
         }
         let is_alive = condition == Condition::Alive;
-        Some(Step::Spread(build_host_input(view.member, is_alive)))
+        Some(Step::Propagation(build_host_input(view.member, is_alive)))
     }
 
-    fn execute_spread(&self, cores: &mut Cores, output: spread::Output) -> Option<Step> {
+    fn execute_propagation(&self, cores: &mut Cores, output: propagation::Output) -> Option<Step> {
         match output {
-            spread::Output::Send { to, message } => self.send(&to, Channel::Setup, &message),
-            spread::Output::InForce(setup) => self.put_in_force(setup),
-            spread::Output::Ready { is_confirmed } => {
+            propagation::Output::Send { to, message } => self.send(&to, Channel::Setup, &message),
+            propagation::Output::InForce(setup) => self.put_in_force(setup),
+            propagation::Output::Ready { is_confirmed } => {
                 info!(self.dependencies.logger, ""; "event" => "ready", "is_confirmed" => is_confirmed);
                 cores.is_ready = true;
             }
-            spread::Output::Status(status) => return Some(Step::Membership(Input::Setup(status))),
-            spread::Output::Holds { .. } => {}
-            spread::Output::CutOff { since } => {
+            propagation::Output::Status(status) => {
+                return Some(Step::Membership(Input::SetupStatus(status)));
+            }
+            propagation::Output::Installed { .. } => {}
+            propagation::Output::CutOff { since } => {
                 self.dependencies
                     .metrics
                     .cut_off
                     .set(i64::from(since.is_some()));
                 warn!(self.dependencies.logger, ""; "event" => "cut_off", "is_cut_off" => since.is_some());
             }
-            spread::Output::Conflict { version, from } => {
+            propagation::Output::Conflict { version, from } => {
                 error!(self.dependencies.logger, ""; "event" => "version_conflict",
                     "version" => %version, "from" => %from);
             }
         }
-        let is_ready = cores.is_ready && cores.spread.version() > Version(0);
+        let is_ready = cores.is_ready && cores.propagation.version() > Version(0);
         self.dependencies.drain.set_ready(is_ready);
         None
     }
@@ -456,12 +462,12 @@
 
     /// Whether this host has lost contact with the majority of the replicas.
     pub fn is_cut_off(&self) -> bool {
-        self.cores.lock().spread.cut_off_since().is_some()
+        self.cores.lock().propagation.cut_off_since().is_some()
     }
 
     /// Returns the time of the last contact with a majority; now, unless this host is cut off.
     pub fn last_majority_unix_ms(&self) -> Option<u64> {
-        let since = self.cores.lock().spread.cut_off_since();
+        let since = self.cores.lock().propagation.cut_off_since();
         let ago = since.map_or(Duration::ZERO, |since| {
             self.dependencies.clock.now() - since
         });
@@ -474,8 +480,8 @@
     }
 }
 
-fn build_host_input(member: &Member, is_alive: bool) -> spread::Input {
-    spread::Input::Host {
+fn build_host_input(member: &Member, is_alive: bool) -> propagation::Input {
+    propagation::Input::Host {
         host: member.host.clone(),
         data_centre: member.data_centre.clone(),
         is_alive,
--- a/crates/kumquatdrum_host/src/members/report.rs
+++ b/crates/kumquatdrum_host/src/members/report.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use kumquatdrum_consensus::Status as NodeStatus;
-use kumquatdrum_membership::{Condition, Member, Record, State};
+use kumquatdrum_membership::{Condition, Liveness, Member, Record};
 use kumquatdrum_setup::control::{self, EndpointStatus, HostStatus, Replica};
 use kumquatdrum_types::{Announcement, HostId};
 
@@ -12,7 +12,7 @@
     /// Returns the status of all hosts, including this one.
     pub fn host_statuses(&self, node: Option<&NodeStatus>, replicas: &[HostId]) -> Vec<HostStatus> {
         let cores = self.cores.lock();
-        let versions: IndexMap<_, _> = cores.spread.holdings().collect();
+        let versions: IndexMap<_, _> = cores.propagation.installations().collect();
         let status = |member: &Member, is_reachable: bool| HostStatus {
             host: member.host.clone(),
             data_centre: member.data_centre.clone(),
@@ -21,7 +21,7 @@
             version: versions.get(&member.host).map(|holding| holding.version),
         };
         let mut local = status(&self.local, true);
-        local.version = Some(cores.spread.version());
+        local.version = Some(cores.propagation.version());
         let others = cores.membership.hosts();
         let others = others.map(|view| status(view.member, view.condition != Condition::Dead));
         std::iter::once(local).chain(others).collect()
@@ -66,11 +66,11 @@
 }
 
 pub(super) fn endpoint_condition(record: &Record) -> control::Condition {
-    match record.state {
-        State::Gone => control::Condition::Gone,
+    match record.liveness {
+        Liveness::Gone => control::Condition::Gone,
         _ if record.announcement.leaving => control::Condition::Leaving,
-        State::Suspect => control::Condition::Suspect,
-        State::Alive => control::Condition::Alive,
+        Liveness::Suspect => control::Condition::Suspect,
+        Liveness::Alive => control::Condition::Alive,
     }
 }
 
--- a/crates/kumquatdrum_host/src/problem.rs
+++ b/crates/kumquatdrum_host/src/problem.rs
@@ -3,7 +3,7 @@
 use kumquatdrum_caller::Reply;
 use kumquatdrum_caller::admission::Problem;
 use kumquatdrum_daemon::lifecycle::{Cause, Ending};
-use kumquatdrum_types::{Class, RequestId};
+use kumquatdrum_types::{FailureClass, RequestId};
 
 const BAD_GATEWAY: u16 = 502;
 const GATEWAY_TIMEOUT: u16 = 504;
@@ -32,19 +32,19 @@
             Some(Reply::Problem(problem))
         }
         Ending::Failed(cause) => Some(Reply::Problem(build_failure_problem(
-            Class::Failed,
+            FailureClass::Failed,
             cause,
             request,
         ))),
         Ending::Unknown(cause) => Some(Reply::Problem(build_failure_problem(
-            Class::Unknown,
+            FailureClass::Unknown,
             cause,
             request,
         ))),
     }
 }
 
-fn build_failure_problem(class: Class, cause: Cause, request: &RequestId) -> Problem {
+fn build_failure_problem(class: FailureClass, cause: Cause, request: &RequestId) -> Problem {
     let (code, status, message, relayed) = match cause {
         Cause::Deadline => (
             "deadline",
--- a/crates/kumquatdrum_host/src/quota.rs
+++ b/crates/kumquatdrum_host/src/quota.rs
@@ -6,7 +6,9 @@
 
 use indexmap::IndexMap;
 use kumquatdrum_peer::{Channel, Client};
-use kumquatdrum_routing::limits::{Demand, Grant, Holder, INTERVAL, Limit, Refused, Steward};
+use kumquatdrum_routing::limits::{
+    Coordinator, DEMAND_INTERVAL, Demand, Grant, Limit, Limiter, Refused,
+};
 use kumquatdrum_types::{BootId, HostId, WorkspaceName};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -17,7 +19,7 @@
 use kumquatdrum_process::clock::Clock;
 
 /// The maximum number of hosts that act as stewards, so that demands can be sent in few messages.
-const MAX_STEWARDS: usize = 9;
+const MAX_COORDINATORS: usize = 9;
 
 /// A message between hosts about limits.
 #[derive(Debug, Serialize, Deserialize)]
@@ -33,8 +35,8 @@
     client: Arc<Client>,
     in_force: Arc<Store>,
     members: Arc<Members>,
-    holder: Mutex<Holder>,
-    steward: Mutex<Steward>,
+    limiter: Mutex<Limiter>,
+    coordinator: Mutex<Coordinator>,
 }
 
 /// An admitted request's share of its workspace's limits; dropping it releases the share.
@@ -69,8 +71,8 @@
     /// Creates a quota without grants.
     pub fn new(dependencies: Dependencies) -> Self {
         let now = dependencies.clock.now();
-        let holder = Holder::new(dependencies.host.clone(), dependencies.hosts, now);
-        let steward = Steward::new(
+        let limiter = Limiter::new(dependencies.host.clone(), dependencies.hosts, now);
+        let coordinator = Coordinator::new(
             dependencies.host.clone(),
             dependencies.boot,
             dependencies.hosts,
@@ -82,8 +84,8 @@
             client: dependencies.client,
             in_force: dependencies.in_force,
             members: dependencies.members,
-            holder: Mutex::new(holder),
-            steward: Mutex::new(steward),
+            limiter: Mutex::new(limiter),
+            coordinator: Mutex::new(coordinator),
         }
     }
 
@@ -94,7 +96,7 @@
         tokens: u64,
     ) -> Result<Permit, Refused> {
         let now = self.clock.now();
-        self.holder.lock().admit(now, workspace, tokens)?;
+        self.limiter.lock().admit(now, workspace, tokens)?;
         Ok(Permit {
             quota: Arc::clone(self),
             workspace: workspace.clone(),
@@ -118,7 +120,7 @@
     /// Sends demands and applies the declared limits until `stopped` resolves.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
         let mut version = self.in_force.subscribe();
-        let mut interval = tokio::time::interval(INTERVAL);
+        let mut interval = tokio::time::interval(DEMAND_INTERVAL);
         loop {
             tokio::select! {
                 _ = interval.tick() => self.send_demands(),
@@ -143,41 +145,43 @@
                 concurrency: declared.concurrency,
             };
             let name = workspace.name.clone();
-            self.steward.lock().set_limit(name.clone(), limit);
-            self.holder.lock().set_limit(now, name, limit);
+            self.coordinator.lock().set_limit(name.clone(), limit);
+            self.limiter.lock().set_limit(now, name, limit);
         }
     }
 
     fn send_demands(&self) {
         let mut live = self.members.live_hosts();
         live.sort();
-        live.truncate(MAX_STEWARDS);
-        let demands = self.holder.lock().demands(self.clock.now(), &live);
-        let mut by_steward: IndexMap<HostId, Vec<Demand>> = IndexMap::new();
-        for (steward, demand) in demands {
-            by_steward.entry(steward).or_default().push(demand);
+        live.truncate(MAX_COORDINATORS);
+        let demands = self.limiter.lock().build_demands(self.clock.now(), &live);
+        let mut by_coordinator: IndexMap<HostId, Vec<Demand>> = IndexMap::new();
+        for (coordinator, demand) in demands {
+            by_coordinator.entry(coordinator).or_default().push(demand);
         }
-        for (steward, demands) in by_steward {
-            if steward == self.host {
+        for (coordinator, demands) in by_coordinator {
+            if coordinator == self.host {
                 self.apply_grants(&self.compute_grants(&demands));
             } else {
-                self.send(&steward, &Message::Demands(demands));
+                self.send(&coordinator, &Message::Demands(demands));
             }
         }
     }
 
     fn compute_grants(&self, demands: &[Demand]) -> Vec<Grant> {
         let now = self.clock.now();
-        let mut steward = self.steward.lock();
-        let grants = demands.iter().map(|demand| steward.demand(now, demand));
+        let mut coordinator = self.coordinator.lock();
+        let grants = demands
+            .iter()
+            .map(|demand| coordinator.handle_demand(now, demand));
         grants.flatten().collect()
     }
 
     fn apply_grants(&self, grants: &[Grant]) {
         let now = self.clock.now();
-        let mut holder = self.holder.lock();
+        let mut limiter = self.limiter.lock();
         for grant in grants {
-            holder.grant(now, grant);
+            limiter.apply_grant(now, grant);
         }
     }
 
@@ -199,7 +203,7 @@
     fn drop(&mut self) {
         let now = self.quota.clock.now();
         let used = self.used.load(Ordering::Relaxed);
-        let mut holder = self.quota.holder.lock();
-        holder.finished(now, &self.workspace, self.expected, used);
+        let mut limiter = self.quota.limiter.lock();
+        limiter.finish(now, &self.workspace, self.expected, used);
     }
 }
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -116,7 +116,7 @@
     pub async fn run(mut self) {
         self.context.metrics.admitted.inc();
         self.context.metrics.in_flight.inc();
-        self.context.routers.count_request(&self.job.service);
+        self.context.routers.record_request(&self.job.service);
         let mut outputs = self.lifecycle.start();
         loop {
             for output in outputs {
@@ -172,9 +172,9 @@
         self.settle_attempt(Progress::Failed(Failure::Broken));
         self.events = None;
         self.operation = None;
-        let mut ask = self.job.routing.clone();
-        ask.excluded = excluded;
-        self.placement = Some(self.context.routers.submit(&self.job.service, ask));
+        let mut request = self.job.routing.clone();
+        request.excluded = excluded;
+        self.placement = Some(self.context.routers.submit(&self.job.service, request));
     }
 
     fn retry(&mut self, excluded: Vec<EndpointId>) {
@@ -259,7 +259,7 @@
         if let Some(attempt) = self.attempt.take() {
             self.context
                 .routers
-                .report_progress(&self.job.service, attempt, progress);
+                .record_progress(&self.job.service, attempt, progress);
         }
     }
 
@@ -267,7 +267,7 @@
         if let Some(attempt) = self.attempt {
             self.context
                 .routers
-                .report_progress(&self.job.service, attempt, progress);
+                .record_progress(&self.job.service, attempt, progress);
         }
     }
 
@@ -440,7 +440,7 @@
                 self.pending = Some(Reply::Summary(data));
                 None
             }
-            Event::Piece(bytes) => {
+            Event::Chunk(bytes) => {
                 self.record_token();
                 self.pending = Some(Reply::Piece(bytes));
                 Some(Input::Progress(self.received))
--- a/crates/kumquatdrum_host/src/request/job.rs
+++ b/crates/kumquatdrum_host/src/request/job.rs
@@ -21,7 +21,7 @@
     /// The service.
     pub service: ServiceName,
     /// The request to the router; excluded endpoints are set for each attempt.
-    pub routing: routing::Ask,
+    pub routing: routing::Request,
     /// The policy of its life cycle.
     pub policy: Policy,
     /// The idempotency key, if the request has one.
--- a/crates/kumquatdrum_host/src/reservations.rs
+++ b/crates/kumquatdrum_host/src/reservations.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 use kumquatdrum_engine::Engine;
-use kumquatdrum_routing::gang::{Answer, Output, Part, Table};
+use kumquatdrum_routing::gang::{self, Output, Reply};
 use kumquatdrum_types::exchange::Target;
 use kumquatdrum_types::{AttemptId, EndpointId, HostId, Moment};
 use parking_lot::Mutex;
@@ -16,8 +16,8 @@
 
 const MAX_SLEEP: Duration = Duration::from_millis(500);
 
-/// The reservation of one attempt.
-pub struct Reservation {
+/// A handle to the reservation of one attempt.
+pub struct Handle {
     /// Resolves once all parts are reserved, with an error if that fails.
     pub ready: oneshot::Receiver<()>,
     /// Resolves if a part is lost after all were reserved.
@@ -34,7 +34,7 @@
 
 #[derive(Default)]
 struct State {
-    table: Table,
+    table: gang::Reservations,
     pending: IndexMap<AttemptId, Pending>,
 }
 
@@ -67,7 +67,7 @@
         attempt: &AttemptId,
         parts: Vec<(Target, u64)>,
         expires: Moment,
-    ) -> Reservation {
+    ) -> Handle {
         let (ready, is_ready) = oneshot::channel();
         let (lost, is_lost) = oneshot::channel();
         let targets = parts
@@ -79,7 +79,7 @@
             ready: Some(ready),
             lost: Some(lost),
         };
-        let parts = parts.into_iter().map(|(target, tokens)| Part {
+        let parts = parts.into_iter().map(|(target, tokens)| gang::Reservation {
             engine: target.endpoint,
             tokens,
         });
@@ -89,7 +89,7 @@
         let outputs = state.table.begin(now, attempt.clone(), parts, expires);
         self.execute(&mut state, outputs);
         self.wake.notify_one();
-        Reservation {
+        Handle {
             ready: is_ready,
             lost: is_lost,
         }
@@ -118,7 +118,7 @@
     /// Removes an engine that is gone, with its reservations.
     pub fn remove_engine(self: &Arc<Self>, engine: &EndpointId) {
         let mut state = self.state.lock();
-        let outputs = state.table.gone(self.clock.now(), engine);
+        let outputs = state.table.remove_engine(self.clock.now(), engine);
         self.execute(&mut state, outputs);
         self.wake.notify_one();
     }
@@ -167,9 +167,9 @@
                 }
                 Output::Reserve {
                     attempt,
-                    part,
+                    reservation,
                     time_to_live,
-                } => self.send_reserve(state, &attempt, part, time_to_live),
+                } => self.send_reserve(state, &attempt, reservation, time_to_live),
                 Output::Release { attempt, engine } => self.send_release(state, attempt, engine),
             }
         }
@@ -179,14 +179,14 @@
         self: &Arc<Self>,
         state: &State,
         attempt: &AttemptId,
-        part: Part,
+        reservation: gang::Reservation,
         ttl: Duration,
     ) {
         let Some(entry) = state.pending.get(attempt) else {
             return;
         };
-        let is_head = entry.head.as_ref() == Some(&part.engine);
-        let Some(target) = entry.targets.get(&part.engine).cloned() else {
+        let is_head = entry.head.as_ref() == Some(&reservation.engine);
+        let Some(target) = entry.targets.get(&reservation.engine).cloned() else {
             return;
         };
         let reservations = Arc::clone(self);
@@ -198,12 +198,14 @@
                 let owner = &reservations.host;
                 reservations
                     .engine
-                    .reserve(&target, &attempt, owner, part.tokens, ttl)
+                    .reserve(&target, &attempt, owner, reservation.tokens, ttl)
                     .await
             };
             match granted {
-                Ok(true) => reservations.handle_answer(&attempt, &part.engine, Answer::Granted),
-                Ok(false) => reservations.handle_answer(&attempt, &part.engine, Answer::Busy),
+                Ok(true) => {
+                    reservations.handle_reply(&attempt, &reservation.engine, Reply::Granted);
+                }
+                Ok(false) => reservations.handle_reply(&attempt, &reservation.engine, Reply::Busy),
                 Err(_) => {}
             }
         });
@@ -217,16 +219,16 @@
         let reservations = Arc::clone(self);
         self.calls.lock().spawn(async move {
             if reservations.engine.release(&target, &attempt).await.is_ok() {
-                reservations.handle_answer(&attempt, &engine, Answer::Released);
+                reservations.handle_reply(&attempt, &engine, Reply::Released);
             }
         });
     }
 
-    fn handle_answer(self: &Arc<Self>, attempt: &AttemptId, engine: &EndpointId, answer: Answer) {
+    fn handle_reply(self: &Arc<Self>, attempt: &AttemptId, engine: &EndpointId, reply: Reply) {
         let mut state = self.state.lock();
         let outputs = state
             .table
-            .answer(self.clock.now(), attempt, engine, answer);
+            .handle_reply(self.clock.now(), attempt, engine, reply);
         self.execute(&mut state, outputs);
         self.wake.notify_one();
     }
--- a/crates/kumquatdrum_host/src/routers.rs
+++ b/crates/kumquatdrum_host/src/routers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use kumquatdrum_routing::{Ask, CacheEvent, Health, Output, Progress, Router, Settings, retry};
+use kumquatdrum_routing::{CacheEvent, Health, Output, Progress, Request, Router, Settings, retry};
 use kumquatdrum_types::endpoint::Kind;
 use kumquatdrum_types::exchange::Target;
 use kumquatdrum_types::{
@@ -183,7 +183,7 @@
             if health == Health::Gone {
                 service.targets.swap_remove(endpoint);
             }
-            let outputs = service.router.health(now, endpoint, health);
+            let outputs = service.router.set_health(now, endpoint, health);
             service.execute(outputs);
         });
     }
@@ -196,16 +196,19 @@
         event: &CacheEvent,
     ) -> bool {
         self.with_service(name, |service, now| {
-            !service.router.cache(now, endpoint, event).is_empty()
+            !service
+                .router
+                .apply_cache_event(now, endpoint, event)
+                .is_empty()
         })
     }
 
     /// Submits a request for placement. The receiver resolves with the decision.
-    pub fn submit(&self, name: &ServiceName, ask: Ask) -> oneshot::Receiver<Decision> {
+    pub fn submit(&self, name: &ServiceName, request: Request) -> oneshot::Receiver<Decision> {
         let (sender, receiver) = oneshot::channel();
         self.with_service(name, |service, now| {
-            service.waiting.insert(ask.request.clone(), sender);
-            let outputs = service.router.submit(now, ask);
+            service.waiting.insert(request.id.clone(), sender);
+            let outputs = service.router.submit(now, request);
             service.execute(outputs);
         });
         receiver
@@ -220,21 +223,21 @@
     }
 
     /// Reports the progress of an attempt.
-    pub fn report_progress(&self, name: &ServiceName, attempt: u64, progress: Progress) {
+    pub fn record_progress(&self, name: &ServiceName, attempt: u64, progress: Progress) {
         self.with_service(name, |service, now| {
-            let outputs = service.router.progress(now, attempt, progress);
+            let outputs = service.router.record_progress(now, attempt, progress);
             service.execute(outputs);
         });
     }
 
     /// Counts a request towards the service's retry budget.
-    pub fn count_request(&self, name: &ServiceName) {
-        self.with_service(name, |service, _| service.budget.request());
+    pub fn record_request(&self, name: &ServiceName) {
+        self.with_service(name, |service, _| service.budget.record_request());
     }
 
     /// Takes a retry from the service's budget. Returns `false` if it is exhausted.
     pub fn take_retry(&self, name: &ServiceName) -> bool {
-        self.with_service(name, |service, _| service.budget.take())
+        self.with_service(name, |service, _| service.budget.try_take())
     }
 
     /// Returns the endpoints of a service that aren't gone.
--- a/crates/kumquatdrum_membership/src/summary.rs
+++ b/crates/kumquatdrum_membership/src/summary.rs
@@ -1,57 +1,56 @@
-//! What one data centre tells the others of itself.
+//! Summaries of the state of a data centre.
 
 use indexmap::IndexMap;
-use kumquatdrum_types::endpoint::Kind;
-use kumquatdrum_types::{DataCentre, HostId, ServiceName};
+use kumquatdrum_types::{DataCentre, HostId, ServiceName, endpoint};
 use serde::{Deserialize, Serialize};
 
-use crate::table::{Record, State};
+use crate::table::{Liveness, Record};
 
-/// The state of a data centre. Sums are rounded down to two significant bits, so that small
-/// movements cost no messages.
+/// State of a data centre. Sums are rounded down to two significant bits, so that small changes
+/// don't cause messages.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The data centre.
+    /// Data centre.
     pub data_centre: DataCentre,
-    /// Its services, by name.
-    pub services: Vec<Part>,
-    /// Its hosts that are not alive.
+    /// Services of the data centre, sorted by name.
+    pub services: Vec<Service>,
+    /// Hosts of the data centre that are not alive.
     pub down: Vec<HostId>,
 }
 
-/// One service in one data centre.
+/// State of one service in one data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
-    /// The service.
+pub struct Service {
+    /// Service.
     pub service: ServiceName,
-    /// Endpoints that take new work.
+    /// Number of endpoints that accept new work.
     pub alive: u32,
-    /// KV memory that they have free, in tokens, rounded.
+    /// Free KV cache of these endpoints in tokens, rounded.
     pub free_memory_tokens: u64,
-    /// Requests that they run or queue, rounded.
+    /// Running and queued requests of these endpoints, rounded.
     pub requests: u64,
-    /// Prompt tokens that they still have to compute, rounded.
+    /// Prompt tokens that these endpoints have yet to prefill, rounded.
     pub prefill_tokens: u64,
 }
 
-/// Sums up the endpoints that take new work.
-pub(crate) fn services<'a>(records: impl Iterator<Item = &'a Record>) -> Vec<Part> {
-    let mut parts: IndexMap<&ServiceName, Part> = IndexMap::new();
+/// Returns the sums over the endpoints that accept new work, by service.
+pub(crate) fn services<'a>(records: impl Iterator<Item = &'a Record>) -> Vec<Service> {
+    let mut services: IndexMap<&ServiceName, Service> = IndexMap::new();
     for record in records {
-        if record.state != State::Alive || record.announcement.leaving {
+        if record.liveness != Liveness::Alive || record.announcement.leaving {
             continue;
         }
-        let service = &record.announcement.service;
-        let part = parts.entry(service).or_insert_with(|| empty(service));
-        add(part, &record.announcement.kind);
+        let name = &record.announcement.service;
+        let service = services.entry(name).or_insert_with(|| empty(name));
+        add(service, &record.announcement.kind);
     }
-    parts.sort_unstable_keys();
-    parts.into_values().map(rounded).collect()
+    services.sort_unstable_keys();
+    services.into_values().map(rounded).collect()
 }
 
-fn empty(service: &ServiceName) -> Part {
-    Part {
-        service: service.clone(),
+fn empty(name: &ServiceName) -> Service {
+    Service {
+        service: name.clone(),
         alive: 0,
         free_memory_tokens: 0,
         requests: 0,
@@ -59,27 +58,27 @@
     }
 }
 
-fn add(part: &mut Part, kind: &Kind) {
-    part.alive += 1;
-    let Kind::Engine(engine) = kind else {
+fn add(service: &mut Service, kind: &endpoint::Kind) {
+    service.alive += 1;
+    let endpoint::Kind::Engine(engine) = kind else {
         return;
     };
     let load = engine.load.clone().unwrap_or_default();
-    part.free_memory_tokens += engine.memory_tokens.saturating_sub(load.memory_used_tokens);
-    part.requests += u64::from(load.running) + u64::from(load.waiting);
-    part.prefill_tokens += load.prefill_tokens;
+    service.free_memory_tokens += engine.memory_tokens.saturating_sub(load.memory_used_tokens);
+    service.requests += u64::from(load.running) + u64::from(load.waiting);
+    service.prefill_tokens += load.prefill_tokens;
 }
 
-fn rounded(part: Part) -> Part {
-    Part {
-        free_memory_tokens: round(part.free_memory_tokens),
-        requests: round(part.requests),
-        prefill_tokens: round(part.prefill_tokens),
-        ..part
+fn rounded(service: Service) -> Service {
+    Service {
+        free_memory_tokens: round(service.free_memory_tokens),
+        requests: round(service.requests),
+        prefill_tokens: round(service.prefill_tokens),
+        ..service
     }
 }
 
-/// Keeps the two highest bits.
+/// Rounds a number down to its two most significant bits.
 fn round(number: u64) -> u64 {
     let low = (u64::BITS - number.leading_zeros()).saturating_sub(2);
     number >> low << low
--- a/crates/kumquatdrum_membership/src/table.rs
+++ b/crates/kumquatdrum_membership/src/table.rs
@@ -1,39 +1,38 @@
-//! The endpoints of the data centre: the newest announcement of each, and whether it lives.
+//! Table of the data centre's endpoints, with the newest announcement and liveness of each.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use kumquatdrum_types::endpoint::Kind;
-use kumquatdrum_types::{Announcement, EndpointId, HostId, Load, Moment};
+use kumquatdrum_types::{Announcement, EndpointId, HostId, Load, Moment, endpoint};
 
 use crate::timing::{
-    FAILURE_HOLD, FAILURE_LIMIT, FAILURE_WINDOW, FORGET_AFTER, GONE_AFTER, HANDOVER, LATE_AFTER,
-    SUSPECT_AFTER,
+    FAILURE_HOLD, FAILURE_LIMIT, FAILURE_WINDOW, FORGET_AFTER, GONE_AFTER, HANDOVER_GRACE,
+    LATE_AFTER, SUSPECT_AFTER,
 };
 use crate::{Change, Key, Output};
 
-/// Whether an endpoint lives, as far as this host knows.
+/// Liveness of an endpoint from this host's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
-    /// It renews its announcement.
+pub enum Liveness {
+    /// The endpoint renews its announcement.
     Alive,
-    /// It doesn't, or dispatches to it fail.
+    /// Renewals are overdue, or dispatches to the endpoint fail.
     Suspect,
-    /// It didn't for long.
+    /// Renewals have been missing for [`GONE_AFTER`].
     Gone,
 }
 
-/// One endpoint.
+/// Record of an endpoint.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// Its newest announcement.
+    /// Newest announcement of the endpoint.
     pub announcement: Announcement,
-    /// Whether it lives.
-    pub state: State,
+    /// Liveness of the endpoint.
+    pub liveness: Liveness,
     pub(crate) key: Key,
     pub(crate) renewed: Moment,
-    /// The host that took the newest announcement; none where it was this one.
-    taker: Option<HostId>,
+    /// Host that the newest announcement came from; `None` if the endpoint sent it to this host.
+    source: Option<HostId>,
     failures: Failures,
 }
 
@@ -44,20 +43,20 @@
     last: Option<Moment>,
 }
 
-/// What a merge brought.
+/// Result of merging an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Novelty {
-    /// Nothing new.
+pub(crate) enum Outcome {
+    /// The announcement contained nothing new.
     Stale,
-    /// A renewal; with a new load or without.
-    Renewed { load: bool },
-    /// A new endpoint, a new life, or a changed record.
+    /// The announcement was renewed.
+    Renewed { has_new_load: bool },
+    /// The endpoint or its incarnation is new, or its record changed.
     Joined,
-    /// A leaving notice.
-    Left,
+    /// The endpoint began to leave.
+    Leaving,
 }
 
-/// All endpoints of the data centre.
+/// Endpoints of the data centre.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     records: IndexMap<EndpointId, Record>,
@@ -78,97 +77,99 @@
         self.records.values()
     }
 
-    /// The digest of all endpoints that aren't gone.
+    /// Returns the digest of all endpoints that aren't gone.
     pub(crate) fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// The endpoints with this key; more than one where keys collide.
-    pub(crate) fn with_key(&self, key: Key) -> &[EndpointId] {
+    /// Returns the endpoints with a key; several if keys collide.
+    pub(crate) fn endpoints_with_key(&self, key: Key) -> &[EndpointId] {
         self.keys.get(&key).map_or(&[], Vec::as_slice)
     }
 
-    /// The endpoint with this key, where there is exactly one.
-    pub(crate) fn by_key(&self, key: Key) -> Option<&EndpointId> {
-        match self.with_key(key) {
+    /// Returns the endpoint with a key, or `None` unless there is exactly one.
+    pub(crate) fn endpoint_with_key(&self, key: Key) -> Option<&EndpointId> {
+        match self.endpoints_with_key(key) {
             [id] => Some(id),
             _ => None,
         }
     }
 
-    /// Takes an announcement that is `age` old, unless a newer one is known.
+    /// Merges an announcement that was renewed `age` ago, unless a newer one is known.
     pub(crate) fn merge(
         &mut self,
         now: Moment,
         announcement: Announcement,
         age: Duration,
-        taker: Option<HostId>,
+        source: Option<HostId>,
         out: &mut Vec<Output>,
-    ) -> Novelty {
-        let renewed = before(now, age);
+    ) -> Outcome {
+        let renewed = moment_before(now, age);
         let known = self.records.get(&announcement.endpoint);
-        match known.map(|record| (order(record), record.state)) {
-            // Late, but a leaving notice counts whenever it comes.
+        match known.map(|record| (ordering_key(record), record.liveness)) {
+            // A leaving notice is never outdated within an incarnation.
             Some(((boot, sequence), _))
                 if announcement.boot == boot && announcement.sequence <= sequence =>
             {
                 if announcement.leaving {
-                    self.leave(&announcement.endpoint, out)
+                    self.mark_leaving(&announcement.endpoint, out)
                 } else {
-                    Novelty::Stale
+                    Outcome::Stale
                 }
             }
-            Some(((boot, _), _)) if announcement.boot < boot => Novelty::Stale,
-            Some((_, State::Gone)) | None if age >= GONE_AFTER => Novelty::Stale,
-            Some(((boot, _), state)) if announcement.boot == boot && state != State::Gone => {
-                self.renew(now, announcement, renewed, taker, out)
+            Some(((boot, _), _)) if announcement.boot < boot => Outcome::Stale,
+            Some((_, Liveness::Gone)) | None if age >= GONE_AFTER => Outcome::Stale,
+            Some(((boot, _), liveness))
+                if announcement.boot == boot && liveness != Liveness::Gone =>
+            {
+                self.renew(now, announcement, renewed, source, out)
             }
-            Some((_, State::Gone)) | None => {
-                self.join(now, announcement, renewed, taker, out);
-                Novelty::Joined
+            Some((_, Liveness::Gone)) | None => {
+                self.join(now, announcement, renewed, source, out);
+                Outcome::Joined
             }
             Some(_) => {
-                tell(out, &announcement.endpoint, Change::Gone);
-                self.join(now, announcement, renewed, taker, out);
-                Novelty::Joined
+                emit(out, &announcement.endpoint, Change::Gone);
+                self.join(now, announcement, renewed, source, out);
+                Outcome::Joined
             }
         }
     }
 
-    /// Takes a renewal of the record with this key; `None` where it isn't known.
-    pub(crate) fn merge_refresh(
+    /// Merges a renewal of the record with a key. Returns `None` if the key is unknown.
+    pub(crate) fn merge_renewal(
         &mut self,
         now: Moment,
         key: Key,
         sequence: u64,
         load: Option<Load>,
-        taker: &HostId,
+        source: &HostId,
         out: &mut Vec<Output>,
-    ) -> Option<Novelty> {
-        let id = self.by_key(key)?;
+    ) -> Option<Outcome> {
+        let id = self.endpoint_with_key(key)?;
         let mut announcement = self.records.get(id)?.announcement.clone();
         announcement.sequence = sequence;
-        if let (Kind::Engine(engine), Some(load)) = (&mut announcement.kind, load) {
+        if let (endpoint::Kind::Engine(engine), Some(load)) = (&mut announcement.kind, load) {
             engine.load = Some(load);
         }
-        Some(self.merge(now, announcement, Duration::ZERO, Some(taker.clone()), out))
+        Some(self.merge(now, announcement, Duration::ZERO, Some(source.clone()), out))
     }
 
-    /// Takes a leaving notice on the record with this key; `None` where it isn't known.
+    /// Merges a leaving notice for the record with a key. Returns `None` if the key is unknown.
     pub(crate) fn merge_leaving(
         &mut self,
         key: Key,
         sequence: u64,
         out: &mut Vec<Output>,
-    ) -> Option<Novelty> {
-        let id = self.by_key(key)?.clone();
+    ) -> Option<Outcome> {
+        let id = self.endpoint_with_key(key)?.clone();
         let record = self.records.get_mut(&id)?;
         record.announcement.sequence = record.announcement.sequence.max(sequence);
-        Some(self.leave(&id, out))
+        Some(self.mark_leaving(&id, out))
     }
 
-    /// Notes a failed dispatch.
-    pub(crate) fn fail(&mut self, now: Moment, id: &EndpointId, out: &mut Vec<Output>) {
+    /// Records a failed dispatch.
+    pub(crate) fn record_failure(&mut self, now: Moment, id: &EndpointId, out: &mut Vec<Output>) {
         let Some(record) = self.records.get_mut(id) else {
             return;
         };
@@ -180,43 +181,44 @@
         }
         record.failures.count += 1;
         record.failures.last = Some(now);
-        let late = now - record.renewed > LATE_AFTER;
-        if record.state == State::Alive && (late || record.failures.count >= FAILURE_LIMIT) {
-            record.state = State::Suspect;
-            tell(out, id, Change::Suspect);
+        let is_late = now - record.renewed > LATE_AFTER;
+        if record.liveness == Liveness::Alive && (is_late || record.failures.count >= FAILURE_LIMIT)
+        {
+            record.liveness = Liveness::Suspect;
+            emit(out, id, Change::Suspect);
         }
     }
 
-    /// Suspects and buries endpoints that weren't renewed. `is_silent` tells whether a host that
-    /// took a renewal has fallen silent since.
+    /// Marks endpoints without renewals as suspect or gone, and removes those that have been gone
+    /// for long. `is_silent` returns whether the host that a renewal came from is silent.
     pub(crate) fn expire(
         &mut self,
         now: Moment,
         is_silent: impl Fn(&HostId) -> bool,
         out: &mut Vec<Output>,
     ) {
-        let mut forgotten = Vec::new();
+        let mut expired = Vec::new();
         for (id, record) in &mut self.records {
             let silence = now - record.renewed;
-            let grace = match &record.taker {
-                Some(taker) if is_silent(taker) => HANDOVER,
+            let grace = match &record.source {
+                Some(source) if is_silent(source) => HANDOVER_GRACE,
                 _ => Duration::ZERO,
             };
-            match record.state {
-                State::Alive if silence > SUSPECT_AFTER + grace => {
-                    record.state = State::Suspect;
-                    tell(out, id, Change::Suspect);
+            match record.liveness {
+                Liveness::Alive if silence > SUSPECT_AFTER + grace => {
+                    record.liveness = Liveness::Suspect;
+                    emit(out, id, Change::Suspect);
                 }
-                State::Suspect if silence > GONE_AFTER + grace => {
-                    self.digest ^= weight(record);
-                    record.state = State::Gone;
-                    tell(out, id, Change::Gone);
+                Liveness::Suspect if silence > GONE_AFTER + grace => {
+                    self.digest ^= digest_contribution(record);
+                    record.liveness = Liveness::Gone;
+                    emit(out, id, Change::Gone);
                 }
-                State::Gone if silence > FORGET_AFTER => forgotten.push(id.clone()),
+                Liveness::Gone if silence > FORGET_AFTER => expired.push(id.clone()),
                 _ => {}
             }
         }
-        for id in forgotten {
+        for id in expired {
             self.remove(&id);
         }
     }
@@ -226,40 +228,40 @@
         now: Moment,
         announcement: Announcement,
         renewed: Moment,
-        taker: Option<HostId>,
+        source: Option<HostId>,
         out: &mut Vec<Output>,
-    ) -> Novelty {
+    ) -> Outcome {
         let id = announcement.endpoint.clone();
         let key = Key::of(&announcement);
         let Some(record) = self.records.get_mut(&id) else {
-            return Novelty::Stale;
+            return Outcome::Stale;
         };
-        let (changed, left) = (
+        let (has_new_key, starts_leaving) = (
             record.key != key,
             announcement.leaving && !record.announcement.leaving,
         );
-        let had = record.announcement.leaving;
-        self.digest ^= weight(record);
-        let load = replace(&mut record.announcement, announcement);
-        // A life that has begun to leave doesn't come back.
-        record.announcement.leaving |= had;
+        let was_leaving = record.announcement.leaving;
+        self.digest ^= digest_contribution(record);
+        let has_new_load = replace_announcement(&mut record.announcement, announcement);
+        // Leaving is final within an incarnation.
+        record.announcement.leaving |= was_leaving;
         let old_key = std::mem::replace(&mut record.key, key);
-        self.digest ^= weight(record);
+        self.digest ^= digest_contribution(record);
         record.renewed = record.renewed.max(renewed);
-        record.taker = taker;
-        record.revive(now, out);
-        tell(out, &id, Change::Refreshed(record.announcement.clone()));
-        if left {
-            tell(out, &id, Change::Leaving);
+        record.source = source;
+        record.clear_suspicion(now, out);
+        emit(out, &id, Change::Renewed(record.announcement.clone()));
+        if starts_leaving {
+            emit(out, &id, Change::Leaving);
         }
-        if changed {
+        if has_new_key {
             self.unlink(old_key, &id);
             self.keys.entry(key).or_default().push(id);
         }
-        match (left, changed) {
-            (true, _) => Novelty::Left,
-            (_, true) => Novelty::Joined,
-            _ => Novelty::Renewed { load },
+        match (starts_leaving, has_new_key) {
+            (true, _) => Outcome::Leaving,
+            (_, true) => Outcome::Joined,
+            _ => Outcome::Renewed { has_new_load },
         }
     }
 
@@ -268,47 +270,47 @@
         now: Moment,
         announcement: Announcement,
         renewed: Moment,
-        taker: Option<HostId>,
+        source: Option<HostId>,
         out: &mut Vec<Output>,
     ) {
         let id = announcement.endpoint.clone();
         self.remove(&id);
         let leaving = announcement.leaving;
-        tell(out, &id, Change::Joined(announcement.clone()));
+        emit(out, &id, Change::Joined(announcement.clone()));
         if leaving {
-            tell(out, &id, Change::Leaving);
+            emit(out, &id, Change::Leaving);
         }
-        let state = if now - renewed > SUSPECT_AFTER {
-            State::Suspect
+        let liveness = if now - renewed > SUSPECT_AFTER {
+            Liveness::Suspect
         } else {
-            State::Alive
+            Liveness::Alive
         };
-        if state == State::Suspect {
-            tell(out, &id, Change::Suspect);
+        if liveness == Liveness::Suspect {
+            emit(out, &id, Change::Suspect);
         }
         let record = Record {
             key: Key::of(&announcement),
             announcement,
-            state,
+            liveness,
             renewed,
-            taker,
+            source,
             failures: Failures::default(),
         };
-        self.digest ^= weight(&record);
+        self.digest ^= digest_contribution(&record);
         self.keys.entry(record.key).or_default().push(id.clone());
         self.records.insert(id, record);
     }
 
-    fn leave(&mut self, id: &EndpointId, out: &mut Vec<Output>) -> Novelty {
+    fn mark_leaving(&mut self, id: &EndpointId, out: &mut Vec<Output>) -> Outcome {
         match self.records.get_mut(id) {
-            Some(record) if !record.announcement.leaving && record.state != State::Gone => {
-                self.digest ^= weight(record);
+            Some(record) if !record.announcement.leaving && record.liveness != Liveness::Gone => {
+                self.digest ^= digest_contribution(record);
                 record.announcement.leaving = true;
-                self.digest ^= weight(record);
-                tell(out, id, Change::Leaving);
-                Novelty::Left
+                self.digest ^= digest_contribution(record);
+                emit(out, id, Change::Leaving);
+                Outcome::Leaving
             }
-            _ => Novelty::Stale,
+            _ => Outcome::Stale,
         }
     }
 
@@ -316,8 +318,8 @@
         let Some(record) = self.records.swap_remove(id) else {
             return;
         };
-        if record.state != State::Gone {
-            self.digest ^= weight(&record);
+        if record.liveness != Liveness::Gone {
+            self.digest ^= digest_contribution(&record);
         }
         self.unlink(record.key, id);
     }
@@ -326,45 +328,45 @@
         if let Some(ids) = self.keys.get_mut(&key) {
             ids.retain(|other| other != id);
         }
-        if self.with_key(key).is_empty() {
+        if self.endpoints_with_key(key).is_empty() {
             self.keys.swap_remove(&key);
         }
     }
 }
 
 impl Record {
-    fn revive(&mut self, now: Moment, out: &mut Vec<Output>) {
-        let held = self
+    fn clear_suspicion(&mut self, now: Moment, out: &mut Vec<Output>) {
+        let is_held = self
             .failures
             .last
             .is_some_and(|last| now - last < FAILURE_HOLD);
-        let fresh = now - self.renewed <= SUSPECT_AFTER;
-        if self.state == State::Suspect && fresh && !held {
-            self.state = State::Alive;
+        let is_fresh = now - self.renewed <= SUSPECT_AFTER;
+        if self.liveness == Liveness::Suspect && is_fresh && !is_held {
+            self.liveness = Liveness::Alive;
             self.failures = Failures::default();
-            tell(out, &self.announcement.endpoint, Change::Returned);
+            emit(out, &self.announcement.endpoint, Change::Recovered);
         }
     }
 }
 
-fn order(record: &Record) -> (kumquatdrum_types::BootId, u64) {
+fn ordering_key(record: &Record) -> (kumquatdrum_types::BootId, u64) {
     (record.announcement.boot, record.announcement.sequence)
 }
 
-fn weight(record: &Record) -> u32 {
-    record.key.weight(record.announcement.leaving)
+fn digest_contribution(record: &Record) -> u32 {
+    record.key.digest_contribution(record.announcement.leaving)
 }
 
-fn tell(out: &mut Vec<Output>, id: &EndpointId, change: Change) {
+fn emit(out: &mut Vec<Output>, id: &EndpointId, change: Change) {
     out.push(Output::Endpoint {
         id: id.clone(),
         change,
     });
 }
 
-/// Replaces an announcement by a newer one of the same life, but keeps the newer load of the two.
+/// Replaces an announcement by a newer one of the same incarnation and keeps the newer load.
 /// Returns whether the load is new.
-fn replace(old: &mut Announcement, mut new: Announcement) -> bool {
+fn replace_announcement(old: &mut Announcement, mut new: Announcement) -> bool {
     let known = load_mut(old).and_then(Option::take);
     let is_new = match (load_mut(&mut new), known) {
         (Some(Some(load)), Some(known)) if load.sequence <= known.sequence => {
@@ -384,12 +386,12 @@
 
 fn load_mut(announcement: &mut Announcement) -> Option<&mut Option<Load>> {
     match &mut announcement.kind {
-        Kind::Engine(engine) => Some(&mut engine.load),
-        Kind::Plain => None,
+        endpoint::Kind::Engine(engine) => Some(&mut engine.load),
+        endpoint::Kind::Plain => None,
     }
 }
 
-fn before(now: Moment, age: Duration) -> Moment {
+fn moment_before(now: Moment, age: Duration) -> Moment {
     let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
     Moment {
         micros: now.micros.saturating_sub(age),
--- a/crates/kumquatdrum_setup/tests/audit.rs
+++ b/crates/kumquatdrum_setup/tests/audit.rs
@@ -1,17 +1,17 @@
-//! The audit trail: each attempt is there, and no change to it goes unseen.
+//! The audit trail records each attempt, and its verification detects any change.
 
 mod support;
 
-use kumquatdrum_setup::audit::{Broken, Entry, verify};
-use kumquatdrum_setup::{Digest, Outcome, Request, State};
+use kumquatdrum_setup::audit::{Entry, Violation, verify};
+use kumquatdrum_setup::{ApplyRequest, Digest, Outcome, StateMachine};
 use kumquatdrum_types::Version;
 use support::{apply, request, text};
 
-fn trail() -> State {
-    let mut state = State::default();
+fn trail() -> StateMachine {
+    let mut state = StateMachine::default();
     apply(&mut state, &request("a", 0, 1));
     apply(&mut state, &request("b", 0, 2));
-    apply(&mut state, &Request::new("c", Version(1), "[]"));
+    apply(&mut state, &ApplyRequest::new("c", Version(1), "[]"));
     apply(&mut state, &request("a", 1, 3));
     apply(&mut state, &request("a", 2, 4));
     state
@@ -43,7 +43,7 @@
     while from <= state.trail().len() {
         let (previous, entries) = state.trail().page(from, 2);
         assert_eq!(previous, head);
-        head = verify(previous, entries).expect("a whole page");
+        head = verify(previous, entries).expect("the page is intact");
         from += entries.len() as u64;
     }
     assert_eq!(head, state.trail().head());
@@ -58,9 +58,9 @@
     let broken = |change: &dyn Fn(&mut Vec<Entry>)| {
         let mut entries = entries.to_vec();
         change(&mut entries);
-        verify(Digest::default(), &entries).expect_err("a changed trail")
+        verify(Digest::default(), &entries).expect_err("the trail was changed")
     };
-    let digest = |sequence| Broken::Digest { sequence };
+    let digest = |sequence| Violation::Digest { sequence };
     assert_eq!(broken(&|e| e[1].record.operator = "x".into()), digest(2));
     assert_eq!(broken(&|e| e[2].record.at_unix_ms += 1), digest(3));
     assert_eq!(
@@ -69,11 +69,11 @@
     );
     assert_eq!(broken(&|e| e[3].record.places.clear()), digest(4));
     assert_eq!(broken(&|e| e[4].digest = Digest::of(b"x")), digest(5));
-    let gap = |expected, found| Broken::Sequence { expected, found };
+    let gap = |expected, found| Violation::Sequence { expected, found };
     assert_eq!(broken(&|e| drop(e.remove(0))), gap(1, 2));
     assert_eq!(broken(&|e| drop(e.remove(2))), gap(3, 4));
     assert_eq!(broken(&|e| e.swap(1, 2)), gap(2, 3));
-    // An entry that is left out and renumbered over still breaks the chain.
+    // A removed entry breaks the chain even if the later ones are renumbered.
     let renumbered = |e: &mut Vec<Entry>| {
         e.remove(2);
         e[2].record.sequence = 3;
@@ -81,14 +81,14 @@
     assert_eq!(broken(&renumbered), digest(3));
 }
 
-/// The digest's input is fixed by the documentation, so that auditors can use their own tools.
+/// The documentation defines the digest's input, so that auditors can use other tools.
 #[test]
-fn the_chain_can_be_computed_from_the_export() {
+fn the_chain_can_be_recomputed_from_the_export() {
     let state = trail();
     let (_, entries) = state.trail().page(1, usize::MAX);
     let mut previous = "0".repeat(64);
     for entry in entries {
-        let exported = serde_json::to_value(entry).expect("an entry");
+        let exported = serde_json::to_value(entry).expect("the entry can be exported");
         let line = format!("{previous}\n{}", exported["record"]);
         previous = kumquatdrum_types::digest::hex(line.as_bytes());
         assert_eq!(exported["digest"], previous.as_str());
