--- a/crates/kumquatdrum_host/src/announce.rs
+++ b/crates/kumquatdrum_host/src/announce.rs
@@ -78,7 +78,7 @@
     };
     if announcement.data_centre != context.settings.data_centre {
         let message = format!(
-            "this host is in data centre {}, the endpoint in {}",
+            "this host stands in {}, the endpoint in {}",
             context.settings.data_centre, announcement.data_centre
         );
         return refused(Status::BadRequest, message);
@@ -90,10 +90,7 @@
         };
         return (Status::Ok, Json(response));
     }
-    refused(
-        Status::ServiceUnavailable,
-        "the announcement is not replicated yet; announce again",
-    )
+    refused(Status::ServiceUnavailable, "not spread yet; announce again")
 }
 
 /// Returns the routes of the endpoints' listener.
--- a/crates/kumquatdrum_host/src/control/proxy.rs
+++ b/crates/kumquatdrum_host/src/control/proxy.rs
@@ -7,8 +7,8 @@
 use kumquatdrum_setup::claim::Holder;
 use kumquatdrum_setup::control::{Page, Reply, Status};
 use kumquatdrum_setup::{
-    ApplyAnswer, Claim, ClaimAnswer, Control, Digest, Failure, Revision, Selector, SettleAnswer,
-    Settlement, Standing,
+    ApplyAnswer, ApplyRequest, Claim, ClaimAnswer, Control, Digest, Failure, Revision, Selector,
+    SettleAnswer, Settlement, Standing,
 };
 use kumquatdrum_types::{HostId, IdempotencyKey, Version, WorkspaceName};
 use parking_lot::Mutex;
@@ -225,7 +225,7 @@
 }
 
 impl Control for Proxy {
-    fn apply(&self, request: kumquatdrum_setup::ApplyRequest) -> Reply<'_, ApplyAnswer> {
+    fn apply(&self, request: ApplyRequest) -> Reply<'_, ApplyAnswer> {
         expect!(self.request(Request::Apply(request)), Response::Apply)
     }
 
--- a/crates/kumquatdrum_host/src/control/replica.rs
+++ b/crates/kumquatdrum_host/src/control/replica.rs
@@ -15,7 +15,8 @@
 use kumquatdrum_process::Metrics;
 use kumquatdrum_setup::state::Preparation;
 use kumquatdrum_setup::{
-    Action, Answer as Applied, Claim, Command, Failure, Settlement, Stamper, Standing, StateMachine,
+    Action, Answer as Applied, ApplyRequest, Claim, Command, Failure, Settlement, Stamper,
+    Standing, StateMachine,
 };
 use kumquatdrum_types::{HostId, Moment, Version};
 use slog::{error, info};
@@ -84,7 +85,7 @@
 
 /// A request that awaits the confirmation of leadership.
 enum Read {
-    Apply(Box<kumquatdrum_setup::ApplyRequest>),
+    Apply(Box<ApplyRequest>),
     Request(Box<Request>),
 }
 
--- a/crates/kumquatdrum_host/src/control/request.rs
+++ b/crates/kumquatdrum_host/src/control/request.rs
@@ -3,7 +3,8 @@
 use kumquatdrum_setup::claim::Holder;
 use kumquatdrum_setup::control::Page;
 use kumquatdrum_setup::{
-    ApplyAnswer, Claim, ClaimAnswer, Failure, Revision, Selector, SettleAnswer, Settlement,
+    ApplyAnswer, ApplyRequest, Claim, ClaimAnswer, Failure, Revision, Selector, SettleAnswer,
+    Settlement,
 };
 use kumquatdrum_types::{IdempotencyKey, WorkspaceName};
 use serde::{Deserialize, Serialize};
@@ -12,7 +13,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Request {
     /// Apply a declaration.
-    Apply(kumquatdrum_setup::ApplyRequest),
+    Apply(ApplyRequest),
     /// Read a declaration.
     Show(Selector),
     /// Read a page of the audit trail.
--- a/crates/kumquatdrum_host/src/peers.rs
+++ b/crates/kumquatdrum_host/src/peers.rs
@@ -51,9 +51,7 @@
         let request = match (channel, postcard::from_bytes(&body)) {
             (Channel::Control, Ok(request)) => request,
             (_, Ok(_)) => {
-                return Box::pin(async {
-                    Err(Error::Handler("the channel takes no requests".into()))
-                });
+                return Box::pin(async { Err(Error::Handler("no such question".into())) });
             }
             (_, Err(error)) => {
                 self.log_decode_error(from, channel, &error);
--- a/crates/kumquatdrum_host/src/problem.rs
+++ b/crates/kumquatdrum_host/src/problem.rs
@@ -49,13 +49,13 @@
         Cause::Deadline => (
             "deadline",
             GATEWAY_TIMEOUT,
-            "the deadline passed before the answer was complete",
+            "the deadline came before the answer was whole",
             None,
         ),
         Cause::EndpointLost => (
             "endpoint_lost",
             BAD_GATEWAY,
-            "the endpoint was lost before the answer was complete",
+            "the endpoint was lost before the answer was whole",
             None,
         ),
         Cause::Rejected { status, body } => (
