--- a/crates/kumquatdrum_setup/tests/in_force.rs
+++ b/crates/kumquatdrum_setup/tests/in_force.rs
@@ -71,7 +71,7 @@
 fn an_accepted_version_is_not_checked_again() {
     let mut in_force = Setup::default();
     let text = r#"{"priorities": [{"name": "card", "level": 1, "aging_ms": 0}]}"#;
-    assert!(kumquatdrum_declaration::checked(text).is_err());
+    assert!(kumquatdrum_declaration::parse_and_check(text).is_err());
     assert_eq!(in_force.accept(&offer(1, text)), Outcome::Accepted);
 }
 
