--- a/crates/kumquatdrum_declaration/tests/repeat.rs
+++ b/crates/kumquatdrum_declaration/tests/idempotency.rs
@@ -1,20 +1,20 @@
-//! Which calls of the examples may be repeated, and look-ups into them.
+//! Idempotency of calls, lookups and differences in the example declarations.
 
 use std::sync::Arc;
 
-use kumquatdrum_declaration::{Index, checked, diff, idempotent};
+use kumquatdrum_declaration::{Index, diff, is_idempotent, parse_and_check};
 
 const TOONIKAART: &str = include_str!("../../../examples/toonikaart.json");
 const TREASURY: &str = include_str!("../../../examples/treasury.json");
 
 fn index(text: &str) -> Index {
     Index::new(Arc::new(
-        checked(text).expect("an example without findings"),
+        parse_and_check(text).expect("an example without findings"),
     ))
 }
 
 #[test]
-fn reorders_and_confirmations_are_not_repeated() {
+fn reorders_and_confirmations_are_not_idempotent() {
     let cases = [
         (TOONIKAART, "salon-api", "POST", "/reorders", false),
         (TOONIKAART, "salon-api", "POST", "/reorders/7", false),
@@ -39,16 +39,16 @@
         let index = index(text);
         let service = index.service(service).expect("a service");
         assert_eq!(
-            idempotent(service, method, path),
+            is_idempotent(service, method, path),
             expected,
             "{method} {path}"
         );
     }
 }
 
-/// Each of these could reach `/reorders` at an endpoint that tidies paths.
+/// An endpoint that normalises paths could route each of these to `/reorders`.
 #[test]
-fn paths_that_can_be_read_in_two_ways_are_not_repeated() {
+fn ambiguous_paths_are_not_idempotent() {
     let index = index(TOONIKAART);
     let service = index.service("salon-api").expect("a service");
     for path in [
@@ -62,16 +62,18 @@
         "/stock-checks/%zz",
         "/stock-checks/%",
     ] {
-        assert!(!idempotent(service, "POST", path), "{path}");
+        assert!(!is_idempotent(service, "POST", path), "{path}");
     }
 }
 
 #[test]
-fn index_finds_what_requests_name() {
+fn index_resolves_keys_and_names() {
     let index = index(TOONIKAART);
-    let caller = index.caller("demo-juuksur-tartu").expect("a workspace");
+    let caller = index
+        .workspace_by_key("demo-juuksur-tartu")
+        .expect("a workspace");
     assert_eq!(caller.name.as_str(), "juuksur-tartu");
-    assert!(index.caller("demo-unknown").is_none());
+    assert!(index.workspace_by_key("demo-unknown").is_none());
     let service = index.service_for(caller, "formula-llm").expect("a service");
     assert_eq!(index.model_of(service).expect("a model").replicas, 25);
     assert!(index.service_for(caller, "treasury-portal").is_none());
@@ -80,8 +82,8 @@
 }
 
 #[test]
-fn a_listed_workspace_may_call_only_what_it_lists() {
-    let mut declaration = checked(TOONIKAART).expect("no findings");
+fn a_workspace_with_a_service_list_can_call_only_these() {
+    let mut declaration = parse_and_check(TOONIKAART).expect("no findings");
     declaration.workspaces[0].services.truncate(1);
     let index = Index::new(Arc::new(declaration));
     let workspace = index.workspace("juuksur-tartu").expect("a workspace");
@@ -90,8 +92,8 @@
 }
 
 #[test]
-fn diff_names_places_and_no_values() {
-    let old = checked(TOONIKAART).expect("no findings");
+fn diff_holds_pointers_without_values() {
+    let old = parse_and_check(TOONIKAART).expect("no findings");
     let mut new = old.clone();
     new.workspaces.swap(0, 1);
     new.workspaces[2].keys[0].sha256 = kumquatdrum_types::digest::hex(b"new key");
