--- a/crates/kumquatdrum_caller/src/admission.rs
+++ b/crates/kumquatdrum_caller/src/admission.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 
 /// A boxed future, so that the trait can stand behind a pointer.
-pub type Answer<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// A caller that proved who it is, with room for its body.
 #[derive(Debug)]
@@ -32,11 +32,11 @@
 
 /// What the caller asks for, as its headers and body say it.
 #[derive(Debug)]
-pub struct Ask {
+pub struct Submission {
     /// The service's name.
     pub service: String,
     /// Whether it came over the model interface.
-    pub model: bool,
+    pub is_model_request: bool,
     /// The HTTP method.
     pub method: String,
     /// The path and query to call at the endpoint.
@@ -46,7 +46,7 @@
     /// The body.
     pub body: Bytes,
     /// Whether the answer is to be streamed.
-    pub stream: bool,
+    pub is_streamed: bool,
     /// Where the prompt stands in the body.
     pub prompt: std::ops::Range<usize>,
     /// The most tokens of the answer, where the caller says.
@@ -58,7 +58,7 @@
     /// The priority that the caller names.
     pub priority: Option<String>,
     /// Whether it may be repeated, where the caller says.
-    pub idempotent: Option<bool>,
+    pub is_idempotent: Option<bool>,
     /// The idempotency key.
     pub key: Option<String>,
 }
@@ -98,7 +98,7 @@
     /// The last event's data before the end.
     Summary(Bytes),
     /// A piece of a plain service's answer.
-    Piece(Bytes),
+    Chunk(Bytes),
     /// The answer is whole.
     Finished,
     /// The answer won't come, or won't be whole.
@@ -129,29 +129,29 @@
 /// The daemon, as the callers' listener sees it.
 pub trait Admission: Send + Sync {
     /// Checks the caller's key, before anything of the body is read.
-    fn open(&self, bearer: Option<&str>) -> Result<Caller, Problem>;
+    fn authenticate(&self, bearer: Option<&str>) -> Result<Caller, Problem>;
 
     /// Takes in a request.
-    fn enter(&self, caller: Caller, ask: Ask) -> Result<Exchange, Problem>;
+    fn submit(&self, caller: Caller, ask: Submission) -> Result<Exchange, Problem>;
 
     /// What the caller of a keyed request may be told where this sending of it was refused: an
     /// earlier sending may have run.
-    fn refused<'a>(
+    fn resolve_refusal<'a>(
         &'a self,
         workspace: &'a WorkspaceName,
         key: &'a str,
         problem: Problem,
-    ) -> Answer<'a, Problem>;
+    ) -> BoxFuture<'a, Problem>;
 
     /// Whether the connection that a caller came by still stands.
-    fn is_here(&self, caller: SocketAddr) -> bool;
+    fn is_connected(&self, caller: SocketAddr) -> bool;
 
     /// Tells what is known of a key of the caller's workspace.
     fn key_state<'a>(
         &'a self,
         bearer: Option<&'a str>,
         key: &'a str,
-    ) -> Answer<'a, Result<KeyState, Problem>>;
+    ) -> BoxFuture<'a, Result<KeyState, Problem>>;
 }
 
 impl Problem {
--- a/crates/kumquatdrum_caller/src/routes.rs
+++ b/crates/kumquatdrum_caller/src/routes.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 use tokio::time::timeout;
 
-use crate::admission::{Admission, Ask, Caller, Exchange, Problem, Reply};
+use crate::admission::{Admission, Caller, Exchange, Problem, Reply, Submission};
 use crate::answer::{Streamed, Whole};
 use crate::assembly::Assembly;
 use crate::body;
@@ -98,14 +98,14 @@
 struct Keyed(Option<(WorkspaceName, String)>);
 
 impl Keyed {
-    fn new(caller: &Caller, ask: &Ask) -> Self {
+    fn new(caller: &Caller, ask: &Submission) -> Self {
         Self(ask.key.clone().map(|key| (caller.workspace.clone(), key)))
     }
 
     /// A refusal as the caller may be told it.
     async fn checked(self, admission: &Arc<dyn Admission>, refused: Problem) -> Problem {
         match self.0 {
-            Some((workspace, key)) => admission.refused(&workspace, &key, refused).await,
+            Some((workspace, key)) => admission.resolve_refusal(&workspace, &key, refused).await,
             None => refused,
         }
     }
@@ -173,21 +173,21 @@
 }
 
 /// What the headers say; the rest is filled in by the route.
-fn headers(caller: &Caller, request: &Request<'_>) -> Result<Ask, Problem> {
-    Ok(Ask {
+fn headers(caller: &Caller, request: &Request<'_>) -> Result<Submission, Problem> {
+    Ok(Submission {
         service: String::new(),
-        model: false,
+        is_model_request: false,
         method: request.method().as_str().to_owned(),
         path: String::new(),
         headers: passed_on(request),
         body: Bytes::new(),
-        stream: false,
+        is_streamed: false,
         prompt: 0..0,
         max_tokens: None,
         prompt_tokens: number(caller, request, "x-prompt-tokens")?,
         deadline: number(caller, request, "x-deadline-ms")?.map(Duration::from_millis),
         priority: request.headers().get_one("x-priority").map(str::to_owned),
-        idempotent: flag(caller, request, "x-idempotent")?,
+        is_idempotent: flag(caller, request, "x-idempotent")?,
         key: key(caller, request)?,
     })
 }
@@ -196,8 +196,8 @@
 fn opened(
     admission: &Arc<dyn Admission>,
     request: &Request<'_>,
-) -> Result<(Caller, Ask, Option<u64>), Problem> {
-    let caller = admission.open(bearer(request))?;
+) -> Result<(Caller, Submission, Option<u64>), Problem> {
+    let caller = admission.authenticate(bearer(request))?;
     let ask = headers(&caller, request)?;
     let length = length(&caller, request)?;
     Ok((caller, ask, length))
@@ -235,13 +235,13 @@
         let entered = async {
             ask.body = body::read(&mut caller, data, length).await?;
             let model = wire::model(&ask.body).map_err(|error| bad(&caller, error.to_string()))?;
-            ask.model = true;
+            ask.is_model_request = true;
             ask.path = request.uri().path().to_string();
             ask.service.clone_from(&model.service);
-            ask.stream = model.stream;
+            ask.is_streamed = model.stream;
             ask.max_tokens = model.max_tokens;
             ask.prompt = model.prompt;
-            let exchange = self.0.enter(caller, ask)?;
+            let exchange = self.0.submit(caller, ask)?;
             Ok((exchange, model.service, model.stream))
         };
         match entered.await {
@@ -282,7 +282,7 @@
         let keyed = Keyed::new(&caller, &ask);
         let entered = async {
             ask.body = body::read(&mut caller, data, length).await?;
-            self.0.enter(caller, ask)
+            self.0.submit(caller, ask)
         };
         match entered.await {
             Ok(exchange) => Ok(exchange),
@@ -342,7 +342,7 @@
                 self.looked = Instant::now();
                 let gone = self
                     .caller
-                    .is_some_and(|caller| !self.admission.is_here(caller));
+                    .is_some_and(|caller| !self.admission.is_connected(caller));
                 if gone {
                     return None;
                 }
@@ -411,7 +411,7 @@
             let body = json!({ "error": problem });
             format!("event: error\ndata: {body}\n\n").into()
         }
-        Reply::Head(_) | Reply::Restart | Reply::Piece(_) => Bytes::new(),
+        Reply::Head(_) | Reply::Restart | Reply::Chunk(_) => Bytes::new(),
     }
 }
 
@@ -436,7 +436,7 @@
                 return answered(request, Whole::json(200, Some(name), &answer));
             }
             Reply::Problem(refused) => return problem(request, &refused),
-            Reply::Head(_) | Reply::Piece(_) => {}
+            Reply::Head(_) | Reply::Chunk(_) => {}
         }
     }
 }
@@ -458,7 +458,7 @@
         };
         match reply {
             Reply::Head(head) => (status, content_type) = (head.status, head.content_type),
-            Reply::Piece(bytes) => collected.extend_from_slice(&bytes),
+            Reply::Chunk(bytes) => collected.extend_from_slice(&bytes),
             Reply::Restart => collected.clear(),
             Reply::Finished => {
                 let answer = Whole {
@@ -486,7 +486,7 @@
 fn pieces(exchange: Exchange) -> impl Stream<Item = Bytes> + Send {
     stream::unfold(exchange, |mut exchange| async move {
         match next(&mut exchange).await {
-            Reply::Piece(bytes) => Some((bytes, exchange)),
+            Reply::Chunk(bytes) => Some((bytes, exchange)),
             _ => None,
         }
     })
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kumquatdrum_caller::Admission;
-use kumquatdrum_caller::admission::{Answer, Ask, Caller, Exchange, KeyState, Problem};
+use kumquatdrum_caller::admission::{BoxFuture, Caller, Exchange, KeyState, Problem, Submission};
 use kumquatdrum_daemon::admission;
 use kumquatdrum_daemon::flight::Plan;
 use kumquatdrum_declaration::{Index, Service, Workspace};
@@ -59,7 +59,7 @@
         Problem::refused(refusal, None, request.cloned())
     }
 
-    fn order(&self, caller: Caller, ask: Ask) -> Result<Order, Problem> {
+    fn order(&self, caller: Caller, ask: Submission) -> Result<Order, Problem> {
         let current = self.current(Some(&caller.request))?;
         let index = &current.index;
         let refuse = |refusal| self.refuse(refusal, Some(&caller.request));
@@ -67,7 +67,7 @@
         let workspace = workspace.ok_or_else(|| refuse(Refusal::Unauthorized))?;
         let service = index
             .service_for(workspace, &ask.service)
-            .filter(|service| index.model_of(service).is_some() == ask.model)
+            .filter(|service| index.model_of(service).is_some() == ask.is_model_request)
             .ok_or_else(|| refuse(Refusal::UnknownService))?;
         let deadline = admission::deadline(service, ask.deadline);
         let prompt_tokens = Self::prompt_tokens(index, service, &ask);
@@ -78,10 +78,10 @@
         let routing = self.routing(&caller, &ask, index, workspace, prompt_tokens, deadline)?;
         let plan = Plan {
             deadline: routing.deadline,
-            idempotent: admission::idempotent(service, &ask.method, &ask.path, ask.idempotent),
+            idempotent: admission::idempotent(service, &ask.method, &ask.path, ask.is_idempotent),
             keyed: ask.key.is_some(),
-            resumable: ask.model,
-            streamed: ask.stream || !ask.model,
+            resumable: ask.is_model_request,
+            streamed: ask.is_streamed || !ask.is_model_request,
             attempts: ATTEMPTS,
         };
         let tokens = prompt_tokens + routing.expected_output_tokens;
@@ -109,7 +109,7 @@
         })
     }
 
-    fn prompt_tokens(index: &Index, service: &Service, ask: &Ask) -> u64 {
+    fn prompt_tokens(index: &Index, service: &Service, ask: &Submission) -> u64 {
         let counted = ask.prompt_tokens.unwrap_or_default();
         match index.model_of(service) {
             _ if counted > 0 => counted,
@@ -121,7 +121,7 @@
     fn routing(
         &self,
         caller: &Caller,
-        ask: &Ask,
+        ask: &Submission,
         index: &Index,
         workspace: &Workspace,
         prompt_tokens: u64,
@@ -151,7 +151,7 @@
             prefix: prefix(ask),
             deadline: self.shell.clock.now() + deadline,
             excluded: Vec::new(),
-            kind: if ask.model {
+            kind: if ask.is_model_request {
                 routing::RequestKind::Model
             } else {
                 routing::RequestKind::Plain
@@ -162,7 +162,7 @@
     fn key(
         &self,
         caller: &Caller,
-        ask: &Ask,
+        ask: &Submission,
         key: &str,
         service: &Service,
         deadline: Duration,
@@ -185,13 +185,13 @@
         Key {
             claim,
             service: service.name.clone(),
-            resumable: ask.model,
+            resumable: ask.is_model_request,
         }
     }
 }
 
 impl Admission for Frontend {
-    fn open(&self, bearer: Option<&str>) -> Result<Caller, Problem> {
+    fn authenticate(&self, bearer: Option<&str>) -> Result<Caller, Problem> {
         let request = self.shell.name();
         let current = self.current(Some(&request))?;
         let workspace = bearer.and_then(|key| current.index.caller(key));
@@ -209,7 +209,7 @@
         })
     }
 
-    fn enter(&self, caller: Caller, ask: Ask) -> Result<Exchange, Problem> {
+    fn submit(&self, caller: Caller, ask: Submission) -> Result<Exchange, Problem> {
         let order = self.order(caller, ask)?;
         let request = order.request.clone();
         let (sender, replies) = mpsc::channel(REPLIES);
@@ -218,19 +218,19 @@
         Ok(Exchange { request, replies })
     }
 
-    fn refused<'a>(
+    fn resolve_refusal<'a>(
         &'a self,
         workspace: &'a WorkspaceName,
         key: &'a str,
         problem: Problem,
-    ) -> Answer<'a, Problem> {
+    ) -> BoxFuture<'a, Problem> {
         Box::pin(async move {
             let key = IdempotencyKey::new(key);
             crate::key::checked(&self.shell, workspace, &key, problem).await
         })
     }
 
-    fn is_here(&self, caller: SocketAddr) -> bool {
+    fn is_connected(&self, caller: SocketAddr) -> bool {
         let connections = self.connections.get();
         connections.is_none_or(|connections| connections.stands(caller))
     }
@@ -239,9 +239,9 @@
         &'a self,
         bearer: Option<&'a str>,
         key: &'a str,
-    ) -> Answer<'a, Result<KeyState, Problem>> {
+    ) -> BoxFuture<'a, Result<KeyState, Problem>> {
         Box::pin(async move {
-            let caller = self.open(bearer)?;
+            let caller = self.authenticate(bearer)?;
             let key = IdempotencyKey::new(key);
             let found = self.shell.control.key(&caller.workspace, &key).await;
             let held =
@@ -257,7 +257,7 @@
     }
 }
 
-fn prefix(ask: &Ask) -> Vec<routing::BlockHash> {
+fn prefix(ask: &Submission) -> Vec<routing::BlockHash> {
     let blocks = kumquatdrum_daemon::prefix::blocks(&ask.body[ask.prompt.clone()]);
     blocks.into_iter().map(routing::BlockHash).collect()
 }
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -432,7 +432,7 @@
             }
             Event::Chunk(bytes) => {
                 self.token();
-                self.pending = Some(Reply::Piece(bytes));
+                self.pending = Some(Reply::Chunk(bytes));
                 Some(Input::Progress(self.received))
             }
             Event::Finished => Some(Input::Finished),
--- a/crates/kumquatdrum_host/src/request/order.rs
+++ b/crates/kumquatdrum_host/src/request/order.rs
@@ -1,6 +1,6 @@
 //! What a request needs to be carried out.
 
-use kumquatdrum_caller::admission::Ask;
+use kumquatdrum_caller::admission::Submission;
 use kumquatdrum_daemon::body::Hold;
 use kumquatdrum_daemon::flight::Plan;
 use kumquatdrum_process::drain::Work;
@@ -17,7 +17,7 @@
     /// Whose it is.
     pub workspace: WorkspaceName,
     /// What it asks for.
-    pub ask: Ask,
+    pub ask: Submission,
     /// The service.
     pub service: ServiceName,
     /// What the router needs to know; excluded endpoints are filled in.
