--- a/crates/kumquatdrum_caller/src/admission.rs
+++ b/crates/kumquatdrum_caller/src/admission.rs
@@ -1,4 +1,4 @@
-//! What the callers' listener needs of the daemon.
+//! Interface between the callers' listener and the daemon.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,130 +12,130 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-/// A boxed future, so that the trait can stand behind a pointer.
+/// A boxed future, which keeps [`Admission`] usable as a trait object.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// A caller that proved who it is, with room for its body.
+/// An authenticated caller with the memory reservation of its body.
 #[derive(Debug)]
 pub struct Caller {
-    /// The request's name from now on.
+    /// Id assigned to the request.
     pub request: RequestId,
-    /// The caller's workspace.
+    /// Workspace of the caller.
     pub workspace: WorkspaceName,
-    /// The most bytes that the body may have.
+    /// Maximum body size in bytes.
     pub body_limit: u64,
-    /// The most bytes of bodies that the workspace may have here.
+    /// Maximum number of body bytes that the workspace may hold on this host.
     pub workspace_limit: Option<u64>,
-    /// The bytes set aside; grows as the body arrives.
+    /// Bytes reserved for the body. Grows while the body arrives.
     pub hold: Hold,
 }
 
-/// What the caller asks for, as its headers and body say it.
+/// A request as submitted by the caller.
 #[derive(Debug)]
 pub struct Submission {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Whether it came over the model interface.
+    /// Whether the request came through the model interface.
     pub is_model_request: bool,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: String,
-    /// The path and query to call at the endpoint.
+    /// Path and query to request from the endpoint.
     pub path: String,
-    /// Headers to caller on, names in lower case.
+    /// Headers to forward, with lower-case names.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
-    /// Whether the answer is to be streamed.
+    /// Whether the caller requests a streamed response.
     pub is_streamed: bool,
-    /// Where the prompt stands in the body.
+    /// Byte range of the prompt in the body.
     pub prompt: std::ops::Range<usize>,
-    /// The most tokens of the answer, where the caller says.
+    /// Maximum number of output tokens, if given.
     pub max_tokens: Option<u64>,
-    /// The caller's own count of prompt tokens.
+    /// Number of prompt tokens as counted by the caller, if given.
     pub prompt_tokens: Option<u64>,
-    /// The deadline that the caller names.
+    /// Deadline relative to now, if given.
     pub deadline: Option<Duration>,
-    /// The priority that the caller names.
+    /// Name of the priority, if given.
     pub priority: Option<String>,
-    /// Whether it may be repeated, where the caller says.
+    /// Whether the request may be retried after dispatch, if given.
     pub is_idempotent: Option<bool>,
-    /// The idempotency key.
+    /// Idempotency key, if given.
     pub key: Option<String>,
 }
 
-/// Why something was not served, in the terms of `docs/CALLERS.md`.
+/// An error response, as described in `docs/CALLERS.md`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// A fixed code.
+    /// Stable error code.
     pub code: String,
-    /// What the caller may conclude.
+    /// Whether the request may have run.
     pub class: FailureClass,
-    /// The same in plain English.
+    /// Human-readable description.
     pub message: String,
-    /// When to come back, in milliseconds, where that is worth it.
+    /// Time until a retry may succeed, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The request's name, for the logs.
+    /// Request id.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
-    /// The HTTP status.
+    /// HTTP status.
     #[serde(skip)]
     pub status: u16,
-    /// The endpoint's own answer, passed on in place of this one's body.
+    /// Error body of the endpoint, relayed in place of the JSON form of this problem.
     #[serde(skip)]
     pub relayed: Option<Bytes>,
 }
 
-/// What arrives for the caller.
+/// An event on the response to a caller.
 #[derive(Debug)]
 pub enum Reply {
-    /// The head of a plain service's answer.
+    /// Status and headers of a plain service's response.
     Head(Head),
-    /// The answer begins anew; nothing of it has been passed on.
+    /// The response restarts from its beginning after a retry. Nothing of it has been sent yet.
     Restart,
-    /// One token's event data.
+    /// Event data of one token.
     Token(Bytes),
-    /// The last event's data before the end.
+    /// Event data that precedes the end, with the finish reason and usage.
     Summary(Bytes),
-    /// A piece of a plain service's answer.
+    /// Part of the body of a plain service's response.
     Chunk(Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     Finished,
-    /// The answer won't come, or won't be whole.
+    /// The response failed or is incomplete.
     Problem(Problem),
 }
 
-/// Replies of one request. Dropping it tells the daemon that the caller has left.
+/// The replies to one request. Dropping it tells the daemon that the caller disconnected.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The request's name.
+    /// Request id.
     pub request: RequestId,
-    /// The replies, in order; the last is `Finished` or `Problem`.
+    /// Replies in order. The last one is `Finished` or `Problem`.
     pub replies: mpsc::Receiver<Reply>,
 }
 
-/// What is known of an idempotency key.
+/// State of an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct KeyState {
-    /// The key.
+    /// Idempotency key.
     pub key: String,
     /// `running`, `finished`, `not_run`, `unknown` or `never_seen`.
     pub state: String,
-    /// The host that dispatched it.
+    /// Host that dispatched the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
 }
 
-/// The daemon, as the callers' listener sees it.
+/// The daemon's interface to the callers' listener.
 pub trait Admission: Send + Sync {
-    /// Checks the caller's key, before anything of the body is read.
+    /// Authenticates the caller. Called before the body is read.
     fn authenticate(&self, bearer: Option<&str>) -> Result<Caller, Problem>;
 
-    /// Takes in a request.
-    fn submit(&self, caller: Caller, ask: Submission) -> Result<Exchange, Problem>;
+    /// Submits a request and returns its replies.
+    fn submit(&self, caller: Caller, submission: Submission) -> Result<Exchange, Problem>;
 
-    /// What the caller of a keyed request may be told where this sending of it was refused: an
-    /// earlier sending may have run.
+    /// Returns the problem to report for a refused request with an idempotency key. An earlier
+    /// request with the same key may have run.
     fn resolve_refusal<'a>(
         &'a self,
         workspace: &'a WorkspaceName,
@@ -143,10 +143,10 @@
         problem: Problem,
     ) -> BoxFuture<'a, Problem>;
 
-    /// Whether the connection that a caller came by still stands.
+    /// Returns whether the caller's connection is still open.
     fn is_connected(&self, caller: SocketAddr) -> bool;
 
-    /// Tells what is known of a key of the caller's workspace.
+    /// Returns the state of an idempotency key in the caller's workspace.
     fn key_state<'a>(
         &'a self,
         bearer: Option<&'a str>,
@@ -155,7 +155,7 @@
 }
 
 impl Problem {
-    /// A refusal: nothing of the request ran.
+    /// Creates a problem for a request that was refused before it ran.
     ///
     /// ```
     /// use kumquatdrum_caller::admission::Problem;
@@ -171,7 +171,7 @@
         request: Option<RequestId>,
     ) -> Self {
         let retry_after = retry_after.or(refusal.default_retry_after());
-        let (status, message) = words(refusal);
+        let (status, message) = status_and_message(refusal);
         Self {
             code: code(refusal),
             class: FailureClass::NotRun,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// The same with a message of its own.
+    /// Replaces the message.
     #[must_use]
     pub fn with_message(mut self, message: impl Into<String>) -> Self {
         self.message = message.into();
@@ -191,7 +191,7 @@
     }
 }
 
-/// The fixed code of a refusal.
+/// Returns the stable error code of a refusal.
 ///
 /// ```
 /// use kumquatdrum_types::Refusal;
@@ -204,24 +204,29 @@
     }
 }
 
-const fn words(refusal: Refusal) -> (u16, &'static str) {
+const fn status_and_message(refusal: Refusal) -> (u16, &'static str) {
     match refusal {
         Refusal::BadRequest => (400, "the request is malformed"),
         Refusal::Unauthorized => (401, "a valid caller's key is required"),
         Refusal::UnknownService => (404, "no such service for this workspace"),
         Refusal::PromptTooLong => (413, "the prompt exceeds what any set of engines can hold"),
         Refusal::BodyTooLarge => (413, "the body exceeds the limit"),
-        Refusal::MemoryFull => (503, "this host holds as many bytes of bodies as it may"),
-        Refusal::RateLimited => (429, "the workspace's rate is used up"),
+        Refusal::MemoryFull => (
+            503,
+            "the request bodies on this host have reached their memory limit",
+        ),
+        Refusal::RateLimited => (429, "the workspace has reached its rate limit"),
         Refusal::ConcurrencyLimited => (429, "the workspace has too many requests in flight"),
         Refusal::Overloaded => (503, "the service can't meet the deadline now"),
         Refusal::NoEndpoint => (503, "no endpoint of the service can take the request now"),
-        Refusal::DeadlineBeforeDispatch => (504, "the deadline came before an endpoint was free"),
+        Refusal::DeadlineBeforeDispatch => {
+            (504, "the deadline passed before an endpoint became free")
+        }
         Refusal::ClaimUnavailable => (
             503,
-            "this sending was not run, and of earlier ones with the key nothing can be learnt now",
+            "this request was not run, and the outcome of earlier requests with the same key is unavailable",
         ),
         Refusal::Draining => (503, "this host is shutting down"),
-        Refusal::NoDeclaration => (503, "no declaration is in force on this host yet"),
+        Refusal::NoDeclaration => (503, "this host has no declaration in force yet"),
     }
 }
--- a/crates/kumquatdrum_caller/src/body.rs
+++ b/crates/kumquatdrum_caller/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's body within its bounds.
+//! Reads request bodies within the memory limits.
 
 use std::io;
 use std::time::Duration;
@@ -10,15 +10,17 @@
 
 use crate::admission::{Caller, Problem};
 
-const PIECE: usize = 64 * 1024;
-/// Bytes of a refused body that are read and dropped.
-const DISCARDED: u64 = 64 * 1024 * 1024;
-/// How long a refused body may take to arrive.
+/// Minimum spare capacity of the buffer before each read, in bytes.
+const READ_BUFFER_SIZE: usize = 64 * 1024;
+/// Maximum number of bytes read from a refused body.
+const MAX_DISCARDED_BYTES: u64 = 64 * 1024 * 1024;
+/// Maximum time spent reading a refused body.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads the whole body. Bytes are taken from the daemon's budget before they are read. What is
-/// left of a refused body is read and dropped, as a caller that still writes when the connection
-/// closes never sees the answer.
+/// Reads the whole body, reserving its bytes in the daemon's body budget.
+///
+/// The rest of a refused body is read and discarded: a caller that is still writing when the
+/// connection closes does not receive the response.
 pub async fn read(
     caller: &mut Caller,
     data: Data<'_>,
@@ -27,20 +29,20 @@
     let mut stream = data.open((caller.body_limit + 1).bytes());
     let body = collect(caller, &mut stream, length).await;
     if body.is_err() {
-        drop_rest(&mut stream).await;
+        drain(&mut stream).await;
     }
     body
 }
 
-/// Reads and drops the body of a caller that is refused for other reasons.
+/// Reads and discards the body of a request that was refused before its body was read.
 pub async fn discard(data: Data<'_>) {
-    drop_rest(&mut data.open(DISCARDED.bytes())).await;
+    drain(&mut data.open(MAX_DISCARDED_BYTES.bytes())).await;
 }
 
-async fn drop_rest(stream: &mut DataStream<'_>) {
+async fn drain(stream: &mut DataStream<'_>) {
     let mut sink = tokio::io::sink();
-    let dropped = tokio::io::copy(stream, &mut sink);
-    let _ = tokio::time::timeout(DISCARD_TIMEOUT, dropped).await;
+    let copy = tokio::io::copy(stream, &mut sink);
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, copy).await;
 }
 
 async fn collect(
@@ -53,40 +55,42 @@
     if length.is_some_and(|length| length > caller.body_limit) {
         return Err(refuse(caller, Refusal::BodyTooLarge));
     }
-    let announced = length.unwrap_or(0);
-    if !caller.hold.grow(announced, caller.workspace_limit) {
+    let expected = length.unwrap_or(0);
+    if !caller.hold.grow(expected, caller.workspace_limit) {
         return Err(refuse(caller, Refusal::MemoryFull));
     }
-    let mut body = BytesMut::with_capacity(announced as usize);
-    let mut held = announced;
+    let mut body = BytesMut::with_capacity(expected as usize);
+    let mut reserved = expected;
     loop {
-        body.reserve(PIECE.min(1 + (held as usize).saturating_sub(body.len())));
+        body.reserve(READ_BUFFER_SIZE.min(1 + (reserved as usize).saturating_sub(body.len())));
         match stream.read_buf(&mut body).await {
-            Ok(0) => return whole(caller, body, length),
+            Ok(0) => return check_length(caller, body, length),
             Ok(_) => {}
-            Err(error) => return Err(cut(caller, &error)),
+            Err(error) => return Err(read_problem(caller, &error)),
         }
         if body.len() as u64 > caller.body_limit {
             return Err(refuse(caller, Refusal::BodyTooLarge));
         }
-        let beyond = (body.len() as u64).saturating_sub(held);
-        if !caller.hold.grow(beyond, caller.workspace_limit) {
+        let excess = (body.len() as u64).saturating_sub(reserved);
+        if !caller.hold.grow(excess, caller.workspace_limit) {
             return Err(refuse(caller, Refusal::MemoryFull));
         }
-        held += beyond;
+        reserved += excess;
     }
 }
 
-fn whole(caller: &Caller, body: BytesMut, length: Option<u64>) -> Result<Bytes, Problem> {
+/// Rejects a body whose size differs from its `content-length` header.
+fn check_length(caller: &Caller, body: BytesMut, length: Option<u64>) -> Result<Bytes, Problem> {
     match length {
-        Some(length) if length != body.len() as u64 => {
-            Err(cut(caller, &io::Error::from(io::ErrorKind::UnexpectedEof)))
-        }
+        Some(length) if length != body.len() as u64 => Err(read_problem(
+            caller,
+            &io::Error::from(io::ErrorKind::UnexpectedEof),
+        )),
         _ => Ok(body.freeze()),
     }
 }
 
-fn cut(caller: &Caller, error: &io::Error) -> Problem {
+fn read_problem(caller: &Caller, error: &io::Error) -> Problem {
     Problem::refused(Refusal::BadRequest, None, Some(caller.request.clone()))
         .with_message(format!("the body could not be read: {error}"))
 }
--- a/crates/kumquatdrum_caller/src/assembly.rs
+++ b/crates/kumquatdrum_caller/src/completion.rs
@@ -1,24 +1,24 @@
-//! Putting a streamed answer together for callers that want it in one piece.
+//! Combines the events of a streamed completion for callers that did not request streaming.
 
 use bytes::Bytes;
 use serde_json::{Value, json};
 
-/// The parts of an answer so far.
+/// Accumulates the events of one completion.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct Accumulator {
     text: String,
-    finish: Option<Value>,
+    finish_reason: Option<Value>,
     usage: Option<Value>,
-    chat: bool,
+    is_chat: bool,
 }
 
-impl Assembly {
-    /// Takes in one event's data.
+impl Accumulator {
+    /// Adds the data of one event.
     ///
     /// ```
-    /// let mut assembly = kumquatdrum_caller::assembly::Assembly::default();
-    /// assembly.push(&br#"{"choices":[{"text":"7.1"}]}"#[..].into());
-    /// assert_eq!(assembly.answer("r1", "formula")["choices"][0]["text"], "7.1");
+    /// let mut accumulator = kumquatdrum_caller::completion::Accumulator::default();
+    /// accumulator.push(&br#"{"choices":[{"text":"7.1"}]}"#[..].into());
+    /// assert_eq!(accumulator.finish("r1", "formula")["choices"][0]["text"], "7.1");
     /// ```
     pub fn push(&mut self, data: &Bytes) {
         let Ok(value) = serde_json::from_slice::<Value>(data) else {
@@ -29,27 +29,27 @@
             self.text.push_str(text);
         }
         if choice["delta"].is_object() {
-            self.chat = true;
+            self.is_chat = true;
             self.text
                 .push_str(choice["delta"]["content"].as_str().unwrap_or_default());
         }
         if choice["finish_reason"].is_string() {
-            self.finish = Some(choice["finish_reason"].clone());
+            self.finish_reason = Some(choice["finish_reason"].clone());
         }
         if value["usage"].is_object() {
             self.usage = Some(value["usage"].clone());
         }
     }
 
-    /// The whole answer.
-    pub fn answer(self, request: &str, model: &str) -> Value {
-        let (object, part) = if self.chat {
+    /// Returns the response body of the whole completion.
+    pub fn finish(self, request: &str, model: &str) -> Value {
+        let (object, part) = if self.is_chat {
             let message = json!({"role": "assistant", "content": self.text});
             ("chat.completion", ("message", message))
         } else {
             ("text_completion", ("text", Value::String(self.text)))
         };
-        let mut choice = json!({"index": 0, "finish_reason": self.finish});
+        let mut choice = json!({"index": 0, "finish_reason": self.finish_reason});
         choice[part.0] = part.1;
         json!({
             "id": request,
--- a/crates/kumquatdrum_caller/src/lib.rs
+++ b/crates/kumquatdrum_caller/src/lib.rs
@@ -1,9 +1,9 @@
-//! Callers: HTTP in, streams, deadlines and errors.
+//! HTTP interface for callers: requests, streamed responses, deadlines and errors.
 
 pub mod admission;
-pub mod answer;
-pub mod assembly;
 pub mod body;
+pub mod completion;
+pub mod response;
 pub mod routes;
 pub mod wire;
 
--- a/crates/kumquatdrum_caller/src/answer.rs
+++ b/crates/kumquatdrum_caller/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers as rocket sends them.
+//! Responses of the callers' routes as rocket responders.
 
 use std::io::Cursor;
 
@@ -12,35 +12,35 @@
 
 use crate::admission::Problem;
 
-/// An answer whose body arrives piece by piece.
+/// A response with a streamed body.
 pub struct Streamed<S> {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
     pub content_type: Option<String>,
-    /// The request's name.
+    /// Request id, sent in the `x-request-id` header.
     pub request: String,
-    /// The pieces.
-    pub pieces: S,
+    /// Body chunks.
+    pub chunks: S,
 }
 
-/// An answer in one piece.
+/// A response whose whole body is in memory.
 #[derive(Debug)]
-pub struct Whole {
+pub struct Buffered {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
     pub content_type: Option<String>,
-    /// The request's name.
+    /// Request id, sent in the `x-request-id` header.
     pub request: Option<String>,
-    /// When to come back, in milliseconds.
+    /// Time until the caller may retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
     /// The body.
     pub body: Bytes,
 }
 
-impl Whole {
-    /// A problem as a caller reads it. An endpoint's own error keeps its body.
+impl Buffered {
+    /// Creates an error response. The body of an error relayed from an endpoint stays unchanged.
     pub fn problem(problem: &Problem) -> Self {
         let body = match &problem.relayed {
             Some(body) => body.clone(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A JSON answer.
+    /// Creates a JSON response.
     pub fn json(status: u16, request: Option<String>, body: &impl serde::Serialize) -> Self {
         Self {
             status,
@@ -77,7 +77,7 @@
     S: Send + 'r + Stream<Item = Bytes>,
 {
     fn respond_to(self, request: &'r Request<'_>) -> Result<'r> {
-        let mut response = ByteStream(self.pieces).respond_to(request)?;
+        let mut response = ByteStream(self.chunks).respond_to(request)?;
         response.set_status(Status::new(self.status));
         response.set_header(content_type(self.content_type.as_ref()));
         response.set_header(Header::new("cache-control", "no-store"));
@@ -86,7 +86,7 @@
     }
 }
 
-impl<'r> Responder<'r, 'static> for Whole {
+impl<'r> Responder<'r, 'static> for Buffered {
     fn respond_to(self, _: &'r Request<'_>) -> Result<'static> {
         let mut builder = Response::build();
         builder
--- a/crates/kumquatdrum_caller/src/routes.rs
+++ b/crates/kumquatdrum_caller/src/routes.rs
@@ -1,8 +1,8 @@
-//! The callers' routes.
+//! Routes of the callers' listener.
 //!
-//! A streamed answer's head is sent at the first token, or after [`EARLY`] without one: from then
-//! on comments keep the connection alive, and a caller that left is noticed at the next of them.
-//! rocket itself would let the engine work on for a caller that is gone.
+//! A streamed response starts with the first token, or after [`FIRST_TOKEN_TIMEOUT`] without one.
+//! Comments then keep the connection alive. Sending them detects a disconnected caller, which
+//! rocket does not report while a stream is idle.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,19 +19,19 @@
 use tokio::time::timeout;
 
 use crate::admission::{Admission, Caller, Exchange, Problem, Reply, Submission};
-use crate::answer::{Streamed, Whole};
-use crate::assembly::Assembly;
 use crate::body;
+use crate::completion::Accumulator;
+use crate::response::{Buffered, Streamed};
 use crate::wire;
 use kumquatdrum_types::{Refusal, WorkspaceName};
 
-/// How long a streamed answer's head waits for the first token.
-pub const EARLY: Duration = Duration::from_millis(250);
-/// A silent stream carries a comment this often.
+/// Maximum time that the head of a streamed response is delayed for the first token.
+pub const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_millis(250);
+/// Interval of comments on an idle stream, and of checks whether a caller is still connected.
 pub const KEEP_ALIVE: Duration = Duration::from_millis(500);
 
-const COMMENT: &[u8] = b": waiting\n\n";
-const END: &[u8] = b"data: [DONE]\n\n";
+const KEEP_ALIVE_COMMENT: &[u8] = b": waiting\n\n";
+const END_EVENT: &[u8] = b"data: [DONE]\n\n";
 const METHODS: [Method; 7] = [
     Method::Get,
     Method::Put,
@@ -41,8 +41,8 @@
     Method::Head,
     Method::Options,
 ];
-/// Headers of callers that are ours, or belong to one connection; they are not passed on.
-const KEPT: [&str; 14] = [
+/// Request headers that are not forwarded: they are meant for the daemon or for one connection.
+const CONSUMED: [&str; 14] = [
     "authorization",
     "connection",
     "content-length",
@@ -58,7 +58,7 @@
     "x-priority",
     "x-prompt-tokens",
 ];
-/// Headers that only daemons may set towards endpoints.
+/// Headers towards endpoints that only daemons may set.
 const RESERVED: [&str; 5] = [
     "x-attempt-id",
     "x-reservation",
@@ -67,46 +67,46 @@
     "x-request-id",
 ];
 
-/// All routes of the callers' listener.
+/// Returns all routes of the callers' listener.
 pub fn all(admission: Arc<dyn Admission>) -> Vec<Route> {
     let mut routes = vec![
-        Route::new(Method::Post, "/v1/completions", Model(admission.clone())),
+        Route::new(Method::Post, "/v1/completions", Models(admission.clone())),
         Route::new(
             Method::Post,
             "/v1/chat/completions",
-            Model(admission.clone()),
+            Models(admission.clone()),
         ),
         Route::new(Method::Get, "/v1/keys/<key>", Keys(admission.clone())),
     ];
     for method in METHODS {
-        let plain = Plain(admission.clone());
-        routes.push(Route::new(method, "/services/<service>/<path..>", plain));
+        let services = Services(admission.clone());
+        routes.push(Route::new(method, "/services/<service>/<path..>", services));
     }
     routes
 }
 
 #[derive(Clone)]
-struct Model(Arc<dyn Admission>);
+struct Models(Arc<dyn Admission>);
 
 #[derive(Clone)]
-struct Plain(Arc<dyn Admission>);
+struct Services(Arc<dyn Admission>);
 
 #[derive(Clone)]
 struct Keys(Arc<dyn Admission>);
 
-/// Whose key a request carries, if any.
-struct Keyed(Option<(WorkspaceName, String)>);
+/// The idempotency key of a request and the workspace it belongs to, if it has one.
+struct IdempotencyKey(Option<(WorkspaceName, String)>);
 
-impl Keyed {
-    fn new(caller: &Caller, ask: &Submission) -> Self {
-        Self(ask.key.clone().map(|key| (caller.workspace.clone(), key)))
+impl IdempotencyKey {
+    fn new(caller: &Caller, call: &Submission) -> Self {
+        Self(call.key.clone().map(|key| (caller.workspace.clone(), key)))
     }
 
-    /// A refusal as the caller may be told it.
-    async fn checked(self, admission: &Arc<dyn Admission>, refused: Problem) -> Problem {
+    /// Returns the problem to report for a refused request.
+    async fn resolve(self, admission: &Arc<dyn Admission>, refusal: Problem) -> Problem {
         match self.0 {
-            Some((workspace, key)) => admission.resolve_refusal(&workspace, &key, refused).await,
-            None => refused,
+            Some((workspace, key)) => admission.resolve_refusal(&workspace, &key, refusal).await,
+            None => refusal,
         }
     }
 }
@@ -116,51 +116,54 @@
     value.strip_prefix("Bearer ").map(str::trim)
 }
 
-fn answered<'r, 'o: 'r>(request: &'r Request<'_>, answer: impl Responder<'r, 'o>) -> Outcome<'r> {
-    match answer.respond_to(request) {
+fn respond<'r, 'o: 'r>(request: &'r Request<'_>, response: impl Responder<'r, 'o>) -> Outcome<'r> {
+    match response.respond_to(request) {
         Ok(response) => Outcome::Success(response),
         Err(status) => Outcome::Error(status),
     }
 }
 
-fn problem<'r>(request: &'r Request<'_>, problem: &Problem) -> Outcome<'r> {
-    answered(request, Whole::problem(problem))
+fn respond_problem<'r>(request: &'r Request<'_>, problem: &Problem) -> Outcome<'r> {
+    respond(request, Buffered::problem(problem))
 }
 
-fn bad(caller: &Caller, message: impl Into<String>) -> Problem {
+fn invalid(caller: &Caller, message: impl Into<String>) -> Problem {
     Problem::refused(Refusal::BadRequest, None, Some(caller.request.clone())).with_message(message)
 }
 
-fn number(caller: &Caller, request: &Request<'_>, name: &str) -> Result<Option<u64>, Problem> {
+fn parse_u64(caller: &Caller, request: &Request<'_>, name: &str) -> Result<Option<u64>, Problem> {
     let Some(text) = request.headers().get_one(name) else {
         return Ok(None);
     };
     let read = text.trim().parse().map(Some);
-    read.map_err(|_| bad(caller, format!("header {name} must be a whole number")))
+    read.map_err(|_| invalid(caller, format!("header {name} must be a whole number")))
 }
 
-fn flag(caller: &Caller, request: &Request<'_>, name: &str) -> Result<Option<bool>, Problem> {
+fn parse_flag(caller: &Caller, request: &Request<'_>, name: &str) -> Result<Option<bool>, Problem> {
     match request.headers().get_one(name).map(str::trim) {
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
-        Some(_) => Err(bad(caller, format!("header {name} must be true or false"))),
+        Some(_) => Err(invalid(
+            caller,
+            format!("header {name} must be true or false"),
+        )),
     }
 }
 
-fn key(caller: &Caller, request: &Request<'_>) -> Result<Option<String>, Problem> {
-    const LONGEST: usize = 256;
+fn parse_key(caller: &Caller, request: &Request<'_>) -> Result<Option<String>, Problem> {
+    const MAX_BYTES: usize = 256;
     match request.headers().get_one("idempotency-key") {
-        Some("") => Err(bad(caller, "header idempotency-key must not be empty")),
-        Some(key) if key.len() > LONGEST => Err(bad(
+        Some("") => Err(invalid(caller, "header idempotency-key must not be empty")),
+        Some(key) if key.len() > MAX_BYTES => Err(invalid(
             caller,
-            format!("header idempotency-key must have at most {LONGEST} bytes"),
+            format!("header idempotency-key must have at most {MAX_BYTES} bytes"),
         )),
         key => Ok(key.map(str::to_owned)),
     }
 }
 
-fn passed_on(request: &Request<'_>) -> Vec<(String, String)> {
+fn forwarded_headers(request: &Request<'_>) -> Vec<(String, String)> {
     request
         .headers()
         .iter()
@@ -168,131 +171,134 @@
             let name = header.name().as_str().to_ascii_lowercase();
             (name, header.value().to_owned())
         })
-        .filter(|(name, _)| !KEPT.contains(&name.as_str()) && !RESERVED.contains(&name.as_str()))
+        .filter(|(name, _)| {
+            !CONSUMED.contains(&name.as_str()) && !RESERVED.contains(&name.as_str())
+        })
         .collect()
 }
 
-/// What the headers say; the rest is filled in by the route.
-fn headers(caller: &Caller, request: &Request<'_>) -> Result<Submission, Problem> {
+/// Creates a submission from the headers. The route fills in the other fields.
+fn submission_from_headers(caller: &Caller, request: &Request<'_>) -> Result<Submission, Problem> {
     Ok(Submission {
         service: String::new(),
         is_model_request: false,
         method: request.method().as_str().to_owned(),
         path: String::new(),
-        headers: passed_on(request),
+        headers: forwarded_headers(request),
         body: Bytes::new(),
         is_streamed: false,
         prompt: 0..0,
         max_tokens: None,
-        prompt_tokens: number(caller, request, "x-prompt-tokens")?,
-        deadline: number(caller, request, "x-deadline-ms")?.map(Duration::from_millis),
+        prompt_tokens: parse_u64(caller, request, "x-prompt-tokens")?,
+        deadline: parse_u64(caller, request, "x-deadline-ms")?.map(Duration::from_millis),
         priority: request.headers().get_one("x-priority").map(str::to_owned),
-        is_idempotent: flag(caller, request, "x-idempotent")?,
-        key: key(caller, request)?,
+        is_idempotent: parse_flag(caller, request, "x-idempotent")?,
+        key: parse_key(caller, request)?,
     })
 }
 
-/// All that can be said before the body is read.
-fn opened(
+/// Authenticates the caller and parses the headers. Also returns the `content-length`.
+fn open(
     admission: &Arc<dyn Admission>,
     request: &Request<'_>,
 ) -> Result<(Caller, Submission, Option<u64>), Problem> {
     let caller = admission.authenticate(bearer(request))?;
-    let ask = headers(&caller, request)?;
-    let length = length(&caller, request)?;
-    Ok((caller, ask, length))
+    let submission = submission_from_headers(&caller, request)?;
+    let length = content_length(&caller, request)?;
+    Ok((caller, submission, length))
 }
 
-fn length(caller: &Caller, request: &Request<'_>) -> Result<Option<u64>, Problem> {
-    number(caller, request, "content-length")
+fn content_length(caller: &Caller, request: &Request<'_>) -> Result<Option<u64>, Problem> {
+    parse_u64(caller, request, "content-length")
 }
 
 #[rocket::async_trait]
-impl Handler for Model {
+impl Handler for Models {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        match self.enter(request, data).await {
-            Ok((exchange, service, true)) => streamed(request, exchange, service).await,
-            Ok((exchange, service, false)) => whole(&self.0, request, exchange, service).await,
-            Err(refused) => problem(request, &refused),
+        match self.submit(request, data).await {
+            Ok((exchange, service, true)) => stream(request, exchange, service).await,
+            Ok((exchange, service, false)) => buffer(&self.0, request, exchange, service).await,
+            Err(refusal) => respond_problem(request, &refusal),
         }
     }
 }
 
-impl Model {
-    async fn enter<'r>(
+impl Models {
+    async fn submit<'r>(
         &self,
         request: &'r Request<'_>,
         data: Data<'r>,
     ) -> Result<(Exchange, String, bool), Problem> {
-        let (mut caller, mut ask, length) = match opened(&self.0, request) {
+        let (mut caller, mut submission, length) = match open(&self.0, request) {
             Ok(opened) => opened,
-            Err(refused) => {
+            Err(refusal) => {
                 body::discard(data).await;
-                return Err(refused);
+                return Err(refusal);
             }
         };
-        let keyed = Keyed::new(&caller, &ask);
-        let entered = async {
-            ask.body = body::read(&mut caller, data, length).await?;
-            let model = wire::model(&ask.body).map_err(|error| bad(&caller, error.to_string()))?;
-            ask.is_model_request = true;
-            ask.path = request.uri().path().to_string();
-            ask.service.clone_from(&model.service);
-            ask.is_streamed = model.stream;
-            ask.max_tokens = model.max_tokens;
-            ask.prompt = model.prompt;
-            let exchange = self.0.submit(caller, ask)?;
-            Ok((exchange, model.service, model.stream))
+        let key = IdempotencyKey::new(&caller, &submission);
+        let result = async {
+            submission.body = body::read(&mut caller, data, length).await?;
+            let parsed = wire::parse(&submission.body)
+                .map_err(|error| invalid(&caller, error.to_string()))?;
+            submission.is_model_request = true;
+            submission.path = request.uri().path().to_string();
+            submission.service.clone_from(&parsed.service);
+            submission.is_streamed = parsed.is_streamed;
+            submission.max_tokens = parsed.max_tokens;
+            submission.prompt = parsed.prompt;
+            let exchange = self.0.submit(caller, submission)?;
+            Ok((exchange, parsed.service, parsed.is_streamed))
         };
-        match entered.await {
-            Ok(entered) => Ok(entered),
-            Err(refused) => Err(keyed.checked(&self.0, refused).await),
+        match result.await {
+            Ok(accepted) => Ok(accepted),
+            Err(refusal) => Err(key.resolve(&self.0, refusal).await),
         }
     }
 }
 
 #[rocket::async_trait]
-impl Handler for Plain {
+impl Handler for Services {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        match self.enter(request, data).await {
-            Ok(exchange) => plain(&self.0, request, exchange).await,
-            Err(refused) => problem(request, &refused),
+        match self.submit(request, data).await {
+            Ok(exchange) => relay(&self.0, request, exchange).await,
+            Err(refusal) => respond_problem(request, &refusal),
         }
     }
 }
 
-impl Plain {
-    async fn enter<'r>(
+impl Services {
+    async fn submit<'r>(
         &self,
         request: &'r Request<'_>,
         data: Data<'r>,
     ) -> Result<Exchange, Problem> {
-        let (mut caller, mut ask, length) = match opened(&self.0, request) {
+        let (mut caller, mut submission, length) = match open(&self.0, request) {
             Ok(opened) => opened,
-            Err(refused) => {
+            Err(refusal) => {
                 body::discard(data).await;
-                return Err(refused);
+                return Err(refusal);
             }
         };
-        ask.service = request
+        submission.service = request
             .param::<String>(1)
             .and_then(Result::ok)
             .unwrap_or_default();
-        ask.path = path_within(request);
-        let keyed = Keyed::new(&caller, &ask);
-        let entered = async {
-            ask.body = body::read(&mut caller, data, length).await?;
-            self.0.submit(caller, ask)
+        submission.path = service_path(request);
+        let key = IdempotencyKey::new(&caller, &submission);
+        let result = async {
+            submission.body = body::read(&mut caller, data, length).await?;
+            self.0.submit(caller, submission)
         };
-        match entered.await {
+        match result.await {
             Ok(exchange) => Ok(exchange),
-            Err(refused) => Err(keyed.checked(&self.0, refused).await),
+            Err(refusal) => Err(key.resolve(&self.0, refusal).await),
         }
     }
 }
 
-/// The path after `/services/<service>`, with the query.
-fn path_within(request: &Request<'_>) -> String {
+/// Returns the path after `/services/<service>`, with the query.
+fn service_path(request: &Request<'_>) -> String {
     let uri = request.uri();
     let path = uri.path().as_str();
     let rest = path.splitn(4, '/').nth(3).unwrap_or_default();
@@ -310,40 +316,40 @@
             .and_then(Result::ok)
             .unwrap_or_default();
         match self.0.key_state(bearer(request), key).await {
-            Ok(state) => answered(request, Whole::json(200, None, &state)),
-            Err(refused) => problem(request, &refused),
+            Ok(state) => respond(request, Buffered::json(200, None, &state)),
+            Err(refusal) => respond_problem(request, &refusal),
         }
     }
 }
 
-/// The replies for a caller that gets its answer in one piece.
-struct Attended<'a> {
+/// An exchange with regular checks whether the caller is still connected.
+struct Monitored<'a> {
     admission: &'a Arc<dyn Admission>,
     caller: Option<SocketAddr>,
-    looked: Instant,
+    last_check: Instant,
     exchange: Exchange,
 }
 
-impl<'a> Attended<'a> {
+impl<'a> Monitored<'a> {
     fn new(admission: &'a Arc<dyn Admission>, request: &Request<'_>, exchange: Exchange) -> Self {
         Self {
             admission,
             caller: request.remote(),
-            looked: Instant::now(),
+            last_check: Instant::now(),
             exchange,
         }
     }
 
-    /// The next reply; none once the caller has left.
+    /// Returns the next reply, or `None` once the caller has disconnected.
     async fn next(&mut self) -> Option<Reply> {
         loop {
             let reply = timeout(KEEP_ALIVE, next(&mut self.exchange)).await.ok();
-            if self.looked.elapsed() >= KEEP_ALIVE {
-                self.looked = Instant::now();
-                let gone = self
+            if self.last_check.elapsed() >= KEEP_ALIVE {
+                self.last_check = Instant::now();
+                let is_disconnected = self
                     .caller
                     .is_some_and(|caller| !self.admission.is_connected(caller));
-                if gone {
+                if is_disconnected {
                     return None;
                 }
             }
@@ -357,47 +363,47 @@
 async fn next(exchange: &mut Exchange) -> Reply {
     match exchange.replies.recv().await {
         Some(reply) => reply,
-        None => Reply::Problem(lost(exchange)),
+        None => Reply::Problem(internal_problem(exchange)),
     }
 }
 
-/// The daemon ended without a last word, which no path should come to.
-fn lost(exchange: &Exchange) -> Problem {
+/// Returns the problem for an exchange that ended without a final reply, which is a bug.
+fn internal_problem(exchange: &Exchange) -> Problem {
     let mut problem = Problem::refused(Refusal::Draining, None, Some(exchange.request.clone()));
     problem.class = kumquatdrum_types::FailureClass::Unknown;
     "internal".clone_into(&mut problem.code);
     problem.status = 500;
-    problem.with_message("the daemon lost track of the request")
+    problem.with_message("internal error: the exchange ended without a final reply")
 }
 
-async fn streamed<'r>(request: &'r Request<'_>, mut exchange: Exchange, _: String) -> Outcome<'r> {
-    let first = timeout(EARLY, next(&mut exchange)).await.ok();
-    if let Some(Reply::Problem(refused)) = &first {
-        return problem(request, refused);
+async fn stream<'r>(request: &'r Request<'_>, mut exchange: Exchange, _: String) -> Outcome<'r> {
+    let first = timeout(FIRST_TOKEN_TIMEOUT, next(&mut exchange)).await.ok();
+    if let Some(Reply::Problem(refusal)) = &first {
+        return respond_problem(request, refusal);
     }
-    let name = exchange.request.to_string();
-    let begun = stream::iter(first.map(|reply| piece(&reply)));
+    let id = exchange.request.to_string();
+    let first = stream::iter(first.map(|reply| event(&reply)));
     let rest = stream::unfold(Some(exchange), |exchange| async move {
         let mut exchange = exchange?;
         match timeout(KEEP_ALIVE, next(&mut exchange)).await {
             Ok(reply) => {
-                let over = matches!(reply, Reply::Finished | Reply::Problem(_));
-                Some((piece(&reply), (!over).then_some(exchange)))
+                let is_last = matches!(reply, Reply::Finished | Reply::Problem(_));
+                Some((event(&reply), (!is_last).then_some(exchange)))
             }
-            Err(_) => Some((Bytes::from_static(COMMENT), Some(exchange))),
+            Err(_) => Some((Bytes::from_static(KEEP_ALIVE_COMMENT), Some(exchange))),
         }
     });
-    let answer = Streamed {
+    let response = Streamed {
         status: 200,
         content_type: Some("text/event-stream".to_owned()),
-        request: name,
-        pieces: begun.chain(rest),
+        request: id,
+        chunks: first.chain(rest),
     };
-    answered(request, answer)
+    respond(request, response)
 }
 
-/// A reply as a server-sent event.
-fn piece(reply: &Reply) -> Bytes {
+/// Formats a reply as a server-sent event.
+fn event(reply: &Reply) -> Bytes {
     match reply {
         Reply::Token(data) | Reply::Summary(data) => {
             let mut event = Vec::with_capacity(data.len() + 8);
@@ -406,7 +412,7 @@
             event.extend_from_slice(b"\n\n");
             event.into()
         }
-        Reply::Finished => Bytes::from_static(END),
+        Reply::Finished => Bytes::from_static(END_EVENT),
         Reply::Problem(problem) => {
             let body = json!({ "error": problem });
             format!("event: error\ndata: {body}\n\n").into()
@@ -415,75 +421,75 @@
     }
 }
 
-async fn whole<'r>(
+async fn buffer<'r>(
     admission: &Arc<dyn Admission>,
     request: &'r Request<'_>,
     exchange: Exchange,
     service: String,
 ) -> Outcome<'r> {
-    let mut attended = Attended::new(admission, request, exchange);
-    let mut assembly = Assembly::default();
+    let mut monitored = Monitored::new(admission, request, exchange);
+    let mut accumulator = Accumulator::default();
     loop {
-        let Some(reply) = attended.next().await else {
-            return problem(request, &lost(&attended.exchange));
+        let Some(reply) = monitored.next().await else {
+            return respond_problem(request, &internal_problem(&monitored.exchange));
         };
         match reply {
-            Reply::Token(data) | Reply::Summary(data) => assembly.push(&data),
-            Reply::Restart => assembly = Assembly::default(),
+            Reply::Token(data) | Reply::Summary(data) => accumulator.push(&data),
+            Reply::Restart => accumulator = Accumulator::default(),
             Reply::Finished => {
-                let name = attended.exchange.request.to_string();
-                let answer = assembly.answer(&name, &service);
-                return answered(request, Whole::json(200, Some(name), &answer));
+                let id = monitored.exchange.request.to_string();
+                let completion = accumulator.finish(&id, &service);
+                return respond(request, Buffered::json(200, Some(id), &completion));
             }
-            Reply::Problem(refused) => return problem(request, &refused),
+            Reply::Problem(refusal) => return respond_problem(request, &refusal),
             Reply::Head(_) | Reply::Chunk(_) => {}
         }
     }
 }
 
-/// Plain answers are collected, so that a broken one can still be told from a whole one, up to a
-/// bound; beyond it they are passed on as they come.
-async fn plain<'r>(
+/// Relays a plain service's response. Up to a limit the response is buffered, so that an incomplete
+/// one is reported as an error. Longer responses are streamed.
+async fn relay<'r>(
     admission: &Arc<dyn Admission>,
     request: &'r Request<'_>,
     exchange: Exchange,
 ) -> Outcome<'r> {
-    const COLLECTED: usize = 1024 * 1024;
-    let mut attended = Attended::new(admission, request, exchange);
+    const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
+    let mut monitored = Monitored::new(admission, request, exchange);
     let (mut status, mut content_type) = (200, None);
-    let mut collected = Vec::new();
-    while collected.len() < COLLECTED {
-        let Some(reply) = attended.next().await else {
-            return problem(request, &lost(&attended.exchange));
+    let mut body = Vec::new();
+    while body.len() < MAX_BUFFERED_BYTES {
+        let Some(reply) = monitored.next().await else {
+            return respond_problem(request, &internal_problem(&monitored.exchange));
         };
         match reply {
             Reply::Head(head) => (status, content_type) = (head.status, head.content_type),
-            Reply::Chunk(bytes) => collected.extend_from_slice(&bytes),
-            Reply::Restart => collected.clear(),
+            Reply::Chunk(bytes) => body.extend_from_slice(&bytes),
+            Reply::Restart => body.clear(),
             Reply::Finished => {
-                let answer = Whole {
+                let response = Buffered {
                     status,
                     content_type,
-                    request: Some(attended.exchange.request.to_string()),
+                    request: Some(monitored.exchange.request.to_string()),
                     retry_after_ms: None,
-                    body: collected.into(),
+                    body: body.into(),
                 };
-                return answered(request, answer);
+                return respond(request, response);
             }
-            Reply::Problem(refused) => return problem(request, &refused),
+            Reply::Problem(refusal) => return respond_problem(request, &refusal),
             Reply::Token(_) | Reply::Summary(_) => {}
         }
     }
-    let answer = Streamed {
+    let response = Streamed {
         status,
         content_type,
-        request: attended.exchange.request.to_string(),
-        pieces: stream::iter([Bytes::from(collected)]).chain(pieces(attended.exchange)),
+        request: monitored.exchange.request.to_string(),
+        chunks: stream::iter([Bytes::from(body)]).chain(chunks(monitored.exchange)),
     };
-    answered(request, answer)
+    respond(request, response)
 }
 
-fn pieces(exchange: Exchange) -> impl Stream<Item = Bytes> + Send {
+fn chunks(exchange: Exchange) -> impl Stream<Item = Bytes> + Send {
     stream::unfold(exchange, |mut exchange| async move {
         match next(&mut exchange).await {
             Reply::Chunk(bytes) => Some((bytes, exchange)),
--- a/crates/kumquatdrum_caller/src/wire.rs
+++ b/crates/kumquatdrum_caller/src/wire.rs
@@ -1,11 +1,11 @@
-//! What callers write into the bodies of model requests.
+//! Parses the JSON bodies of model requests.
 
 use std::ops::Range;
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The longest prompt field is borrowed from the body, never copied.
+/// Fields of the body that the daemon reads. The prompt is borrowed, since it may be large.
 #[derive(Debug, Deserialize)]
 struct Body<'a> {
     #[serde(borrow)]
@@ -20,65 +20,66 @@
     messages: Option<&'a RawValue>,
 }
 
-/// What the daemon needs to know of a model request.
+/// A parsed model request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Model {
-    /// The service's name.
+pub struct Request {
+    /// Name of the service.
     pub service: String,
-    /// Whether the answer is to be streamed.
-    pub stream: bool,
-    /// The most tokens of the answer.
+    /// Whether the caller requests a streamed response.
+    pub is_streamed: bool,
+    /// Maximum number of output tokens.
     pub max_tokens: Option<u64>,
-    /// Where the prompt stands in the body.
+    /// Byte range of the prompt's JSON value in the body.
     pub prompt: Range<usize>,
 }
 
-/// Why a body is no model request.
+/// Reason why a body is not a valid model request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Malformed {
-    /// Not JSON of the expected shape.
+pub enum Error {
+    /// The body is not valid JSON or has a field of the wrong type.
     #[error("{message} at line {line}, column {column}")]
     Json {
-        /// What is wrong.
+        /// Description of the error.
         message: String,
-        /// The line, from 1.
+        /// Line number, starting at 1.
         line: usize,
-        /// The column, from 1.
+        /// Column number, starting at 1.
         column: usize,
     },
-    /// Neither `prompt` nor `messages`, or both.
+    /// The body has both `prompt` and `messages`, or neither.
     #[error("exactly one of `prompt` and `messages` is required")]
     Prompt,
 }
 
-/// Reads a model request's body.
+/// Parses the body of a model request.
 ///
 /// ```
 /// let body = br#"{"model": "formula", "prompt": "shade 7.1"}"#;
-/// let model = kumquatdrum_caller::wire::model(body).unwrap();
-/// assert_eq!(model.service, "formula");
-/// assert_eq!(&body[model.prompt], br#""shade 7.1""#);
+/// let request = kumquatdrum_caller::wire::parse(body).unwrap();
+/// assert_eq!(request.service, "formula");
+/// assert_eq!(&body[request.prompt], br#""shade 7.1""#);
 /// ```
-pub fn model(body: &[u8]) -> Result<Model, Malformed> {
-    let read: Body<'_> = serde_json::from_slice(body).map_err(|error| Malformed::Json {
-        message: without_place(&error),
+pub fn parse(body: &[u8]) -> Result<Request, Error> {
+    let fields: Body<'_> = serde_json::from_slice(body).map_err(|error| Error::Json {
+        message: message_without_position(&error),
         line: error.line(),
         column: error.column(),
     })?;
-    let prompt = match (read.prompt, read.messages) {
+    let prompt = match (fields.prompt, fields.messages) {
         (Some(prompt), None) | (None, Some(prompt)) => prompt.get(),
-        _ => return Err(Malformed::Prompt),
+        _ => return Err(Error::Prompt),
     };
     let start = prompt.as_ptr() as usize - body.as_ptr() as usize;
-    Ok(Model {
-        service: read.model.into_owned(),
-        stream: read.stream,
-        max_tokens: read.max_tokens,
+    Ok(Request {
+        service: fields.model.into_owned(),
+        is_streamed: fields.stream,
+        max_tokens: fields.max_tokens,
         prompt: start..start + prompt.len(),
     })
 }
 
-fn without_place(error: &serde_json::Error) -> String {
+/// Returns the error's message without its trailing line and column.
+fn message_without_position(error: &serde_json::Error) -> String {
     let text = error.to_string();
     match text.rfind(" at line ") {
         Some(end) => text[..end].to_owned(),
--- a/crates/kumquatdrum_caller/tests/wire.rs
+++ b/crates/kumquatdrum_caller/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The reader of model requests' bodies, on anything that a caller may send.
+//! Tests the parser of model requests with arbitrary input.
 
 use arbtest::{arbitrary, arbtest};
 use kumquatdrum_caller::wire;
@@ -6,8 +6,8 @@
 const SIZE: u64 = 1_024;
 const SEEDS: u64 = 400;
 
-/// Pieces out of which bodies are made that come close to right ones.
-const PIECES: [&str; 24] = [
+/// Fragments that are joined to bodies close to valid JSON.
+const FRAGMENTS: [&str; 24] = [
     "{",
     "}",
     "[",
@@ -34,29 +34,29 @@
     "\n",
 ];
 
-fn body(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<Vec<u8>> {
+fn arbitrary_body(u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<Vec<u8>> {
     if u.ratio(1, 4)? {
         return u.arbitrary();
     }
     let count = u.int_in_range(0..=40)?;
     let mut body = String::new();
     for _ in 0..count {
-        body.push_str(u.choose(&PIECES)?);
+        body.push_str(u.choose(&FRAGMENTS)?);
     }
     Ok(body.into_bytes())
 }
 
 #[test]
-fn whatever_comes_is_read_or_told_what_is_wrong() {
+fn any_input_is_parsed_or_yields_an_error() {
     for index in 0..SEEDS {
         arbtest(|u| {
-            let body = body(u)?;
-            match wire::model(&body) {
-                Ok(model) => {
-                    let prompt = &body[model.prompt];
+            let body = arbitrary_body(u)?;
+            match wire::parse(&body) {
+                Ok(request) => {
+                    let prompt = &body[request.prompt];
                     assert!(serde_json::from_slice::<serde_json::Value>(prompt).is_ok());
                 }
-                Err(malformed) => assert!(!malformed.to_string().is_empty()),
+                Err(error) => assert!(!error.to_string().is_empty()),
             }
             Ok(())
         })
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_body_of_the_right_shape_is_read_whole() {
+fn a_valid_body_yields_all_its_fields() {
     for index in 0..SEEDS {
         arbtest(|u| {
             let (service, prompt): (String, String) = u.arbitrary()?;
@@ -75,10 +75,14 @@
                 "temperature": 0.5,
             });
             let body = body.to_string();
-            let model = wire::model(body.as_bytes()).expect("the right shape");
-            let read: String = serde_json::from_str(&body[model.prompt]).expect("a text");
-            assert_eq!((model.service, read), (service, prompt));
-            assert_eq!((model.stream, model.max_tokens), (stream, max_tokens));
+            let request = wire::parse(body.as_bytes()).expect("valid request");
+            let parsed: String =
+                serde_json::from_str(&body[request.prompt]).expect("valid JSON string");
+            assert_eq!((request.service, parsed), (service, prompt));
+            assert_eq!(
+                (request.is_streamed, request.max_tokens),
+                (stream, max_tokens)
+            );
             Ok(())
         })
         .seed(SIZE | index << 32);
