--- a/crates/kumquatdrum/src/demo.rs
+++ b/crates/kumquatdrum/src/demo.rs
@@ -69,7 +69,7 @@
     Apply(String),
 }
 
-/// Runs the demo. [`Exit::No`] where a stated outcome was not met.
+/// Runs the demo. [`Exit::Failure`] where a stated outcome was not met.
 pub fn run(arguments: &Arguments) -> Exit {
     let runtime = tokio::runtime::Runtime::new().map_err(Error::from);
     match runtime.and_then(|runtime| runtime.block_on(demonstrate(arguments))) {
--- a/crates/kumquatdrum/src/explain.rs
+++ b/crates/kumquatdrum/src/explain.rs
@@ -44,8 +44,8 @@
         print!("{story}");
     }
     if story.is_empty() {
-        Exit::No
+        Exit::Failure
     } else {
-        Exit::Done
+        Exit::Success
     }
 }
--- a/crates/kumquatdrum/src/gateway.rs
+++ b/crates/kumquatdrum/src/gateway.rs
@@ -54,7 +54,7 @@
         changed,
     });
     match Gateway::run(settings, file, Arc::new(Platform), &logger, stop).await {
-        Ok(()) => Exit::Done,
+        Ok(()) => Exit::Success,
         Err(reason) => {
             error!(logger, "not_started"; "event" => "not_started", "reason" => %reason);
             Exit::Usage
--- a/crates/kumquatdrum/src/losses.rs
+++ b/crates/kumquatdrum/src/losses.rs
@@ -44,8 +44,8 @@
         print!("{table}");
     }
     if table.is_empty() {
-        Exit::No
+        Exit::Failure
     } else {
-        Exit::Done
+        Exit::Success
     }
 }
--- a/crates/kumquatdrum/src/main.rs
+++ b/crates/kumquatdrum/src/main.rs
@@ -46,14 +46,14 @@
 fn explain(failure: ParseFailure) -> Exit {
     failure.print_message(HELP_WIDTH);
     match failure {
-        ParseFailure::Stdout(..) | ParseFailure::Completion(_) => Exit::Done,
+        ParseFailure::Stdout(..) | ParseFailure::Completion(_) => Exit::Success,
         ParseFailure::Stderr(_) => Exit::Usage,
     }
 }
 
 fn schema() -> Exit {
     println!("{:#}", kumquatdrum_declaration::schema());
-    Exit::Done
+    Exit::Success
 }
 
 fn operate(command: Command) -> Exit {
--- a/crates/kumquatdrum/src/replay.rs
+++ b/crates/kumquatdrum/src/replay.rs
@@ -46,7 +46,7 @@
     address.trim_end_matches('/').parse()
 }
 
-/// Replays a trace and prints the report. [`Exit::No`] where a stated outcome was not met.
+/// Replays a trace and prints the report. [`Exit::Failure`] where a stated outcome was not met.
 pub async fn run(arguments: &Arguments) -> Exit {
     let (entries, keys) = match (read_trace(&arguments.trace), read_keys(&arguments.keys)) {
         (Ok(entries), Ok(keys)) => (entries, keys),
@@ -76,9 +76,9 @@
         Ok(report) => {
             print(&report, json);
             if report.passed() {
-                Exit::Done
+                Exit::Success
             } else {
-                Exit::No
+                Exit::Failure
             }
         }
         Err(reason @ (replay::Error::Counters(_) | replay::Error::Client(_))) => {
--- a/crates/kumquatdrum/src/serve.rs
+++ b/crates/kumquatdrum/src/serve.rs
@@ -33,10 +33,10 @@
 /// Checks a settings file and prints every finding.
 pub fn check(file: &Path) -> Exit {
     match read(file) {
-        Ok(_) => Exit::Done,
+        Ok(_) => Exit::Success,
         Err(lines) => {
             println!("{}", lines.join("\n"));
-            Exit::No
+            Exit::Failure
         }
     }
 }
@@ -64,5 +64,5 @@
         error!(logger, ""; "event" => "no_signals", "reason" => %reason);
     }
     host.stop().await;
-    Exit::Done
+    Exit::Success
 }
--- a/crates/kumquatdrum_operator/src/command.rs
+++ b/crates/kumquatdrum_operator/src/command.rs
@@ -21,9 +21,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
     /// 0: it was done.
-    Done,
+    Success,
     /// 1: the answer is no.
-    No,
+    Failure,
     /// 2: the command line, the file or the key is wrong.
     Usage,
     /// 3: nobody could be reached, or the outcome is unknown.
@@ -34,12 +34,12 @@
     /// The exit code.
     ///
     /// ```
-    /// assert_eq!(kumquatdrum_operator::Exit::No.code(), 1);
+    /// assert_eq!(kumquatdrum_operator::Exit::Failure.code(), 1);
     /// ```
     pub const fn code(self) -> u8 {
         match self {
-            Self::Done => 0,
-            Self::No => 1,
+            Self::Success => 0,
+            Self::Failure => 1,
             Self::Usage => 2,
             Self::Unknown => 3,
         }
@@ -70,7 +70,7 @@
             Self::Client(Error::Answered(Report::Unauthorized | Report::BadRequest { .. })) => {
                 Exit::Usage
             }
-            Self::Client(Error::Answered(_)) => Exit::No,
+            Self::Client(Error::Answered(_)) => Exit::Failure,
             Self::Client(_) | Self::Output(_) => Exit::Unknown,
         }
     }
--- a/crates/kumquatdrum_operator/src/command/apply.rs
+++ b/crates/kumquatdrum_operator/src/command/apply.rs
@@ -32,7 +32,7 @@
     pub json: bool,
 }
 
-/// Applies a declaration. [`Exit::No`] for a conflict or findings; [`Exit::Unknown`] if it was
+/// Applies a declaration. [`Exit::Failure`] for a conflict or findings; [`Exit::Unknown`] if it was
 /// accepted and isn't in force everywhere when the wait is over.
 pub async fn run(options: &Options, out: &mut (dyn Write + Send)) -> Exit {
     let result = apply(options, out).await;
@@ -52,7 +52,7 @@
     if let (Report::Accepted { version, spread }, Some(wait)) = (&mut report, options.wait) {
         let reached = follow(&client, *version, wait, options.json, out).await?;
         exit = if reached.everywhere {
-            Exit::Done
+            Exit::Success
         } else {
             Exit::Unknown
         };
@@ -71,11 +71,11 @@
 
 fn exit(report: &Report) -> Exit {
     match report {
-        Report::Accepted { .. } => Exit::Done,
+        Report::Accepted { .. } => Exit::Success,
         Report::Conflict { .. }
         | Report::IdTaken { .. }
         | Report::Refused { .. }
-        | Report::NoSuchVersion => Exit::No,
+        | Report::NoSuchVersion => Exit::Failure,
         Report::Unauthorized | Report::BadRequest { .. } => Exit::Usage,
         Report::Unavailable { .. } | Report::Unknown => Exit::Unknown,
     }
--- a/crates/kumquatdrum_operator/src/command/audit.rs
+++ b/crates/kumquatdrum_operator/src/command/audit.rs
@@ -33,7 +33,7 @@
     broken: Option<String>,
 }
 
-/// Lists the trail: [`Exit::No`] if its chain of digests is broken.
+/// Lists the trail: [`Exit::Failure`] if its chain of digests is broken.
 pub async fn run(options: &Options, out: &mut (dyn Write + Send)) -> Exit {
     let result = audit(options, out).await;
     finish(result, options.json, out)
@@ -55,9 +55,9 @@
     let verdict = chain.verdict();
     print_verdict(out, &verdict, options.json)?;
     Ok(if verdict.verified {
-        Exit::Done
+        Exit::Success
     } else {
-        Exit::No
+        Exit::Failure
     })
 }
 
--- a/crates/kumquatdrum_operator/src/command/check.rs
+++ b/crates/kumquatdrum_operator/src/command/check.rs
@@ -22,7 +22,7 @@
     findings: &'a [Finding],
 }
 
-/// Checks a declaration: [`Exit::No`] if it has findings.
+/// Checks a declaration: [`Exit::Failure`] if it has findings.
 pub fn run(options: &Options, out: &mut dyn Write) -> Exit {
     finish(check(options, out), options.json, out)
 }
@@ -41,8 +41,8 @@
         (false, false) => print_findings(out, &findings)?,
     }
     Ok(if findings.is_empty() {
-        Exit::Done
+        Exit::Success
     } else {
-        Exit::No
+        Exit::Failure
     })
 }
--- a/crates/kumquatdrum_operator/src/command/show.rs
+++ b/crates/kumquatdrum_operator/src/command/show.rs
@@ -49,7 +49,7 @@
             "the text of version {} does not match its digest",
             shown.version
         )?;
-        return Ok(Exit::No);
+        return Ok(Exit::Failure);
     }
     if options.json {
         print_json(out, &shown)?;
@@ -58,7 +58,7 @@
         out.write_all(shown.text.as_bytes())?;
         out.flush()?;
     }
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
 fn selector(options: &Options) -> Result<Selector, Stop> {
--- a/crates/kumquatdrum_operator/src/command/status.rs
+++ b/crates/kumquatdrum_operator/src/command/status.rs
@@ -29,7 +29,7 @@
     } else {
         print(out, &status)?;
     }
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
 fn print(out: &mut dyn Write, status: &Status) -> io::Result<()> {
--- a/crates/kumquatdrum_operator/tests/commands.rs
+++ b/crates/kumquatdrum_operator/tests/commands.rs
@@ -94,12 +94,12 @@
     };
     assert_eq!(
         run(&good.0, false),
-        (Exit::Done, "no findings\n".to_owned())
+        (Exit::Success, "no findings\n".to_owned())
     );
     let lines = "/a: is not a known key\n/b: is not a known key\n";
-    assert_eq!(run(&bad.0, false), (Exit::No, lines.to_owned()));
+    assert_eq!(run(&bad.0, false), (Exit::Failure, lines.to_owned()));
     let (exit, json) = run(&bad.0, true);
-    assert_eq!(exit, Exit::No);
+    assert_eq!(exit, Exit::Failure);
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
     assert_eq!(json["findings"][1]["place"], "/b");
     let (exit, _) = run(&PathBuf::from("/nonexistent/file.json"), false);
@@ -117,15 +117,15 @@
     let (exit, out) = apply_file(&hosts, &one, 0, None).await;
     assert_eq!(
         (exit, out.as_str()),
-        (Exit::Done, "accepted as version 1\n")
+        (Exit::Success, "accepted as version 1\n")
     );
     let (exit, out) = apply_file(&hosts, &two, 0, None).await;
     assert_eq!(
         (exit, out.as_str()),
-        (Exit::No, "conflict: the current version is 1\n")
+        (Exit::Failure, "conflict: the current version is 1\n")
     );
     let (exit, out) = apply_file(&hosts, &bad, 1, None).await;
-    assert_eq!(exit, Exit::No);
+    assert_eq!(exit, Exit::Failure);
     assert!(out.starts_with("/: invalid type"), "{out}");
     let mut stranger = connection(&hosts);
     stranger.key = "guess".to_owned();
@@ -153,7 +153,7 @@
     let (exit, out) = apply_file(&hosts, &one, 0, None).await;
     assert_eq!(
         (exit, out.as_str()),
-        (Exit::Done, "accepted as version 1\n")
+        (Exit::Success, "accepted as version 1\n")
     );
     task.abort();
     host.stop().await;
@@ -169,7 +169,7 @@
     let (exit, out) = apply_file(&hosts, &one, 0, None).await;
     assert_eq!(
         (exit, out.as_str()),
-        (Exit::Done, "accepted as version 1\n")
+        (Exit::Success, "accepted as version 1\n")
     );
     assert_eq!(control.state.lock().unwrap().current(), Version(1));
     host.stop().await;
@@ -205,7 +205,7 @@
     let (exit, out) = apply_file(&[&host.url], &one, 0, Some(60_000)).await;
     let expected = "accepted as version 1\nin force: h1 (hall-ringtee)\n\
                     in force: h2 (hall-ringtee)\nin force everywhere\n";
-    assert_eq!((exit, out.as_str()), (Exit::Done, expected));
+    assert_eq!((exit, out.as_str()), (Exit::Success, expected));
     host.stop().await;
 }
 
@@ -228,14 +228,14 @@
         (exit, text(out), text(notes))
     };
     let (exit, out, notes) = run(None, None).await;
-    assert_eq!((exit, out), (Exit::Done, text(2)));
+    assert_eq!((exit, out), (Exit::Success, text(2)));
     assert_eq!(
         notes,
         "version 2, accepted 2026-12-02T22:30:02.000Z, confirmed\n"
     );
     let (exit, out, _) = run(None, Some("2026-12-03T00:30:01.5+02:00")).await;
-    assert_eq!((exit, out), (Exit::Done, text(1)));
-    assert_eq!(run(Some(9), None).await.0, Exit::No);
+    assert_eq!((exit, out), (Exit::Success, text(1)));
+    assert_eq!(run(Some(9), None).await.0, Exit::Failure);
     assert_eq!(run(Some(1), Some("0")).await.0, Exit::Usage);
     assert_eq!(run(None, Some("yesterday")).await.0, Exit::Usage);
     host.stop().await;
@@ -308,7 +308,7 @@
     let head = control.state.lock().unwrap().trail().head();
     let host = Host::start(control).await;
     let (exit, out) = audit_of(&host.url, false).await;
-    assert_eq!(exit, Exit::Done);
+    assert_eq!(exit, Exit::Success);
     let last = out.lines().last().expect("a verdict");
     assert_eq!(last, format!("4 entries, chain verified, head {head}"));
     assert!(out.starts_with("1  2026-12-02T22:30:01.000Z  kadri  base 0  accepted as 1  sha256 "));
@@ -334,14 +334,14 @@
     }
     let host = Host::start(control).await;
     let (exit, out) = audit_of(&host.url, false).await;
-    assert_eq!(exit, Exit::No);
+    assert_eq!(exit, Exit::Failure);
     let last = out.lines().last().expect("a verdict");
     assert_eq!(
         last,
         "the chain is broken: entry 2 does not match its digest"
     );
     let (exit, out) = audit_of(&host.url, true).await;
-    assert_eq!(exit, Exit::No);
+    assert_eq!(exit, Exit::Failure);
     assert!(
         out.lines()
             .last()
@@ -355,7 +355,10 @@
         json: false,
     };
     let (mut out, mut notes) = (Vec::new(), Vec::new());
-    assert_eq!(show::run(&options, &mut out, &mut notes).await, Exit::No);
+    assert_eq!(
+        show::run(&options, &mut out, &mut notes).await,
+        Exit::Failure
+    );
     assert!(out.is_empty());
     assert_eq!(notes, b"the text of version 3 does not match its digest\n");
     host.stop().await;
@@ -371,7 +374,7 @@
         json: false,
     };
     let mut out = Vec::new();
-    assert_eq!(status::run(&options, &mut out).await, Exit::Done);
+    assert_eq!(status::run(&options, &mut out).await, Exit::Success);
     let out = String::from_utf8(out).expect("text");
     for line in [
         "as seen by h1 (hall-ringtee)",
