--- a/crates/kumquatdrum_operator/src/auth.rs
+++ b/crates/kumquatdrum_operator/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who may operate: bearer keys whose digests stand in a host's settings.
+//! Authentication of operators by bearer keys, whose digests are in the host's settings.
 
 use std::sync::Arc;
 
@@ -10,28 +10,28 @@
 use serde::{Deserialize, Serialize};
 use slog::warn;
 
-use crate::rejection::Rejection;
+use crate::reply::Reply;
 use crate::routes::Context;
 
 const SCHEME: &str = "Bearer ";
 
-/// An operator as the settings name them.
+/// An operator in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// The name that the audit trail shows.
+    /// Name recorded in the audit trail.
     pub name: String,
-    /// The SHA-256 digest of the operator's key, in 64 lower-case hexadecimal digits.
+    /// SHA-256 digest of the operator's key, in 64 lower-case hexadecimal digits.
     pub sha256: String,
 }
 
-/// All operators of a host. Callers' keys stand in the declaration and aren't among them.
+/// The operators of a host by the digest of their key.
 #[derive(Debug, Clone, Default)]
 pub struct Operators(IndexMap<String, Arc<str>>);
 
 impl Operators {
-    /// Takes the settings' list; findings for bad digests and doubled names or keys, with places
-    /// below `place`.
+    /// Builds the lookup from the settings. Returns findings, with places below `place`, for empty
+    /// or duplicate names and invalid or duplicate digests.
     ///
     /// ```
     /// use kumquatdrum_operator::{Operator, Operators};
@@ -71,24 +71,24 @@
         }
     }
 
-    /// Whose key this is.
+    /// Returns the name of the operator with this key.
     pub fn name(&self, key: &str) -> Option<&str> {
         let name = self.0.get(&digest::hex(key.as_bytes()));
         name.map(AsRef::as_ref)
     }
 }
 
-/// The operator who sent a request.
+/// Name of the operator that sent a request.
 #[derive(Debug)]
-pub(crate) struct Sender(pub String);
+pub(crate) struct Identity(pub String);
 
 #[rocket::async_trait]
-impl<'r> FromRequest<'r> for Sender {
-    type Error = Rejection;
+impl<'r> FromRequest<'r> for Identity {
+    type Error = Reply;
 
-    async fn from_request(request: &'r Request<'_>) -> Outcome<Self, Rejection> {
+    async fn from_request(request: &'r Request<'_>) -> Outcome<Self, Reply> {
         let Some(context) = request.rocket().state::<Context>() else {
-            return Outcome::Error((Status::InternalServerError, Rejection::unmanaged()));
+            return Outcome::Error((Status::InternalServerError, Reply::missing_context()));
         };
         let header = request.headers().get_one("Authorization");
         let key = header.and_then(|header| header.strip_prefix(SCHEME));
@@ -96,6 +96,6 @@
             return Outcome::Success(Self(name.to_owned()));
         }
         warn!(context.logger, ""; "event" => "operator_refused", "path" => %request.uri().path());
-        Outcome::Error((Status::Unauthorized, Rejection::unauthorized()))
+        Outcome::Error((Status::Unauthorized, Reply::unauthorized()))
     }
 }
--- a/crates/kumquatdrum_operator/src/client.rs
+++ b/crates/kumquatdrum_operator/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' routes as a client sees them, over several hosts.
+//! Client of the operators' routes, over several hosts.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whom to ask, and as whom.
+/// Hosts to connect to and the key to authenticate with.
 #[derive(Clone)]
 pub struct Connection {
-    /// The operators' listeners of one or more hosts, such as `http://10.0.0.1:7402`.
+    /// URLs of the operators' listeners of one or more hosts, such as `http://10.0.0.1:7402`.
     pub hosts: Vec<String>,
-    /// The operator's key.
+    /// Key of the operator.
     pub key: String,
-    /// How long one host may take for an answer.
+    /// Maximum time to wait for the response of one host.
     pub timeout: Duration,
 }
 
@@ -34,55 +34,56 @@
     }
 }
 
-/// Why no host gave an answer.
+/// Error of a request to the hosts.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Nothing was done: no host took the request.
+    /// No host processed the request.
     #[error("no host could be reached or could answer: {}", .0.join("; "))]
     Unreachable(Vec<String>),
-    /// A host took the request and its answer was lost. The same request sent again tells.
+    /// A host may have processed the request, but its response was lost. The same request can be
+    /// repeated to learn the outcome.
     #[error("the outcome is unknown; send the same again to learn it: {}", .0.join("; "))]
     Unknown(Vec<String>),
-    /// A host answered, and the answer is no.
+    /// A host rejected the request.
     #[error("{}", describe(.0))]
-    Answered(Report),
+    Rejected(Report),
 }
 
 fn describe(report: &Report) -> String {
     match report {
-        Report::Unauthorized => "the key is no operator's key".to_owned(),
+        Report::Unauthorized => "the key does not belong to an operator".to_owned(),
         Report::NoSuchVersion => "there is no such version".to_owned(),
         Report::BadRequest { message } => message.clone(),
-        other => other.word().to_owned(),
+        other => other.outcome().to_owned(),
     }
 }
 
-/// Asks one host after the other until one answers.
+/// A client that tries one host after another until one responds.
 #[derive(Debug, Clone)]
 pub struct Client {
     connection: Connection,
     http: reqwest::Client,
 }
 
-/// A whole answer.
+/// A complete response.
 struct Answer {
     status: StatusCode,
     headers: HeaderMap,
-    text: String,
+    body: String,
 }
 
-/// What came of one host.
+/// Result of a request to one host.
 enum Attempt {
-    /// It gave a whole answer that stands.
+    /// The host sent a complete response.
     Answer(Answer),
-    /// It certainly did nothing.
-    NotDone(String),
-    /// It may have done something.
-    Lost(String),
+    /// The host did not process the request.
+    NotProcessed(String),
+    /// The host may have processed the request.
+    Unknown(String),
 }
 
 impl Client {
-    /// A client; it connects only when it is asked something.
+    /// Creates a client. Connections are opened on the first request.
     pub fn new(connection: Connection) -> Result<Self, reqwest::Error> {
         let http = reqwest::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT.min(connection.timeout))
@@ -93,8 +94,8 @@
         Ok(Self { connection, http })
     }
 
-    /// Applies a declaration. A host whose answer is lost is followed by the next one, which is
-    /// safe as the apply's id is the same.
+    /// Applies a declaration. If a response is lost, the next host is tried. This is safe because
+    /// the apply id stays the same.
     pub async fn apply(
         &self,
         base: Version,
@@ -106,15 +107,15 @@
             query.push_str("&apply_id=");
             query.push_str(&percent_encoded(apply_id.as_str()));
         }
-        let response = self.ask(|host| {
+        let response = self.send(|host| {
             let request = self.http.post(format!("{host}/v1/apply?{query}"));
             request.body(text.to_owned())
         });
         response.await?.report()
     }
 
-    /// Reads back a declaration. The first host whose answer a majority confirmed is taken, else
-    /// the highest version that any host knows.
+    /// Returns a declaration: the first one that a majority confirmed, or else the highest version
+    /// known to any host.
     pub async fn show(&self, selector: Selector) -> Result<Revision, Error> {
         let query = match selector {
             Selector::Current => String::new(),
@@ -123,68 +124,70 @@
         };
         let mut best: Option<Revision> = None;
         let mut failures = Vec::new();
-        let mut refusal = None;
+        let mut rejection = None;
         for host in &self.connection.hosts {
             let request = self.http.get(format!("{host}/v1/declaration{query}"));
-            match self.read_back(request).await {
-                Ok(shown) if shown.standing == Standing::Confirmed => return Ok(shown),
-                Ok(shown)
+            match self.fetch_revision(request).await {
+                Ok(revision) if revision.standing == Standing::Confirmed => return Ok(revision),
+                Ok(revision)
                     if best
                         .as_ref()
-                        .is_none_or(|best| best.version < shown.version) =>
+                        .is_none_or(|best| best.version < revision.version) =>
                 {
-                    best = Some(shown);
+                    best = Some(revision);
                 }
                 Ok(_) => {}
-                Err(Error::Answered(report)) => refusal = Some(report),
-                Err(Error::Unreachable(why) | Error::Unknown(why)) => failures.extend(why),
+                Err(Error::Rejected(report)) => rejection = Some(report),
+                Err(Error::Unreachable(errors) | Error::Unknown(errors)) => failures.extend(errors),
             }
         }
-        match (best, refusal) {
-            (Some(shown), _) => Ok(shown),
-            (None, Some(report)) => Err(Error::Answered(report)),
+        match (best, rejection) {
+            (Some(revision), _) => Ok(revision),
+            (None, Some(report)) => Err(Error::Rejected(report)),
             (None, None) => Err(Error::Unreachable(failures)),
         }
     }
 
-    async fn read_back(&self, request: RequestBuilder) -> Result<Revision, Error> {
+    async fn fetch_revision(&self, request: RequestBuilder) -> Result<Revision, Error> {
         match self.attempt(request).await {
-            Attempt::Answer(answer) => answer.shown(),
-            Attempt::NotDone(why) | Attempt::Lost(why) => Err(Error::Unreachable(vec![why])),
+            Attempt::Answer(answer) => answer.revision(),
+            Attempt::NotProcessed(error) | Attempt::Unknown(error) => {
+                Err(Error::Unreachable(vec![error]))
+            }
         }
     }
 
-    /// A page of the audit trail.
+    /// Returns a page of the audit trail.
     pub async fn audit(&self, from: u64, limit: usize) -> Result<Page, Error> {
         self.json(&format!("/v1/audit?from={from}&limit={limit}"))
             .await
     }
 
-    /// What the first host that answers knows of the whole system.
+    /// Returns the status of the whole system as known to the first host that responds.
     pub async fn status(&self) -> Result<Status, Error> {
         self.json("/v1/status").await
     }
 
     async fn json<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
-        let answer = self.ask(|host| self.http.get(format!("{host}{path}")));
+        let answer = self.send(|host| self.http.get(format!("{host}{path}")));
         answer.await?.json()
     }
 
-    /// Asks host after host; gives the first answer that stands.
-    async fn ask(&self, request: impl Fn(&str) -> RequestBuilder) -> Result<Answer, Error> {
+    /// Sends a request to one host after another and returns the first complete response.
+    async fn send(&self, request: impl Fn(&str) -> RequestBuilder) -> Result<Answer, Error> {
         let mut failures = Vec::new();
-        let mut is_lost = false;
+        let mut is_unknown = false;
         for host in &self.connection.hosts {
             match self.attempt(request(host)).await {
                 Attempt::Answer(answer) => return Ok(answer),
-                Attempt::NotDone(why) => failures.push(why),
-                Attempt::Lost(why) => {
-                    is_lost = true;
-                    failures.push(why);
+                Attempt::NotProcessed(error) => failures.push(error),
+                Attempt::Unknown(error) => {
+                    is_unknown = true;
+                    failures.push(error);
                 }
             }
         }
-        Err(if is_lost {
+        Err(if is_unknown {
             Error::Unknown(failures)
         } else {
             Error::Unreachable(failures)
@@ -193,38 +196,38 @@
 
     async fn attempt(&self, request: RequestBuilder) -> Attempt {
         match request.bearer_auth(&self.connection.key).send().await {
-            Ok(response) => whole(response).await,
+            Ok(response) => read_response(response).await,
             Err(error) if error.is_connect() || error.is_builder() => {
-                Attempt::NotDone(describe_transport(&error))
+                Attempt::NotProcessed(describe_transport_error(&error))
             }
-            Err(error) => Attempt::Lost(describe_transport(&error)),
+            Err(error) => Attempt::Unknown(describe_transport_error(&error)),
         }
     }
 }
 
-/// Reads an answer to its end; a torn one says nothing.
-async fn whole(response: Response) -> Attempt {
+/// Reads the whole response. The outcome is unknown if it is truncated.
+async fn read_response(response: Response) -> Attempt {
     let status = response.status();
     let host = response.url().authority().to_owned();
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        return Attempt::NotDone(format!("{host} reaches no majority"));
+        return Attempt::NotProcessed(format!("{host} cannot reach a majority"));
     }
     if status.is_server_error() {
-        return Attempt::Lost(format!("{host} answered {status}"));
+        return Attempt::Unknown(format!("{host} responded with {status}"));
     }
     let headers = response.headers().clone();
     match response.text().await {
-        Ok(text) => Attempt::Answer(Answer {
+        Ok(body) => Attempt::Answer(Answer {
             status,
             headers,
-            text,
+            body,
         }),
-        Err(error) => Attempt::Lost(describe_transport(&error)),
+        Err(error) => Attempt::Unknown(describe_transport_error(&error)),
     }
 }
 
-/// An error with its causes, as the outermost one says little.
-fn describe_transport(error: &reqwest::Error) -> String {
+/// Formats an error with its causes.
+fn describe_transport_error(error: &reqwest::Error) -> String {
     let mut text = error.to_string();
     let mut cause = std::error::Error::source(error);
     while let Some(inner) = cause {
@@ -236,39 +239,42 @@
 
 impl Answer {
     fn report(&self) -> Result<Report, Error> {
-        serde_json::from_str(&self.text).map_err(|_| self.strange())
+        serde_json::from_str(&self.body).map_err(|_| self.malformed())
     }
 
     fn json<T: DeserializeOwned>(&self) -> Result<T, Error> {
         if self.status == StatusCode::OK {
-            serde_json::from_str(&self.text).map_err(|_| self.strange())
+            serde_json::from_str(&self.body).map_err(|_| self.malformed())
         } else {
-            Err(Error::Answered(self.report()?))
+            Err(Error::Rejected(self.report()?))
         }
     }
 
-    fn shown(&self) -> Result<Revision, Error> {
+    fn revision(&self) -> Result<Revision, Error> {
         if self.status == StatusCode::OK {
-            self.read_back().ok_or_else(|| self.strange())
+            self.parse_revision().ok_or_else(|| self.malformed())
         } else {
-            Err(Error::Answered(self.report()?))
+            Err(Error::Rejected(self.report()?))
         }
     }
 
-    fn read_back(&self) -> Option<Revision> {
+    fn parse_revision(&self) -> Option<Revision> {
         let header = |name: &str| self.headers.get(name)?.to_str().ok();
         Some(Revision {
             version: Version(header(VERSION_HEADER)?.parse().ok()?),
             digest: Digest::parse(header(DIGEST_HEADER)?)?,
             accepted_unix_ms: header(ACCEPTED_HEADER)?.parse().ok()?,
             standing: serde_json::from_str(header(STANDING_HEADER)?).ok()?,
-            text: self.text.as_str().into(),
+            text: self.body.as_str().into(),
         })
     }
 
-    /// Something answered that is no operators' listener of this release.
-    fn strange(&self) -> Error {
-        Error::Unknown(vec![format!("an answer {} can't be read", self.status)])
+    /// Returns the error for a response that is not from an operators' listener of this version.
+    fn malformed(&self) -> Error {
+        Error::Unknown(vec![format!(
+            "malformed response with status {}",
+            self.status
+        )])
     }
 }
 
--- a/crates/kumquatdrum_operator/src/command.rs
+++ b/crates/kumquatdrum_operator/src/command.rs
@@ -1,4 +1,4 @@
-//! The operators' commands, each as a function from options to an [`Exit`].
+//! The operators' commands. Each one takes its options and returns an [`Exit`].
 
 pub mod apply;
 pub mod audit;
@@ -17,21 +17,21 @@
 use crate::report::Report;
 use crate::rfc3339;
 
-/// How a command ended; the process's exit code.
+/// Result of a command, as the exit code of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// 0: it was done.
+    /// 0: the command succeeded.
     Success,
-    /// 1: the answer is no.
+    /// 1: the command was refused or a check failed.
     Failure,
-    /// 2: the command line, the file or the key is wrong.
+    /// 2: the command line, the file or the key is invalid.
     Usage,
-    /// 3: nobody could be reached, or the outcome is unknown.
+    /// 3: no host could be reached, or the outcome is unknown.
     Unknown,
 }
 
 impl Exit {
-    /// The exit code.
+    /// Returns the exit code.
     ///
     /// ```
     /// assert_eq!(kumquatdrum_operator::Exit::Failure.code(), 1);
@@ -46,58 +46,58 @@
     }
 }
 
-/// Why a command ended early.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum Stop {
-    /// The file can't be read.
+pub(crate) enum Failure {
+    /// The file cannot be read.
     #[error("{0}")]
     File(String),
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(String),
-    /// No host answered, or the answer is no.
+    /// No host responded, or a host rejected the request.
     #[error(transparent)]
     Client(#[from] Error),
-    /// Nobody reads the output any more.
-    #[error("the output can't be written: {0}")]
+    /// The output cannot be written.
+    #[error("cannot write the output: {0}")]
     Output(#[from] io::Error),
 }
 
-impl Stop {
+impl Failure {
     fn exit(&self) -> Exit {
         match self {
             Self::File(_) | Self::Usage(_) => Exit::Usage,
-            Self::Client(Error::Answered(Report::Unauthorized | Report::BadRequest { .. })) => {
+            Self::Client(Error::Rejected(Report::Unauthorized | Report::BadRequest { .. })) => {
                 Exit::Usage
             }
-            Self::Client(Error::Answered(_)) => Exit::Failure,
+            Self::Client(Error::Rejected(_)) => Exit::Failure,
             Self::Client(_) | Self::Output(_) => Exit::Unknown,
         }
     }
 }
 
-/// What `--json` prints of a command that ended early.
+/// Output of a failed command with `--json`.
 #[derive(Debug, Serialize)]
-struct Failed<'a> {
+struct Output<'a> {
     error: &'a str,
     exit: u8,
 }
 
-/// Tells why a command ended early, if it did.
-pub(crate) fn finish(result: Result<Exit, Stop>, json: bool, out: &mut dyn Write) -> Exit {
-    let stop = match result {
+/// Prints the error of a failed command, and returns the command's exit status.
+pub(crate) fn finish(result: Result<Exit, Failure>, json: bool, out: &mut dyn Write) -> Exit {
+    let failure = match result {
         Ok(exit) => return exit,
-        Err(stop) => stop,
+        Err(failure) => failure,
     };
-    let exit = stop.exit();
-    let error = stop.to_string();
-    let failed = Failed {
+    let exit = failure.exit();
+    let error = failure.to_string();
+    let output = Output {
         error: &error,
         exit: exit.code(),
     };
-    // Where the output is gone, the exit code still tells.
+    // The exit code reports the failure even if the output cannot be written.
     let _ = if json {
-        print_json(out, &failed)
+        print_json(out, &output)
     } else {
         writeln!(out, "{error}")
     };
@@ -115,21 +115,21 @@
         .try_for_each(|finding| writeln!(out, "{finding}"))
 }
 
-pub(crate) fn read(file: &Path) -> Result<String, Stop> {
+pub(crate) fn read_file(file: &Path) -> Result<String, Failure> {
     let text = std::fs::read_to_string(file);
-    text.map_err(|error| Stop::File(format!("{}: {error}", file.display())))
+    text.map_err(|error| Failure::File(format!("{}: {error}", file.display())))
 }
 
-pub(crate) fn client(connection: &Connection) -> Result<Client, Stop> {
+pub(crate) fn new_client(connection: &Connection) -> Result<Client, Failure> {
     if connection.hosts.is_empty() {
-        return Err(Stop::Usage("name at least one host".to_owned()));
+        return Err(Failure::Usage("at least one host is required".to_owned()));
     }
     let client = Client::new(connection.clone());
-    client.map_err(|error| Stop::Usage(error.to_string()))
+    client.map_err(|error| Failure::Usage(error.to_string()))
 }
 
-/// How sure a read-back is, for people.
-pub(crate) fn describe(standing: Standing) -> String {
+/// Describes whether the data of an answer is confirmed to be current.
+pub(crate) fn describe_standing(standing: Standing) -> String {
     match standing {
         Standing::Confirmed => "confirmed".to_owned(),
         Standing::LastKnown {
@@ -137,6 +137,6 @@
         } => format!("last known, as of {}", rfc3339::format(unix_ms)),
         Standing::LastKnown {
             as_of_unix_ms: None,
-        } => "last known; no majority heard of yet".to_owned(),
+        } => "last known, no contact with a majority yet".to_owned(),
     }
 }
--- a/crates/kumquatdrum_operator/src/command/apply.rs
+++ b/crates/kumquatdrum_operator/src/command/apply.rs
@@ -8,68 +8,68 @@
 use kumquatdrum_types::Version;
 use tokio::time::Instant;
 
-use super::{Exit, Stop, client, finish, print_findings, print_json, read};
+use super::{Exit, Failure, finish, new_client, print_findings, print_json, read_file};
 use crate::client::{Client, Connection};
 use crate::progress::Progress;
-use crate::report::{HostSpread, Reached, Report, Spread};
+use crate::report::{HostRollout, HostState, Report, Rollout};
 
-const WAIT_INTERVAL: Duration = Duration::from_millis(200);
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What to apply.
+/// Options of `apply`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Whom to ask.
+    /// Hosts and key.
     pub connection: Connection,
-    /// The declaration.
+    /// File with the declaration.
     pub file: PathBuf,
-    /// The version that the declaration builds on.
+    /// Version that the declaration replaces.
     pub base: u64,
-    /// An id in place of the derived one.
+    /// Apply id. Derived from the request if absent.
     pub apply_id: Option<String>,
-    /// How long to wait until it is in force everywhere.
+    /// Maximum time to wait until the version is in force on all hosts.
     pub wait: Option<Duration>,
-    /// Print JSON.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
-/// Applies a declaration. [`Exit::Failure`] for a conflict or findings; [`Exit::Unknown`] if it was
-/// accepted and isn't in force everywhere when the wait is over.
+/// Applies a declaration. Returns [`Exit::Failure`] for a conflict or findings, and
+/// [`Exit::Unknown`] if the version was accepted but is not in force everywhere after the wait.
 pub async fn run(options: &Options, out: &mut (dyn Write + Send)) -> Exit {
     let result = apply(options, out).await;
     finish(result, options.json, out)
 }
 
-async fn apply(options: &Options, out: &mut (dyn Write + Send)) -> Result<Exit, Stop> {
-    let text = read(&options.file)?;
-    let client = client(&options.connection)?;
+async fn apply(options: &Options, out: &mut (dyn Write + Send)) -> Result<Exit, Failure> {
+    let text = read_file(&options.file)?;
+    let client = new_client(&options.connection)?;
     let apply_id = options.apply_id.as_ref().map(ApplyId::new);
     let base = Version(options.base);
     let mut report = client.apply(base, apply_id.as_ref(), &text).await?;
-    let mut exit = exit(&report);
+    let mut exit = exit_of(&report);
     if !options.json {
         print(out, &report)?;
     }
-    if let (Report::Accepted { version, spread }, Some(wait)) = (&mut report, options.wait) {
-        let reached = follow(&client, *version, wait, options.json, out).await?;
-        exit = if reached.everywhere {
+    if let (Report::Accepted { version, rollout }, Some(wait)) = (&mut report, options.wait) {
+        let reached = wait_for_rollout(&client, *version, wait, options.json, out).await?;
+        exit = if reached.is_everywhere {
             Exit::Success
         } else {
             Exit::Unknown
         };
-        *spread = Some(reached);
+        *rollout = Some(reached);
     }
     match &report {
         report if options.json => print_json(out, report)?,
         Report::Accepted {
-            spread: Some(spread),
+            rollout: Some(rollout),
             ..
-        } => print_rest(out, spread)?,
+        } => print_rollout(out, rollout)?,
         _ => {}
     }
     Ok(exit)
 }
 
-fn exit(report: &Report) -> Exit {
+fn exit_of(report: &Report) -> Exit {
     match report {
         Report::Accepted { .. } => Exit::Success,
         Report::Conflict { .. }
@@ -94,54 +94,57 @@
             )
         }
         Report::Refused { findings } => print_findings(out, findings),
-        Report::Unauthorized => writeln!(out, "the key is no operator's key"),
+        Report::Unauthorized => writeln!(out, "the key does not belong to an operator"),
         Report::BadRequest { message } => writeln!(out, "{message}"),
-        other => writeln!(out, "{}", other.word()),
+        other => writeln!(out, "{}", other.outcome()),
     }
 }
 
-/// Follows a version until it is in force everywhere or the time is up. A host that can't be
-/// asked meanwhile only delays the next look.
-async fn follow(
+/// Polls the status until the version is in force everywhere or the time is up. Failed status
+/// requests are repeated at the next poll.
+async fn wait_for_rollout(
     client: &Client,
     version: Version,
     wait: Duration,
     json: bool,
     out: &mut (dyn Write + Send),
-) -> io::Result<Spread> {
+) -> io::Result<Rollout> {
     let end = Instant::now() + wait;
     let mut progress = Progress::new(version);
     loop {
         let status = tokio::time::timeout_at(end, client.status()).await;
         if let Ok(Ok(status)) = status {
-            let news = progress.observe(&status);
-            let reached = news.iter().filter(|host| host.reached == Reached::InForce);
+            let changed = progress.observe(&status);
+            let reached = changed
+                .iter()
+                .filter(|host| host.state == HostState::InForce);
             let mut reached = reached.filter(|_| !json);
             reached.try_for_each(|host| print_host(out, "in force", host))?;
         }
-        let spread = progress.spread();
-        if spread.everywhere || Instant::now() >= end {
-            return Ok(spread);
+        let rollout = progress.rollout();
+        if rollout.is_everywhere || Instant::now() >= end {
+            return Ok(rollout);
         }
-        tokio::time::sleep(WAIT_INTERVAL).await;
+        tokio::time::sleep(STATUS_INTERVAL).await;
     }
 }
 
-fn print_host(out: &mut dyn Write, what: &str, host: &HostSpread) -> io::Result<()> {
-    writeln!(out, "{what}: {} ({})", host.host, host.data_centre)
+fn print_host(out: &mut dyn Write, state: &str, host: &HostRollout) -> io::Result<()> {
+    writeln!(out, "{state}: {} ({})", host.host, host.data_centre)
 }
 
-fn print_rest(out: &mut dyn Write, spread: &Spread) -> io::Result<()> {
-    for host in &spread.hosts {
-        match host.reached {
-            Reached::InForce => {}
-            Reached::Behind => print_host(out, "behind", host)?,
-            Reached::CutOff => print_host(out, "cut off", host)?,
+/// Prints the hosts that do not have the version, and a summary.
+fn print_rollout(out: &mut dyn Write, rollout: &Rollout) -> io::Result<()> {
+    for host in &rollout.hosts {
+        match host.state {
+            HostState::InForce => {}
+            HostState::Behind => print_host(out, "behind", host)?,
+            HostState::CutOff => print_host(out, "cut off", host)?,
         }
     }
-    match (spread.everywhere, spread.hosts.is_empty()) {
+    match (rollout.is_everywhere, rollout.hosts.is_empty()) {
         (true, _) => writeln!(out, "in force everywhere"),
-        (false, true) => writeln!(out, "accepted, but no host told how far it has spread"),
+        (false, true) => writeln!(out, "accepted, but no host reported the rollout"),
         (false, false) => writeln!(out, "accepted, but not yet in force everywhere"),
     }
 }
--- a/crates/kumquatdrum_operator/src/command/audit.rs
+++ b/crates/kumquatdrum_operator/src/command/audit.rs
@@ -1,4 +1,4 @@
-//! `audit`: the trail of all attempts, verified here and not by the hosts.
+//! `audit`: lists the audit trail and verifies its digests locally.
 
 use std::io::{self, Write};
 
@@ -6,26 +6,26 @@
 use kumquatdrum_setup::{Digest, Outcome};
 use serde::Serialize;
 
-use super::{Exit, Stop, client, finish, print_json};
+use super::{Exit, Failure, finish, new_client, print_json};
 use crate::client::Connection;
 use crate::rfc3339;
 
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
-/// What to list.
+/// Options of `audit`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Whom to ask.
+    /// Hosts and key.
     pub connection: Connection,
-    /// The first entry, from 1.
+    /// Sequence number of the first entry, starting at 1.
     pub from: u64,
-    /// Print one JSON object a line: each entry, then the verdict.
+    /// Whether to print JSON: one object per line for each entry, then the verification.
     pub json: bool,
 }
 
-/// The last line of the output.
+/// Result of the verification, printed as the last line.
 #[derive(Debug, Serialize)]
-struct Verdict {
+struct Verification {
     verified: bool,
     entries: u64,
     head: Digest,
@@ -33,74 +33,76 @@
     broken: Option<String>,
 }
 
-/// Lists the trail: [`Exit::Failure`] if its chain of digests is broken.
+/// Lists the trail. Returns [`Exit::Failure`] if its chain of digests is broken.
 pub async fn run(options: &Options, out: &mut (dyn Write + Send)) -> Exit {
     let result = audit(options, out).await;
     finish(result, options.json, out)
 }
 
-async fn audit(options: &Options, out: &mut (dyn Write + Send)) -> Result<Exit, Stop> {
-    let client = client(&options.connection)?;
+async fn audit(options: &Options, out: &mut (dyn Write + Send)) -> Result<Exit, Failure> {
+    let client = new_client(&options.connection)?;
     let mut chain = Chain::default();
     let mut from = Some(options.from.max(1));
     while let Some(start) = from {
-        let page = client.audit(start, PAGE).await?;
-        chain.take(page.previous, &page.entries);
+        let page = client.audit(start, PAGE_SIZE).await?;
+        chain.append(page.previous, &page.entries);
         for entry in &page.entries {
             print_entry(out, entry, options.json)?;
         }
-        // A next page that isn't further on would go round for ever.
+        // Guards against a host whose next page does not advance, which would loop forever.
         from = page.next.filter(|next| *next > start);
     }
-    let verdict = chain.verdict();
-    print_verdict(out, &verdict, options.json)?;
-    Ok(if verdict.verified {
+    let verification = chain.verification();
+    print_verification(out, &verification, options.json)?;
+    Ok(if verification.verified {
         Exit::Success
     } else {
         Exit::Failure
     })
 }
 
-/// The chain over all pages so far.
+/// Digest chain over the pages so far.
 #[derive(Debug, Default)]
 struct Chain {
     head: Option<Digest>,
-    last: u64,
+    last_sequence: u64,
     entries: u64,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
 impl Chain {
-    fn take(&mut self, previous: Digest, entries: &[Entry]) {
+    fn append(&mut self, previous: Digest, entries: &[Entry]) {
         self.entries += entries.len() as u64;
         let first = entries
             .first()
-            .map_or(self.last + 1, |entry| entry.record.sequence);
+            .map_or(self.last_sequence + 1, |entry| entry.record.sequence);
         let start = self.head.unwrap_or(previous);
         let verified = match verify(start, entries) {
-            _ if self.head.is_some() && first != self.last + 1 => Err(Violation::Sequence {
-                expected: self.last + 1,
-                found: first,
-            }),
+            _ if self.head.is_some() && first != self.last_sequence + 1 => {
+                Err(Violation::Sequence {
+                    expected: self.last_sequence + 1,
+                    found: first,
+                })
+            }
             verified => verified,
         };
         match verified {
             Ok(head) => self.head = Some(head),
-            Err(broken) => {
-                self.broken.get_or_insert(broken.to_string());
+            Err(violation) => {
+                self.violation.get_or_insert(violation.to_string());
             }
         }
-        self.last = entries
+        self.last_sequence = entries
             .last()
-            .map_or(self.last, |entry| entry.record.sequence);
+            .map_or(self.last_sequence, |entry| entry.record.sequence);
     }
 
-    fn verdict(self) -> Verdict {
-        Verdict {
-            verified: self.broken.is_none(),
+    fn verification(self) -> Verification {
+        Verification {
+            verified: self.violation.is_none(),
             entries: self.entries,
             head: self.head.unwrap_or_default(),
-            broken: self.broken,
+            broken: self.violation,
         }
     }
 }
@@ -131,14 +133,18 @@
         .try_for_each(|place| writeln!(out, "    {place}"))
 }
 
-fn print_verdict(out: &mut dyn Write, verdict: &Verdict, json: bool) -> io::Result<()> {
-    match &verdict.broken {
-        _ if json => print_json(out, verdict),
+fn print_verification(
+    out: &mut dyn Write,
+    verification: &Verification,
+    json: bool,
+) -> io::Result<()> {
+    match &verification.broken {
+        _ if json => print_json(out, verification),
         None => writeln!(
             out,
             "{} entries, chain verified, head {}",
-            verdict.entries, verdict.head
+            verification.entries, verification.head
         ),
-        Some(broken) => writeln!(out, "the chain is broken: {broken}"),
+        Some(violation) => writeln!(out, "the chain is broken: {violation}"),
     }
 }
--- a/crates/kumquatdrum_operator/src/command/check.rs
+++ b/crates/kumquatdrum_operator/src/command/check.rs
@@ -1,4 +1,4 @@
-//! `check FILE`: all findings of a declaration, without a host.
+//! `check FILE`: prints all findings of a declaration without contacting a host.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -6,14 +6,14 @@
 use kumquatdrum_types::Finding;
 use serde::Serialize;
 
-use super::{Exit, Stop, finish, print_findings, print_json, read};
+use super::{Exit, Failure, finish, print_findings, print_json, read_file};
 
-/// What to check.
+/// Options of `check`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The declaration.
+    /// File with the declaration.
     pub file: PathBuf,
-    /// Print JSON.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
@@ -22,13 +22,13 @@
     findings: &'a [Finding],
 }
 
-/// Checks a declaration: [`Exit::Failure`] if it has findings.
+/// Checks a declaration. Returns [`Exit::Failure`] if it has findings.
 pub fn run(options: &Options, out: &mut dyn Write) -> Exit {
     finish(check(options, out), options.json, out)
 }
 
-fn check(options: &Options, out: &mut dyn Write) -> Result<Exit, Stop> {
-    let text = read(&options.file)?;
+fn check(options: &Options, out: &mut dyn Write) -> Result<Exit, Failure> {
+    let text = read_file(&options.file)?;
     let findings = kumquatdrum_declaration::checked(&text)
         .err()
         .unwrap_or_default();
--- a/crates/kumquatdrum_operator/src/command/show.rs
+++ b/crates/kumquatdrum_operator/src/command/show.rs
@@ -1,28 +1,29 @@
-//! `show`: reads back what is or was in force, byte for byte.
+//! `show`: prints the exact bytes of the current or an earlier declaration.
 
 use std::io::Write;
 
 use kumquatdrum_setup::{Digest, Revision, Selector};
 use kumquatdrum_types::Version;
 
-use super::{Exit, Stop, client, describe, finish, print_json};
+use super::{Exit, Failure, describe_standing, finish, new_client, print_json};
 use crate::client::Connection;
 use crate::rfc3339;
 
-/// What to show.
+/// Options of `show`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Whom to ask.
+    /// Hosts and key.
     pub connection: Connection,
-    /// This version, rather than the current one.
+    /// Version to show instead of the current one.
     pub version: Option<u64>,
-    /// What was in force then (RFC 3339, or milliseconds since the Unix epoch), rather than now.
+    /// Time whose version to show instead of the current one, in RFC 3339 format or in milliseconds
+    /// since the Unix epoch.
     pub at: Option<String>,
-    /// Print one JSON object with the text in it, rather than the text alone.
+    /// Whether to print a JSON object that contains the text, instead of the text alone.
     pub json: bool,
 }
 
-/// Shows a declaration: its bytes and nothing else to `out`, what is known of it to `notes`.
+/// Shows a declaration. Only its bytes are written to `out`, its version and state to `notes`.
 pub async fn run(
     options: &Options,
     out: &mut (dyn Write + Send),
@@ -40,45 +41,49 @@
     options: &Options,
     out: &mut (dyn Write + Send),
     notes: &mut (dyn Write + Send),
-) -> Result<Exit, Stop> {
+) -> Result<Exit, Failure> {
     let selector = selector(options)?;
-    let shown = client(&options.connection)?.show(selector).await?;
-    if Digest::of(shown.text.as_bytes()) != shown.digest {
+    let revision = new_client(&options.connection)?.show(selector).await?;
+    if Digest::of(revision.text.as_bytes()) != revision.digest {
         writeln!(
             notes,
             "the text of version {} does not match its digest",
-            shown.version
+            revision.version
         )?;
         return Ok(Exit::Failure);
     }
     if options.json {
-        print_json(out, &shown)?;
+        print_json(out, &revision)?;
     } else {
-        note(notes, &shown)?;
-        out.write_all(shown.text.as_bytes())?;
+        print_note(notes, &revision)?;
+        out.write_all(revision.text.as_bytes())?;
         out.flush()?;
     }
     Ok(Exit::Success)
 }
 
-fn selector(options: &Options) -> Result<Selector, Stop> {
+fn selector(options: &Options) -> Result<Selector, Failure> {
     match (options.version, &options.at) {
         (None, None) => Ok(Selector::Current),
         (Some(version), None) => Ok(Selector::Version(Version(version))),
         (None, Some(at)) => {
             let unix_ms = at.parse().ok().or_else(|| rfc3339::parse(at));
             let unix_ms = unix_ms.ok_or_else(|| {
-                Stop::Usage(format!("{at} is no time, such as 2026-12-02T21:30:00Z"))
+                Failure::Usage(format!(
+                    "{at} is not a valid time, such as 2026-12-02T21:30:00Z"
+                ))
             })?;
             Ok(Selector::At(unix_ms))
         }
-        (Some(_), Some(_)) => Err(Stop::Usage("give a version or a time, not both".to_owned())),
+        (Some(_), Some(_)) => Err(Failure::Usage(
+            "give a version or a time, not both".to_owned(),
+        )),
     }
 }
 
-fn note(notes: &mut dyn Write, shown: &Revision) -> std::io::Result<()> {
-    let accepted = rfc3339::format(shown.accepted_unix_ms);
-    let standing = describe(shown.standing);
-    let version = shown.version;
+fn print_note(notes: &mut dyn Write, revision: &Revision) -> std::io::Result<()> {
+    let accepted = rfc3339::format(revision.accepted_unix_ms);
+    let standing = describe_standing(revision.standing);
+    let version = revision.version;
     writeln!(notes, "version {version}, accepted {accepted}, {standing}")
 }
--- a/crates/kumquatdrum_operator/src/command/status.rs
+++ b/crates/kumquatdrum_operator/src/command/status.rs
@@ -1,29 +1,29 @@
-//! `status`: what one host knows of the whole system.
+//! `status`: prints the state of the whole system as known to one host.
 
 use std::io::{self, Write};
 
 use kumquatdrum_setup::control::{Condition, HostStatus, Replica, Status};
 
-use super::{Exit, Stop, client, describe, finish, print_json};
+use super::{Exit, Failure, describe_standing, finish, new_client, print_json};
 use crate::client::Connection;
 
-/// Whom to ask.
+/// Options of `status`.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The hosts; the first that answers is the one whose view is shown.
+    /// Hosts and key. The view of the first host that responds is shown.
     pub connection: Connection,
-    /// Print JSON.
+    /// Whether to print JSON.
     pub json: bool,
 }
 
-/// Shows a host's view of the system.
+/// Prints a host's view of the system.
 pub async fn run(options: &Options, out: &mut (dyn Write + Send)) -> Exit {
     let result = status(options, out).await;
     finish(result, options.json, out)
 }
 
-async fn status(options: &Options, out: &mut (dyn Write + Send)) -> Result<Exit, Stop> {
-    let status = client(&options.connection)?.status().await?;
+async fn status(options: &Options, out: &mut (dyn Write + Send)) -> Result<Exit, Failure> {
+    let status = new_client(&options.connection)?.status().await?;
     if options.json {
         print_json(out, &status)?;
     } else {
@@ -39,7 +39,7 @@
         "version {} sha256 {}, {}",
         status.version,
         status.digest,
-        describe(status.standing)
+        describe_standing(status.standing)
     )?;
     match &status.leader {
         Some(leader) => writeln!(out, "control leader {leader}")?,
@@ -55,10 +55,14 @@
         .try_for_each(|host| print_host(out, host))?;
     writeln!(out, "endpoints:")?;
     status.endpoints.iter().try_for_each(|endpoint| {
-        let condition = condition(endpoint.condition);
+        let condition = condition_name(endpoint.condition);
         let name = &endpoint.endpoint;
-        let place = &endpoint.data_centre;
-        writeln!(out, "  {name}  {place}  {}  {condition}", endpoint.service)
+        let data_centre = &endpoint.data_centre;
+        writeln!(
+            out,
+            "  {name}  {data_centre}  {}  {condition}",
+            endpoint.service
+        )
     })
 }
 
@@ -66,7 +70,7 @@
     let version = host
         .version
         .map_or_else(|| "?".to_owned(), |version| version.to_string());
-    let reach = if host.reachable {
+    let reachability = if host.reachable {
         "reachable"
     } else {
         "unreachable"
@@ -78,12 +82,12 @@
     };
     writeln!(
         out,
-        "  {}  {}  version {version}  {reach}{replica}",
+        "  {}  {}  version {version}  {reachability}{replica}",
         host.host, host.data_centre
     )
 }
 
-fn condition(condition: Condition) -> &'static str {
+fn condition_name(condition: Condition) -> &'static str {
     match condition {
         Condition::Alive => "alive",
         Condition::Suspect => "suspect",
--- a/crates/kumquatdrum_operator/src/lib.rs
+++ b/crates/kumquatdrum_operator/src/lib.rs
@@ -1,13 +1,13 @@
-//! Operators: apply, read back, audit and status.
+//! HTTP interface and commands for operators: apply, show, audit and status.
 //!
-//! [`routes()`] is the HTTP interface on a daemon, over any [`kumquatdrum_setup::Control`].
-//! [`Client`] speaks to it, and [`command`] holds one function for each operators' command.
+//! [`routes()`] serves the HTTP interface on a daemon, over any [`kumquatdrum_setup::Control`].
+//! [`Client`] is its client, and [`command`] has a function for each command.
 
 pub mod auth;
 pub mod client;
 pub mod command;
 pub mod progress;
-mod rejection;
+mod reply;
 pub mod report;
 pub mod rfc3339;
 pub mod routes;
--- a/crates/kumquatdrum_operator/src/progress.rs
+++ b/crates/kumquatdrum_operator/src/progress.rs
@@ -1,20 +1,20 @@
-//! How far an accepted version has spread, host by host.
+//! Tracks the rollout of an accepted version across the hosts.
 
 use indexmap::IndexMap;
 use kumquatdrum_setup::Status;
 use kumquatdrum_types::{HostId, Version};
 
-use crate::report::{HostSpread, Reached, Spread};
+use crate::report::{HostRollout, HostState, Rollout};
 
-/// What successive status reports say of one version.
+/// The rollout of one version according to successive status reports.
 #[derive(Debug, Clone)]
 pub struct Progress {
     version: Version,
-    hosts: IndexMap<HostId, HostSpread>,
+    hosts: IndexMap<HostId, HostRollout>,
 }
 
 impl Progress {
-    /// Follows a version.
+    /// Creates a tracker for a version.
     pub fn new(version: Version) -> Self {
         Self {
             version,
@@ -22,38 +22,39 @@
         }
     }
 
-    /// Takes a status report, and gives the hosts of which it says something new. A host that
-    /// had the version keeps it, whatever a later report says, as no host goes back.
-    pub fn observe(&mut self, status: &Status) -> Vec<HostSpread> {
-        let mut news = Vec::new();
+    /// Processes a status report and returns the hosts whose state changed. A host that has the
+    /// version stays in force whatever later reports say, since hosts never return to an older
+    /// version.
+    pub fn observe(&mut self, status: &Status) -> Vec<HostRollout> {
+        let mut changed = Vec::new();
         for host in &status.hosts {
-            let reached = match host.version {
-                Some(version) if version >= self.version => Reached::InForce,
-                _ if host.reachable => Reached::Behind,
-                _ => Reached::CutOff,
+            let state = match host.version {
+                Some(version) if version >= self.version => HostState::InForce,
+                _ if host.reachable => HostState::Behind,
+                _ => HostState::CutOff,
             };
-            let spread = HostSpread {
+            let rollout = HostRollout {
                 host: host.host.clone(),
                 data_centre: host.data_centre.clone(),
-                reached,
+                state,
             };
             match self.hosts.get(&host.host) {
-                Some(known) if known.reached == Reached::InForce || *known == spread => {}
+                Some(known) if known.state == HostState::InForce || *known == rollout => {}
                 _ => {
-                    news.push(spread.clone());
-                    self.hosts.insert(host.host.clone(), spread);
+                    changed.push(rollout.clone());
+                    self.hosts.insert(host.host.clone(), rollout);
                 }
             }
         }
-        news
+        changed
     }
 
-    /// Where the version stands now.
-    pub fn spread(&self) -> Spread {
+    /// Returns the rollout according to the reports so far.
+    pub fn rollout(&self) -> Rollout {
         let hosts: Vec<_> = self.hosts.values().cloned().collect();
-        let has_it = |host: &HostSpread| host.reached == Reached::InForce;
-        Spread {
-            everywhere: !hosts.is_empty() && hosts.iter().all(has_it),
+        let is_in_force = |host: &HostRollout| host.state == HostState::InForce;
+        Rollout {
+            is_everywhere: !hosts.is_empty() && hosts.iter().all(is_in_force),
             hosts,
         }
     }
--- a/crates/kumquatdrum_operator/src/rejection.rs
+++ b/crates/kumquatdrum_operator/src/reply.rs
@@ -1,4 +1,4 @@
-//! A [`Report`] as rocket's response.
+//! Sends a [`Report`] as a rocket response.
 
 use rocket::Request;
 use rocket::http::{ContentType, Header, Status};
@@ -8,14 +8,14 @@
 
 use crate::report::{RETRY_AFTER, Report};
 
-/// A report with the status that it is answered with.
+/// A report with its HTTP status.
 #[derive(Debug)]
-pub(crate) struct Rejection {
+pub(crate) struct Reply {
     status: Status,
     report: Report,
 }
 
-impl Rejection {
+impl Reply {
     pub(crate) fn unauthorized() -> Self {
         Report::Unauthorized.into()
     }
@@ -33,8 +33,8 @@
         }
     }
 
-    pub(crate) fn unmanaged() -> Self {
-        let message = "the routes were mounted without a context".to_owned();
+    pub(crate) fn missing_context() -> Self {
+        let message = "internal error: the routes have no context".to_owned();
         Self {
             status: Status::InternalServerError,
             report: Report::BadRequest { message },
@@ -42,22 +42,22 @@
     }
 }
 
-impl From<Report> for Rejection {
+impl From<Report> for Reply {
     fn from(report: Report) -> Self {
         Self {
-            status: Status::new(report.code()),
+            status: Status::new(report.status_code()),
             report,
         }
     }
 }
 
-impl From<Failure> for Rejection {
+impl From<Failure> for Reply {
     fn from(failure: Failure) -> Self {
         Report::from(failure).into()
     }
 }
 
-impl<'r> Responder<'r, 'static> for Rejection {
+impl<'r> Responder<'r, 'static> for Reply {
     fn respond_to(self, _: &'r Request<'_>) -> Result<'static> {
         let body = serde_json::to_string(&self.report).map_err(|_| Status::InternalServerError)?;
         let mut response = Response::build();
--- a/crates/kumquatdrum_operator/src/report.rs
+++ b/crates/kumquatdrum_operator/src/report.rs
@@ -1,4 +1,4 @@
-//! The JSON that travels between the operators' routes and their client.
+//! JSON format of the reports that the operators' routes send to their client.
 
 use std::time::Duration;
 
@@ -6,101 +6,103 @@
 use kumquatdrum_types::{DataCentre, Finding, HostId, Version};
 use serde::{Deserialize, Serialize};
 
-/// When to come back after an answer that nothing was done.
+/// Delay before a request may be retried after [`Report::Unavailable`].
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The header with a read-back's version.
+/// Header with the version of a declaration.
 pub const VERSION_HEADER: &str = "Kumquatdrum-Version";
-/// The header with the SHA-256 digest of a read-back's text.
+/// Header with the SHA-256 digest of a declaration's text.
 pub const DIGEST_HEADER: &str = "Kumquatdrum-Digest";
-/// The header with the time at which a read-back was accepted, in milliseconds since the epoch.
+/// Header with the time at which a declaration was accepted, in milliseconds since the Unix epoch.
 pub const ACCEPTED_HEADER: &str = "Kumquatdrum-Accepted-Unix-Ms";
-/// The header with a read-back's [`kumquatdrum_setup::Standing`] as JSON.
+/// Header with the [`kumquatdrum_setup::Standing`] of a declaration as JSON.
 pub const STANDING_HEADER: &str = "Kumquatdrum-Standing";
 
-/// How an apply or another request ended.
+/// Outcome of an apply or another request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum Report {
-    /// 200: the apply got this version, now or when it was first sent.
+    /// 200: the apply was accepted, by this request or an earlier one with the same apply id.
     Accepted {
-        /// The version.
+        /// Version of the applied declaration.
         version: Version,
-        /// How far it has spread, if the request asked to wait.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        spread: Option<Spread>,
+        /// Rollout of the version, if the request asked to wait for it.
+        #[serde(rename = "spread", default, skip_serializing_if = "Option::is_none")]
+        rollout: Option<Rollout>,
     },
-    /// 409: the base isn't the current version.
+    /// 409: the base is not the current version.
     Conflict {
         /// The current version.
         current: Version,
     },
     /// 409: the apply id belongs to another apply.
     IdTaken {
-        /// The version that the other apply got.
+        /// Version of the other apply.
         version: Version,
     },
     /// 422: the declaration has findings.
     Refused {
-        /// All of them.
+        /// All findings.
         findings: Vec<Finding>,
     },
-    /// 503: nothing was done, and a later attempt could fare better.
+    /// 503: nothing was applied. A retry may succeed.
     Unavailable {
-        /// When to come back.
+        /// Delay before a retry, in milliseconds.
         retry_after_ms: u64,
-        /// The host to ask instead, where it is known.
+        /// Current leader to send the request to, if known.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         leader: Option<HostId>,
     },
-    /// 504: whether it was done could not be learnt; the same request sent again tells.
+    /// 504: the outcome is unknown. The same request can be repeated to learn it.
     Unknown,
-    /// 401: no operator's key.
+    /// 401: the key does not belong to an operator.
     Unauthorized,
-    /// 404: there is no such version.
+    /// 404: the version does not exist.
     NoSuchVersion,
-    /// 400 or 413: the request itself is wrong, and nothing was done.
+    /// 400 or 413: the request is invalid. Nothing was applied.
     BadRequest {
-        /// What is wrong.
+        /// Description of the error.
         message: String,
     },
 }
 
-/// How far a version has spread.
+/// Rollout of a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spread {
-    /// Whether it is in force on every host that is known.
-    pub everywhere: bool,
-    /// Host by host.
-    pub hosts: Vec<HostSpread>,
+pub struct Rollout {
+    /// Whether the version is in force on all known hosts.
+    #[serde(rename = "everywhere")]
+    pub is_everywhere: bool,
+    /// Rollout on each host.
+    pub hosts: Vec<HostRollout>,
 }
 
-/// Whether a version has reached a host.
+/// Rollout of a version on one host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostSpread {
-    /// The host.
+pub struct HostRollout {
+    /// Host id.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Whether it has it.
-    pub reached: Reached,
+    /// State of the rollout on the host.
+    #[serde(rename = "reached")]
+    pub state: HostState,
 }
 
-/// Whether a version has reached a host.
+/// State of a rollout on a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reached {
-    /// The version, or a later one, is in force there.
+pub enum HostState {
+    /// The version or a later one is in force.
     InForce,
-    /// The host can be reached and is behind.
+    /// The host is reachable and has an older version.
     Behind,
-    /// The host can't be reached.
+    /// The host is unreachable.
     CutOff,
 }
 
 impl Report {
-    /// The HTTP status code.
-    pub fn code(&self) -> u16 {
+    /// Returns the HTTP status code.
+    pub fn status_code(&self) -> u16 {
         match self {
             Self::Accepted { .. } => 200,
             Self::BadRequest { .. } => 400,
@@ -113,8 +115,8 @@
         }
     }
 
-    /// The outcome in one word, for logs.
-    pub fn word(&self) -> &'static str {
+    /// Returns the name of the outcome for logs.
+    pub fn outcome(&self) -> &'static str {
         match self {
             Self::Accepted { .. } => "accepted",
             Self::Conflict { .. } => "conflict",
@@ -134,7 +136,7 @@
         match answer {
             ApplyAnswer::Accepted { version } => Self::Accepted {
                 version,
-                spread: None,
+                rollout: None,
             },
             ApplyAnswer::Conflict { current } => Self::Conflict { current },
             ApplyAnswer::IdTaken { version } => Self::IdTaken { version },
--- a/crates/kumquatdrum_operator/src/rfc3339.rs
+++ b/crates/kumquatdrum_operator/src/rfc3339.rs
@@ -1,12 +1,12 @@
-//! Times as people write them, such as `2026-12-02T21:30:00Z` (RFC 3339).
+//! Parses and formats RFC 3339 timestamps, such as `2026-12-02T21:30:00Z`.
 
 const DAY_MS: i64 = 86_400_000;
 const HOUR_MS: i64 = 3_600_000;
 const MINUTE_MS: i64 = 60_000;
 const SECOND_MS: i64 = 1_000;
 
-/// Reads a time, with `Z` or an offset, as milliseconds since the Unix epoch. Digits beyond
-/// milliseconds are dropped.
+/// Parses a timestamp with `Z` or an offset to milliseconds since the Unix epoch. Digits beyond
+/// milliseconds are ignored.
 ///
 /// ```
 /// use kumquatdrum_operator::rfc3339;
@@ -23,18 +23,18 @@
     u64::try_from(unix_ms).ok()
 }
 
-/// Writes milliseconds since the Unix epoch as a time in UTC.
+/// Formats milliseconds since the Unix epoch as a timestamp in UTC.
 ///
 /// ```
 /// use kumquatdrum_operator::rfc3339;
 /// assert_eq!(rfc3339::format(1_796_250_600_007), "2026-12-02T22:30:00.007Z");
 /// ```
 pub fn format(unix_ms: u64) -> String {
-    // The years beyond 9999 have no form in RFC 3339.
+    // RFC 3339 cannot represent years beyond 9999.
     let unix_ms = i64::try_from(unix_ms)
         .unwrap_or(i64::MAX)
         .min(253_402_300_799_999);
-    let (year, month, day) = civil(unix_ms.div_euclid(DAY_MS));
+    let (year, month, day) = civil_from_days(unix_ms.div_euclid(DAY_MS));
     let rest = unix_ms.rem_euclid(DAY_MS);
     let (hour, rest) = (rest / HOUR_MS, rest % HOUR_MS);
     let (minute, rest) = (rest / MINUTE_MS, rest % MINUTE_MS);
@@ -43,18 +43,19 @@
 }
 
 fn parse_date(text: &str) -> Option<i64> {
-    let [year, month, day] = numbers(text, '-', [4, 2, 2])?;
+    let [year, month, day] = parse_numbers(text, '-', [4, 2, 2])?;
     let days = days_from_civil(year, month, day);
-    // A day that its month doesn't have comes back as another one.
-    let is_real = (1..=12).contains(&month) && civil(days) == (year, month, day);
-    is_real.then_some(days)
+    // The conversion back yields a different date if the month does not have this day.
+    let is_valid = (1..=12).contains(&month) && civil_from_days(days) == (year, month, day);
+    is_valid.then_some(days)
 }
 
 fn parse_time(text: &str) -> Option<i64> {
     let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
-    let [hour, minute, second] = numbers(whole, ':', [2, 2, 2])?;
-    let is_number = !fraction.is_empty() && fraction.bytes().all(|byte| byte.is_ascii_digit());
-    if hour > 23 || minute > 59 || second > 59 || !is_number {
+    let [hour, minute, second] = parse_numbers(whole, ':', [2, 2, 2])?;
+    let is_fraction_valid =
+        !fraction.is_empty() && fraction.bytes().all(|byte| byte.is_ascii_digit());
+    if hour > 23 || minute > 59 || second > 59 || !is_fraction_valid {
         return None;
     }
     let millis: i64 = format!("{fraction:0<3}")[..3].parse().ok()?;
@@ -66,12 +67,16 @@
         return Some(0);
     }
     let sign = if text.starts_with('-') { -1 } else { 1 };
-    let [hours, minutes] = numbers(&text[1..], ':', [2, 2])?;
+    let [hours, minutes] = parse_numbers(&text[1..], ':', [2, 2])?;
     (hours < 24 && minutes < 60).then_some(sign * (hours * HOUR_MS + minutes * MINUTE_MS))
 }
 
-/// Numbers of fixed widths between separators.
-fn numbers<const N: usize>(text: &str, separator: char, widths: [usize; N]) -> Option<[i64; N]> {
+/// Parses numbers of fixed widths between separators.
+fn parse_numbers<const N: usize>(
+    text: &str,
+    separator: char,
+    widths: [usize; N],
+) -> Option<[i64; N]> {
     let mut parts = text.split(separator);
     let mut numbers = [0; N];
     for (number, width) in numbers.iter_mut().zip(widths) {
@@ -84,8 +89,8 @@
     parts.next().is_none().then_some(numbers)
 }
 
-/// Days since the Unix epoch of a date of the Gregorian calendar, counted from 1 March, so that
-/// the leap day ends the year.
+/// Returns the days since the Unix epoch of a Gregorian date. Years are counted from 1 March, so
+/// that the leap day is the last day of a year.
 fn days_from_civil(year: i64, month: i64, day: i64) -> i64 {
     let (year, month) = if month > 2 {
         (year, month - 3)
@@ -96,7 +101,8 @@
     365 * year + leap_days + (153 * month + 2) / 5 + day - 1 - 719_468
 }
 
-fn civil(days: i64) -> (i64, i64, i64) {
+/// Returns the Gregorian year, month and day of a number of days since the Unix epoch.
+fn civil_from_days(days: i64) -> (i64, i64, i64) {
     let days = days + 719_468;
     let era = days.div_euclid(146_097);
     let day_of_era = days.rem_euclid(146_097);
--- a/crates/kumquatdrum_operator/src/routes.rs
+++ b/crates/kumquatdrum_operator/src/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of operators.
+//! HTTP routes for operators.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,29 +15,29 @@
 use slog::{Logger, info};
 use tokio::time::Instant;
 
-use crate::auth::{Operators, Sender};
+use crate::auth::{Identity, Operators};
 use crate::progress::Progress;
-use crate::rejection::Rejection;
+use crate::reply::Reply;
 use crate::report::{
-    ACCEPTED_HEADER, DIGEST_HEADER, Report, STANDING_HEADER, Spread, VERSION_HEADER,
+    ACCEPTED_HEADER, DIGEST_HEADER, Report, Rollout, STANDING_HEADER, VERSION_HEADER,
 };
 
-/// The longest that an apply waits for its version to spread.
+/// Maximum time that an apply waits for the rollout of its version.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// How often it looks.
-const WAIT_INTERVAL: Duration = Duration::from_millis(100);
-/// The most entries of one page of the audit trail.
-const MAX_PAGE: usize = 1_000;
-const DEFAULT_PAGE: usize = 100;
+/// Interval of status checks while an apply waits.
+const STATUS_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of entries in a page of the audit trail.
+const MAX_PAGE_SIZE: usize = 1_000;
+const DEFAULT_PAGE_SIZE: usize = 100;
 
-/// What the routes need; `rocket.manage` it on the operators' listener.
+/// Dependencies of the routes, managed by the rocket instance of the operators' listener.
 #[derive(Clone)]
 pub struct Context {
-    /// The control plane.
+    /// Control plane.
     pub control: Arc<dyn Control>,
-    /// Who may operate.
+    /// Operators that may use the routes.
     pub operators: Operators,
-    /// Where each attempt is logged, without secrets.
+    /// Logger for apply attempts and refused requests.
     pub logger: Logger,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// The routes under `/v1`; mount them at `/`, and manage a [`Context`].
+/// Returns the routes under `/v1`. Mount them at `/`, and manage a [`Context`].
 ///
 /// ```
 /// let routes = kumquatdrum_operator::routes();
@@ -59,24 +59,24 @@
     rocket::routes![apply, declaration, audit, status, schema]
 }
 
-type Sent = Result<Sender, Rejection>;
+type Authentication = Result<Identity, Reply>;
 
 #[post("/v1/apply?<base>&<apply_id>&<wait>", data = "<body>")]
 async fn apply(
-    sender: Sent,
+    identity: Authentication,
     base: Option<&str>,
     apply_id: Option<&str>,
     wait: Option<&str>,
     body: Data<'_>,
     context: &State<Context>,
-) -> Result<Rejection, Rejection> {
-    let Sender(operator) = sender?;
-    let base = number("base", base)?.ok_or_else(|| Rejection::bad_request("base is missing"))?;
-    let wait = number("wait", wait)?.map(Duration::from_millis);
-    let text = text(body).await?;
+) -> Result<Reply, Reply> {
+    let Identity(operator) = identity?;
+    let base = parse_number("base", base)?.ok_or_else(|| Reply::bad_request("base is missing"))?;
+    let wait = parse_number("wait", wait)?.map(Duration::from_millis);
+    let text = read_text(body).await?;
     let mut request = ApplyRequest::new(operator, Version(base), text);
     if let Some(apply_id) = apply_id {
-        request.apply_id = chosen_id(apply_id)?;
+        request.apply_id = parse_apply_id(apply_id)?;
     }
     let operator = request.operator.clone();
     let id = request.apply_id.clone();
@@ -85,91 +85,91 @@
         Err(failure) => Report::from(failure),
     };
     info!(context.logger, ""; "event" => "apply", "operator" => operator, "base" => base,
-        "apply_id" => %id, "outcome" => report.word());
-    if let (Report::Accepted { version, spread }, Some(wait)) = (&mut report, wait) {
-        *spread = Some(follow(&*context.control, *version, wait.min(MAX_WAIT)).await);
+        "apply_id" => %id, "outcome" => report.outcome());
+    if let (Report::Accepted { version, rollout }, Some(wait)) = (&mut report, wait) {
+        *rollout = Some(wait_for_rollout(&*context.control, *version, wait.min(MAX_WAIT)).await);
     }
     Ok(report.into())
 }
 
-fn number(name: &str, text: Option<&str>) -> Result<Option<u64>, Rejection> {
+fn parse_number(name: &str, text: Option<&str>) -> Result<Option<u64>, Reply> {
     let parse = |text: &str| {
         let number = text.parse();
-        number.map_err(|_| Rejection::bad_request(format!("{name} must be a whole number")))
+        number.map_err(|_| Reply::bad_request(format!("{name} must be a whole number")))
     };
     text.map(parse).transpose()
 }
 
-async fn text(body: Data<'_>) -> Result<String, Rejection> {
+async fn read_text(body: Data<'_>) -> Result<String, Reply> {
     let text = body.open(MAX_BYTES.bytes()).into_string().await;
-    let text = text.map_err(|_| Rejection::bad_request("the file is not whole or not UTF-8"))?;
+    let text = text.map_err(|_| Reply::bad_request("the body is incomplete or not valid UTF-8"))?;
     if text.is_complete() {
         Ok(text.into_inner())
     } else {
-        Err(Rejection::too_large(MAX_BYTES))
+        Err(Reply::too_large(MAX_BYTES))
     }
 }
 
-fn chosen_id(text: &str) -> Result<ApplyId, Rejection> {
-    let is_plain = text.bytes().all(|byte| byte.is_ascii_graphic());
-    if text.is_empty() || text.len() > ApplyId::MAX_BYTES || !is_plain {
+fn parse_apply_id(text: &str) -> Result<ApplyId, Reply> {
+    let is_graphic = text.bytes().all(|byte| byte.is_ascii_graphic());
+    if text.is_empty() || text.len() > ApplyId::MAX_BYTES || !is_graphic {
         let max = ApplyId::MAX_BYTES;
         let message = format!("apply_id must be 1 to {max} visible ASCII characters");
-        return Err(Rejection::bad_request(message));
+        return Err(Reply::bad_request(message));
     }
     Ok(ApplyId::new(text))
 }
 
-/// Looks at the status until the version is in force everywhere or the time is up.
-async fn follow(control: &dyn Control, version: Version, wait: Duration) -> Spread {
+/// Polls the status until the version is in force everywhere or the time is up.
+async fn wait_for_rollout(control: &dyn Control, version: Version, wait: Duration) -> Rollout {
     let end = Instant::now() + wait;
     let mut progress = Progress::new(version);
     loop {
         if let Ok(status) = control.status().await {
             progress.observe(&status);
         }
-        let spread = progress.spread();
-        if spread.everywhere || Instant::now() >= end {
-            return spread;
+        let rollout = progress.rollout();
+        if rollout.is_everywhere || Instant::now() >= end {
+            return rollout;
         }
-        tokio::time::sleep(WAIT_INTERVAL).await;
+        tokio::time::sleep(STATUS_INTERVAL).await;
     }
 }
 
 #[get("/v1/declaration?<version>&<at>")]
 async fn declaration(
-    sender: Sent,
+    identity: Authentication,
     version: Option<&str>,
     at: Option<&str>,
     context: &State<Context>,
-) -> Result<ReadBack, Rejection> {
-    sender?;
-    let selector = match (number("version", version)?, number("at", at)?) {
+) -> Result<Declaration, Reply> {
+    identity?;
+    let selector = match (parse_number("version", version)?, parse_number("at", at)?) {
         (None, None) => Selector::Current,
         (Some(version), None) => Selector::Version(Version(version)),
         (None, Some(unix_ms)) => Selector::At(unix_ms),
         (Some(_), Some(_)) => {
-            return Err(Rejection::bad_request("give a version or a time, not both"));
+            return Err(Reply::bad_request("give a version or a time, not both"));
         }
     };
-    Ok(ReadBack(context.control.show(selector).await?))
+    Ok(Declaration(context.control.show(selector).await?))
 }
 
-/// The file byte for byte; what is known of it stands in the headers.
-struct ReadBack(Revision);
+/// A response with the exact text of a declaration. Its version and state are in the headers.
+struct Declaration(Revision);
 
-impl<'r> Responder<'r, 'static> for ReadBack {
+impl<'r> Responder<'r, 'static> for Declaration {
     fn respond_to(self, _: &'r rocket::Request<'_>) -> rocket::response::Result<'static> {
-        let Self(shown) = self;
-        let standing = serde_json::to_string(&shown.standing).unwrap_or_default();
-        let text = shown.text.as_bytes().to_vec();
+        let Self(revision) = self;
+        let standing = serde_json::to_string(&revision.standing).unwrap_or_default();
+        let text = revision.text.as_bytes().to_vec();
         Response::build()
             .header(ContentType::JSON)
-            .header(Header::new(VERSION_HEADER, shown.version.to_string()))
-            .header(Header::new(DIGEST_HEADER, shown.digest.to_string()))
+            .header(Header::new(VERSION_HEADER, revision.version.to_string()))
+            .header(Header::new(DIGEST_HEADER, revision.digest.to_string()))
             .header(Header::new(
                 ACCEPTED_HEADER,
-                shown.accepted_unix_ms.to_string(),
+                revision.accepted_unix_ms.to_string(),
             ))
             .header(Header::new(STANDING_HEADER, standing))
             .sized_body(text.len(), std::io::Cursor::new(text))
@@ -179,33 +179,33 @@
 
 #[get("/v1/audit?<from>&<limit>")]
 async fn audit(
-    sender: Sent,
+    identity: Authentication,
     from: Option<&str>,
     limit: Option<&str>,
     context: &State<Context>,
-) -> Result<Json<control::Page>, Rejection> {
-    sender?;
-    let from = number("from", from)?.unwrap_or(1);
-    let limit = number("limit", limit)?.map_or(DEFAULT_PAGE, |limit| limit as usize);
+) -> Result<Json<control::Page>, Reply> {
+    identity?;
+    let from = parse_number("from", from)?.unwrap_or(1);
+    let limit = parse_number("limit", limit)?.map_or(DEFAULT_PAGE_SIZE, |limit| limit as usize);
     let page = context
         .control
-        .audit(from, limit.clamp(1, MAX_PAGE))
+        .audit(from, limit.clamp(1, MAX_PAGE_SIZE))
         .await?;
     Ok(Json(page))
 }
 
 #[get("/v1/status")]
 async fn status(
-    sender: Sent,
+    identity: Authentication,
     context: &State<Context>,
-) -> Result<Json<control::Status>, Rejection> {
-    sender?;
+) -> Result<Json<control::Status>, Reply> {
+    identity?;
     let status: Result<_, Failure> = context.control.status().await;
     Ok(Json(status?))
 }
 
 #[get("/v1/schema")]
-fn schema(sender: Sent) -> Result<Json<serde_json::Value>, Rejection> {
-    sender?;
+fn schema(identity: Authentication) -> Result<Json<serde_json::Value>, Reply> {
+    identity?;
     Ok(Json(kumquatdrum_declaration::schema()))
 }
--- a/crates/kumquatdrum_operator/tests/commands.rs
+++ b/crates/kumquatdrum_operator/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands over listeners on loopback: their output and exit codes.
+//! Output and exit codes of the operators' commands, run against local listeners.
 
 mod support;
 
@@ -23,15 +23,15 @@
     }
 }
 
-/// A URL at which nothing listens.
-async fn unreachable() -> String {
+/// Returns a URL at which nothing listens.
+async fn unreachable_url() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     format!("http://{address}")
 }
 
-/// A host that takes each request and drops the connection without an answer.
-async fn dropping() -> (String, tokio::task::JoinHandle<()>) {
+/// Starts a host that reads each request and closes the connection without a response.
+async fn start_dropping_host() -> (String, tokio::task::JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     let task = tokio::spawn(async move {
@@ -42,7 +42,7 @@
     (format!("http://{address}"), task)
 }
 
-/// A file of this test, removed at its end.
+/// A temporary file that is removed on drop.
 struct File(PathBuf);
 
 impl File {
@@ -76,7 +76,7 @@
     };
     let mut out = Vec::new();
     let exit = apply::run(&options, &mut out).await;
-    (exit, String::from_utf8(out).expect("text"))
+    (exit, String::from_utf8(out).expect("valid UTF-8"))
 }
 
 #[test]
@@ -90,7 +90,7 @@
         };
         let mut out = Vec::new();
         let exit = check::run(&options, &mut out);
-        (exit, String::from_utf8(out).expect("text"))
+        (exit, String::from_utf8(out).expect("valid UTF-8"))
     };
     assert_eq!(
         run(&good.0, false),
@@ -100,14 +100,14 @@
     assert_eq!(run(&bad.0, false), (Exit::Failure, lines.to_owned()));
     let (exit, json) = run(&bad.0, true);
     assert_eq!(exit, Exit::Failure);
-    let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
+    let json: serde_json::Value = serde_json::from_str(&json).expect("valid JSON");
     assert_eq!(json["findings"][1]["place"], "/b");
     let (exit, _) = run(&PathBuf::from("/nonexistent/file.json"), false);
     assert_eq!(exit, Exit::Usage);
 }
 
 #[tokio::test]
-async fn apply_tells_each_answer_by_its_exit_code() {
+async fn apply_maps_each_outcome_to_an_exit_code() {
     let control = Arc::new(Fake::default());
     let host = Host::start(Arc::clone(&control)).await;
     let hosts = [host.url.as_str()];
@@ -127,26 +127,26 @@
     let (exit, out) = apply_file(&hosts, &bad, 1, None).await;
     assert_eq!(exit, Exit::Failure);
     assert!(out.starts_with("/: invalid type"), "{out}");
-    let mut stranger = connection(&hosts);
-    stranger.key = "guess".to_owned();
+    let mut unauthorized = connection(&hosts);
+    unauthorized.key = "guess".to_owned();
     let options = status::Options {
-        connection: stranger,
+        connection: unauthorized,
         json: false,
     };
     let mut out = Vec::new();
     assert_eq!(status::run(&options, &mut out).await, Exit::Usage);
-    assert_eq!(out, b"the key is no operator's key\n");
+    assert_eq!(out, b"the key does not belong to an operator\n");
     host.stop().await;
 }
 
 #[tokio::test]
-async fn apply_goes_to_the_next_host() {
+async fn apply_tries_the_next_host_after_a_failure() {
     let control = Arc::new(Fake::default());
     let host = Host::start(Arc::clone(&control)).await;
-    let dead = unreachable().await;
-    let (dropping, task) = dropping().await;
+    let dead = unreachable_url().await;
+    let (dropping, task) = start_dropping_host().await;
     let one = File::new("next-one", &text(1));
-    // The first try reaches nobody, the second is refused before the log, the third answers.
+    // The first host is unreachable, the second drops the connection, the third is unavailable once.
     let fault = Fault::Fail(Failure::Unavailable);
     control.faults.lock().unwrap().push_back(fault);
     let hosts = [dead.as_str(), &dropping, &host.url, &host.url];
@@ -160,11 +160,11 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_is_learnt_from_the_next_host() {
+async fn the_outcome_of_a_lost_response_is_learnt_from_the_next_host() {
     let control = Arc::new(Fake::default());
     let host = Host::start(Arc::clone(&control)).await;
     let one = File::new("lost-one", &text(1));
-    control.faults.lock().unwrap().push_back(Fault::Lose);
+    control.faults.lock().unwrap().push_back(Fault::LoseAnswer);
     let hosts = [host.url.as_str(), &host.url];
     let (exit, out) = apply_file(&hosts, &one, 0, None).await;
     assert_eq!(
@@ -176,9 +176,9 @@
 }
 
 #[tokio::test]
-async fn unreachable_and_unknown_are_told_apart() {
-    let dead = unreachable().await;
-    let (dropping, task) = dropping().await;
+async fn unreachable_hosts_and_unknown_outcomes_have_different_messages() {
+    let dead = unreachable_url().await;
+    let (dropping, task) = start_dropping_host().await;
     let one = File::new("apart-one", &text(1));
     let (exit, out) = apply_file(&[&dead], &one, 0, None).await;
     assert_eq!(exit, Exit::Unknown);
@@ -193,10 +193,10 @@
 }
 
 #[tokio::test]
-async fn apply_reports_host_by_host() {
+async fn apply_reports_the_rollout_on_each_host() {
     let control = Arc::new(Fake::default());
     control
-        .spread
+        .h2_versions
         .lock()
         .unwrap()
         .extend([None, Some(0), Some(1)]);
@@ -210,7 +210,7 @@
 }
 
 #[tokio::test]
-async fn show_prints_the_bytes_alone() {
+async fn show_prints_only_the_declaration() {
     let control = Arc::new(Fake::default());
     control.apply_now(&request(0, 1));
     control.apply_now(&request(1, 2));
@@ -224,7 +224,7 @@
         };
         let (mut out, mut notes) = (Vec::new(), Vec::new());
         let exit = show::run(&options, &mut out, &mut notes).await;
-        let text = |bytes| String::from_utf8(bytes).expect("text");
+        let text = |bytes| String::from_utf8(bytes).expect("valid UTF-8");
         (exit, text(out), text(notes))
     };
     let (exit, out, notes) = run(None, None).await;
@@ -241,14 +241,14 @@
     host.stop().await;
 }
 
-/// The answer comes before the file was read, and must not be lost with the connection.
+/// Guards against losing the response, which is sent before the body has been read.
 #[tokio::test]
-async fn a_large_file_with_a_wrong_key_is_refused_and_not_unknown() {
+async fn a_large_file_with_an_invalid_key_is_unauthorized() {
     let control = Arc::new(Fake::default());
     let host = Host::start(control).await;
-    let mut stranger = connection(&[&host.url]);
-    stranger.key = "guess".to_owned();
-    let client = Client::new(stranger).expect("a client");
+    let mut unauthorized = connection(&[&host.url]);
+    unauthorized.key = "guess".to_owned();
+    let client = Client::new(unauthorized).expect("valid connection");
     let large = " ".repeat(7 << 20);
     for _ in 0..3 {
         let answer = client.apply(Version(0), None, &large).await;
@@ -257,9 +257,9 @@
     host.stop().await;
 }
 
-/// A host that is cut off must not answer for the others.
+/// Guards against showing the outdated version of an isolated host.
 #[tokio::test]
-async fn show_prefers_a_confirmed_answer() {
+async fn show_prefers_a_confirmed_version() {
     let behind = Arc::new(Fake::default());
     let current = Arc::new(Fake::default());
     let as_of_unix_ms = Some(0);
@@ -267,25 +267,26 @@
     current.apply_now(&request(0, 1));
     let first = Host::start(behind).await;
     let second = Host::start(Arc::clone(&current)).await;
-    let dead = unreachable().await;
-    let client = Client::new(connection(&[&first.url, &dead, &second.url])).expect("a client");
-    let current_text = kumquatdrum_setup::Selector::Current;
-    let shown = client.show(current_text).await.expect("an answer");
+    let dead = unreachable_url().await;
+    let client =
+        Client::new(connection(&[&first.url, &dead, &second.url])).expect("valid connection");
+    let selector = kumquatdrum_setup::Selector::Current;
+    let shown = client.show(selector).await.expect("a declaration");
     assert_eq!(
         (shown.version, shown.standing),
         (Version(1), Standing::Confirmed)
     );
     *current.standing.lock().unwrap() = Standing::LastKnown { as_of_unix_ms };
-    let shown = client.show(current_text).await.expect("an answer");
+    let shown = client.show(selector).await.expect("a declaration");
     assert_eq!(shown.version, Version(1));
-    let client = Client::new(connection(&[&dead])).expect("a client");
-    let error = client.show(current_text).await.expect_err("nobody");
+    let client = Client::new(connection(&[&dead])).expect("valid connection");
+    let error = client.show(selector).await.expect_err("unreachable host");
     assert!(matches!(error, client::Error::Unreachable(_)), "{error}");
     first.stop().await;
     second.stop().await;
 }
 
-async fn audit_of(url: &str, json: bool) -> (Exit, String) {
+async fn run_audit(url: &str, json: bool) -> (Exit, String) {
     let options = audit::Options {
         connection: connection(&[url]),
         from: 1,
@@ -293,13 +294,13 @@
     };
     let mut out = Vec::new();
     let exit = audit::run(&options, &mut out).await;
-    (exit, String::from_utf8(out).expect("text"))
+    (exit, String::from_utf8(out).expect("valid UTF-8"))
 }
 
 #[tokio::test]
 async fn audit_verifies_the_chain_over_pages() {
     let control = Arc::new(Fake {
-        page: 2,
+        max_page_size: 2,
         ..Fake::default()
     });
     for base in [0, 0, 1, 2, 3] {
@@ -307,15 +308,15 @@
     }
     let head = control.state.lock().unwrap().trail().head();
     let host = Host::start(control).await;
-    let (exit, out) = audit_of(&host.url, false).await;
+    let (exit, out) = run_audit(&host.url, false).await;
     assert_eq!(exit, Exit::Success);
-    let last = out.lines().last().expect("a verdict");
+    let last = out.lines().last().expect("a verification line");
     assert_eq!(last, format!("4 entries, chain verified, head {head}"));
     assert!(out.starts_with("1  2026-12-02T22:30:01.000Z  kadri  base 0  accepted as 1  sha256 "));
-    let (_, out) = audit_of(&host.url, true).await;
+    let (_, out) = run_audit(&host.url, true).await;
     let lines: Vec<serde_json::Value> = out
         .lines()
-        .map(|line| serde_json::from_str(line).expect("JSON"))
+        .map(|line| serde_json::from_str(line).expect("valid JSON"))
         .collect();
     assert_eq!(lines.len(), 5);
     assert_eq!(lines[4]["verified"], true);
@@ -323,29 +324,29 @@
 }
 
 #[tokio::test]
-async fn changes_on_the_way_are_told() {
+async fn audit_and_show_detect_tampered_responses() {
     let control = Arc::new(Fake {
-        page: 2,
-        tampers: true,
+        max_page_size: 2,
+        is_tampering: true,
         ..Fake::default()
     });
     for base in 0..3 {
         control.apply_now(&request(base, base as u8 + 1));
     }
     let host = Host::start(control).await;
-    let (exit, out) = audit_of(&host.url, false).await;
+    let (exit, out) = run_audit(&host.url, false).await;
     assert_eq!(exit, Exit::Failure);
-    let last = out.lines().last().expect("a verdict");
+    let last = out.lines().last().expect("a verification line");
     assert_eq!(
         last,
         "the chain is broken: entry 2 does not match its digest"
     );
-    let (exit, out) = audit_of(&host.url, true).await;
+    let (exit, out) = run_audit(&host.url, true).await;
     assert_eq!(exit, Exit::Failure);
     assert!(
         out.lines()
             .last()
-            .expect("a verdict")
+            .expect("a verification line")
             .contains(r#""verified":false"#)
     );
     let options = show::Options {
@@ -365,9 +366,9 @@
 }
 
 #[tokio::test]
-async fn status_names_hosts_and_versions() {
+async fn status_prints_hosts_and_versions() {
     let control = Arc::new(Fake::default());
-    control.spread.lock().unwrap().push_back(None);
+    control.h2_versions.lock().unwrap().push_back(None);
     let host = Host::start(control).await;
     let options = status::Options {
         connection: connection(&[&host.url]),
@@ -375,7 +376,7 @@
     };
     let mut out = Vec::new();
     assert_eq!(status::run(&options, &mut out).await, Exit::Success);
-    let out = String::from_utf8(out).expect("text");
+    let out = String::from_utf8(out).expect("valid UTF-8");
     for line in [
         "as seen by h1 (hall-ringtee)",
         "control leader h1",
--- a/crates/kumquatdrum_operator/tests/settings.rs
+++ b/crates/kumquatdrum_operator/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Operators as the settings list them, and times as people write them.
+//! Validation of operators in the settings, and conversion of timestamps.
 
 use kumquatdrum_operator::{Operator, Operators, rfc3339};
 use kumquatdrum_types::digest;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn wrong_operators_are_all_found() {
+fn all_invalid_operators_are_reported() {
     let first = digest::hex(b"a");
     let second = digest::hex(b"b");
     let operators = [
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn times_are_read_and_written() {
+fn timestamps_are_parsed_and_formatted() {
     let cases = [
         ("1970-01-01T00:00:00Z", 0),
         ("2000-02-29T23:59:59.999Z", 951_868_799_999),
--- a/crates/kumquatdrum_operator/tests/support/mod.rs
+++ b/crates/kumquatdrum_operator/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A control plane in memory, and listeners over it.
+//! An in-memory control plane, and listeners that serve it.
 
-#![allow(dead_code, reason = "each test file uses some of these")]
+#![allow(dead_code, reason = "no test file uses all of these")]
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -24,26 +24,26 @@
 pub const CALLER_KEY: &str = "caller-secret";
 pub const START_MS: u64 = 1_796_250_600_000;
 
-/// What a fake does with the next apply.
+/// Fault injected into the next apply.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// It does nothing, and fails.
+    /// Fails without applying.
     Fail(Failure),
-    /// It applies, and its answer is lost.
-    Lose,
+    /// Applies and loses the answer.
+    LoseAnswer,
 }
 
-/// One log over [`StateMachine`], without replicas.
+/// A control plane with a single [`StateMachine`] and no replicas.
 pub struct Fake {
     pub state: Mutex<StateMachine>,
     pub faults: Mutex<VecDeque<Fault>>,
     pub standing: Mutex<Standing>,
-    /// Versions that successive status reports show of host h2; the last one stays.
-    pub spread: Mutex<VecDeque<Option<u64>>>,
-    /// The most entries of a page, whatever is asked for.
-    pub page: usize,
-    /// Read-backs and pages are changed on their way.
-    pub tampers: bool,
+    /// Versions of host h2 in successive status reports. The last one is repeated.
+    pub h2_versions: Mutex<VecDeque<Option<u64>>>,
+    /// Maximum number of audit entries in a page, regardless of the requested limit.
+    pub max_page_size: usize,
+    /// Whether revision declarations and audit pages are modified.
+    pub is_tampering: bool,
 }
 
 impl Default for Fake {
@@ -52,9 +52,9 @@
             state: Mutex::default(),
             faults: Mutex::default(),
             standing: Mutex::new(Standing::Confirmed),
-            spread: Mutex::default(),
-            page: usize::MAX,
-            tampers: false,
+            h2_versions: Mutex::default(),
+            max_page_size: usize::MAX,
+            is_tampering: false,
         }
     }
 }
@@ -103,7 +103,7 @@
         ready(match fault {
             None => Ok(self.apply_now(&request)),
             Some(Fault::Fail(failure)) => Err(failure),
-            Some(Fault::Lose) => {
+            Some(Fault::LoseAnswer) => {
                 self.apply_now(&request);
                 Err(Failure::Unknown)
             }
@@ -112,19 +112,19 @@
 
     fn show(&self, selector: Selector) -> Reply<'_, Revision> {
         let standing = *self.standing.lock().unwrap();
-        let mut shown = self.state.lock().unwrap().show(selector, standing);
-        if let Some(shown) = shown.as_mut().filter(|_| self.tampers) {
-            shown.text = shown.text.replace("card", "dark").into();
+        let mut revision = self.state.lock().unwrap().show(selector, standing);
+        if let Some(revision) = revision.as_mut().filter(|_| self.is_tampering) {
+            revision.text = revision.text.replace("card", "dark").into();
         }
-        ready(shown.ok_or(Failure::NoSuchVersion))
+        ready(revision.ok_or(Failure::NoSuchVersion))
     }
 
     fn audit(&self, from: u64, limit: usize) -> Reply<'_, Page> {
         let state = self.state.lock().unwrap();
-        let (previous, entries) = state.trail().page(from, limit.min(self.page));
+        let (previous, entries) = state.trail().page(from, limit.min(self.max_page_size));
         let next = from + entries.len() as u64;
         let mut entries = entries.to_vec();
-        if let Some(last) = entries.last_mut().filter(|_| self.tampers) {
+        if let Some(last) = entries.last_mut().filter(|_| self.is_tampering) {
             last.record.operator.push('!');
         }
         ready(Ok(Page {
@@ -136,27 +136,30 @@
     }
 
     fn status(&self) -> Reply<'_, Status> {
-        let shown = self
+        let revision = self
             .state
             .lock()
             .unwrap()
             .show(Selector::Current, Standing::Confirmed);
-        let shown = shown.expect("the current version");
-        let mut spread = self.spread.lock().unwrap();
-        let second = match spread.len() {
-            0 | 1 => spread.front().copied().unwrap_or(Some(shown.version.0)),
-            _ => spread.pop_front().expect("two reports at least"),
+        let revision = revision.expect("the current version");
+        let mut versions = self.h2_versions.lock().unwrap();
+        let h2_version = match versions.len() {
+            0 | 1 => versions
+                .front()
+                .copied()
+                .unwrap_or(Some(revision.version.0)),
+            _ => versions.pop_front().expect("at least two versions"),
         };
         ready(Ok(Status {
             host: "h1".into(),
             data_centre: "hall-ringtee".into(),
-            version: shown.version,
-            digest: shown.digest,
-            standing: shown.standing,
+            version: revision.version,
+            digest: revision.digest,
+            standing: revision.standing,
             leader: Some("h1".into()),
             hosts: vec![
-                Self::host("h1", Some(shown.version.0)),
-                Self::host("h2", second),
+                Self::host("h1", Some(revision.version.0)),
+                Self::host("h2", h2_version),
             ],
             endpoints: Vec::new(),
             cut_off: Vec::new(),
@@ -198,7 +201,7 @@
 
 impl Serializer for Pairs {
     fn emit_arguments(&mut self, key: slog::Key, value: &fmt::Arguments<'_>) -> slog::Result {
-        // slog hands pairs over last to first.
+        // slog emits the pairs in reverse order.
         self.0 = format!("{key}={value} {}", self.0);
         Ok(())
     }
@@ -223,13 +226,13 @@
     };
     let context = Context {
         control,
-        operators: Operators::new("/operators", &[operator]).expect("a whole operator"),
+        operators: Operators::new("/operators", &[operator]).expect("valid operator"),
         logger: Logger::root(lines.fuse(), slog::o!()),
     };
     rocket::custom(config).manage(context).mount("/", routes())
 }
 
-/// A listener on loopback.
+/// A listener on the loopback interface.
 pub struct Host {
     pub url: String,
     shutdown: Shutdown,
@@ -251,10 +254,13 @@
                         .expect("a waiting test");
                 })
             }));
-        let rocket = rocket.ignite().await.expect("a whole rocket");
+        let rocket = rocket.ignite().await.expect("valid routes");
         let shutdown = rocket.shutdown();
         let task = tokio::spawn(async move {
-            rocket.launch().await.expect("an undisturbed run");
+            rocket
+                .launch()
+                .await
+                .expect("the listener runs until shutdown");
         });
         let port = receiver.await.expect("a liftoff");
         Self {
@@ -266,7 +272,7 @@
 
     pub async fn stop(self) {
         self.shutdown.notify();
-        self.task.await.expect("a joined listener");
+        self.task.await.expect("the listener task completes");
     }
 }
 
