--- a/crates/kumquatdrum_engine/src/engine.rs
+++ b/crates/kumquatdrum_engine/src/engine.rs
@@ -75,7 +75,7 @@
     fn cancel(&self, target: &Target, attempt: &AttemptId) -> Answer<Status>;
 
     /// Lists what runs for an owner.
-    fn running(&self, target: &Target, owner: &HostId) -> Answer<Vec<Running>>;
+    fn running_attempts(&self, target: &Target, owner: &HostId) -> Answer<Vec<Running>>;
 
     /// Cache events after a number; they come late and with gaps.
     fn cache_events(&self, target: &Target, after: u64) -> Answer<CachePage>;
@@ -100,5 +100,5 @@
     fn order_report(&self, target: &Target) -> Answer<Report>;
 
     /// Drops pooled connections to an endpoint that went silent.
-    fn shed(&self, target: &Target);
+    fn drop_pooled_connections(&self, target: &Target);
 }
--- a/crates/kumquatdrum_engine/src/http.rs
+++ b/crates/kumquatdrum_engine/src/http.rs
@@ -191,7 +191,7 @@
         self.standing(reqwest::Method::DELETE, target, attempt)
     }
 
-    fn running(&self, target: &Target, owner: &HostId) -> Answer<Vec<Running>> {
+    fn running_attempts(&self, target: &Target, owner: &HostId) -> Answer<Vec<Running>> {
         let path = format!("/v1/attempts?owner={owner}");
         let listing = decoded::<Listing>(target, self.ask(reqwest::Method::GET, target, &path));
         Box::pin(async move { Ok(listing.await?.attempts) })
@@ -248,7 +248,7 @@
         )
     }
 
-    fn shed(&self, target: &Target) {
+    fn drop_pooled_connections(&self, target: &Target) {
         let mut pools = self.pools.lock().expect("no holder panics");
         pools.swap_remove(&target.address);
     }
--- a/crates/kumquatdrum_host/src/orphans.rs
+++ b/crates/kumquatdrum_host/src/orphans.rs
@@ -47,7 +47,7 @@
     owner: &HostId,
     is_orphan: impl Fn(&AttemptId) -> bool,
 ) {
-    let Ok(running) = shell.engine.running(target, owner).await else {
+    let Ok(running) = shell.engine.running_attempts(target, owner).await else {
         return;
     };
     for attempt in running.into_iter().map(|running| running.id) {
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -141,13 +141,13 @@
             }
             Output::Cancel(target, attempt) => {
                 self.events = None;
-                self.shell.engine.shed(&target);
+                self.shell.engine.drop_pooled_connections(&target);
                 let asked = self.shell.engine.cancel(&target, &attempt);
                 self.ask(async move { asked.await.map_or(Input::Unreachable, Input::Cancelled) });
             }
             Output::Resume(target, attempt, from) => {
                 self.shell.metrics.resumes.inc();
-                self.shell.engine.shed(&target);
+                self.shell.engine.drop_pooled_connections(&target);
                 self.events = Some(self.shell.engine.resume(&target, &attempt, from));
             }
             Output::Abandon(target, attempt) if self.order.plan.resumable => {
--- a/crates/kumquatdrum_host/src/shell.rs
+++ b/crates/kumquatdrum_host/src/shell.rs
@@ -6,7 +6,7 @@
 use kumquatdrum_daemon::body::Budget;
 use kumquatdrum_engine::Engine;
 use kumquatdrum_process::{Drain, Metrics};
-use kumquatdrum_service::Plain;
+use kumquatdrum_service::Service;
 use kumquatdrum_setup::Control;
 use kumquatdrum_types::exchange::Target;
 use kumquatdrum_types::{BootId, RequestId, ServiceName};
@@ -42,7 +42,7 @@
     /// Model engines.
     pub engine: Arc<dyn Engine>,
     /// Plain services.
-    pub plain: Arc<dyn Plain>,
+    pub plain: Arc<dyn Service>,
     /// Cancels under way.
     pub canceller: Arc<Canceller>,
     /// Memory reserved at several engines.
--- a/crates/kumquatdrum_operator/tests/commands.rs
+++ b/crates/kumquatdrum_operator/tests/commands.rs
@@ -146,7 +146,7 @@
     let dead = unreachable_url().await;
     let (dropping, task) = start_dropping_host().await;
     let one = File::new("next-one", &text(1));
-    // The first host is unreachable, the second drops the connection, the third is unavailable once.
+    // The first host is unreachable, the second drops the connection, the third is unavailable.
     let fault = Fault::Fail(Failure::Unavailable);
     control.faults.lock().unwrap().push_back(fault);
     let hosts = [dead.as_str(), &dropping, &host.url, &host.url];
--- a/crates/kumquatdrum_service/src/http.rs
+++ b/crates/kumquatdrum_service/src/http.rs
@@ -5,7 +5,7 @@
 use futures::stream::{self, StreamExt};
 use kumquatdrum_types::exchange::{Call, Event, Fault, Head};
 
-use crate::plain::{Events, Plain};
+use crate::service::{Events, Service};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Data sent but not acknowledged for this long ends the connection.
@@ -38,7 +38,7 @@
     }
 }
 
-impl Plain for Client {
+impl Service for Client {
     fn call(&self, call: Call) -> Events {
         let Ok(method) = call.method.parse::<reqwest::Method>() else {
             return fault(Fault::NotSent);
--- a/crates/kumquatdrum_service/src/lib.rs
+++ b/crates/kumquatdrum_service/src/lib.rs
@@ -1,7 +1,7 @@
 //! Plain services: calls passed on over HTTP.
 
 pub mod http;
-pub mod plain;
+pub mod service;
 
 pub use http::Client;
-pub use plain::Plain;
+pub use service::Service;
--- a/crates/kumquatdrum_service/src/plain.rs
+++ b/crates/kumquatdrum_service/src/service.rs
@@ -9,7 +9,7 @@
 pub type Events = Pin<Box<dyn Stream<Item = Event> + Send>>;
 
 /// A plain service as seen from a daemon. Dropping an exchange's events closes its connection.
-pub trait Plain: Send + Sync {
+pub trait Service: Send + Sync {
     /// Sends a call and follows its answer.
     fn call(&self, call: Call) -> Events;
 }
