--- a/crates/kumquatdrum_engine/src/engine.rs
+++ b/crates/kumquatdrum_engine/src/engine.rs
@@ -1,86 +1,88 @@
-//! What a daemon needs of a model engine, whatever the engine speaks.
+//! Interface to a model engine, independent of its protocol.
 
 use std::future::Future;
 use std::pin::Pin;
 use std::time::Duration;
 
 use futures::Stream;
-use kumquatdrum_orders::{Answer as OrderAnswer, Order, Report};
+use kumquatdrum_orders::{Order, Report};
 use kumquatdrum_types::exchange::{Call, Event, Status, Target};
 use kumquatdrum_types::{AttemptId, BootId, HostId};
 use serde::{Deserialize, Serialize};
 
-/// A boxed future, so that the trait can stand behind a pointer.
-pub type Answer<T> = Pin<Box<dyn Future<Output = Result<T, Unreachable>> + Send>>;
-/// The events of one exchange; it ends after `Finished` or a fault.
+/// A boxed future of an engine's response, which keeps [`Engine`] usable as a trait object.
+pub type ResponseFuture<T> = Pin<Box<dyn Future<Output = Result<T, Unreachable>> + Send>>;
+/// Events of one exchange. The stream ends after `Finished` or a fault.
 pub type Events = Pin<Box<dyn Stream<Item = Event> + Send>>;
 
-/// How an order went; a boxed future like [`Answer`].
-pub type Ordered = Pin<Box<dyn Future<Output = OrderAnswer> + Send>>;
-/// Asked right before an order's bytes are handed over; none are where it says `false`.
-pub type Check = Box<dyn Fn() -> bool + Send + Sync>;
+/// A boxed future of an engine's response to an order.
+pub type OrderFuture = Pin<Box<dyn Future<Output = kumquatdrum_orders::Answer> + Send>>;
+/// Condition checked right before an order is written to the connection. The order is not sent if
+/// it returns `false`.
+pub type Precondition = Box<dyn Fn() -> bool + Send + Sync>;
 
-/// The engine did not answer a question in time, or not in its protocol.
+/// An engine did not respond in time, or sent an invalid response.
 #[derive(Debug, Clone, thiserror::Error)]
-#[error("engine {endpoint} can't be asked: {reason}")]
+#[error("request to engine {endpoint} failed: {reason}")]
 pub struct Unreachable {
-    /// Which engine.
+    /// Id of the engine.
     pub endpoint: String,
-    /// What went wrong.
+    /// Description of the error.
     pub reason: String,
 }
 
-/// An attempt that runs for an owner.
+/// An attempt that runs on an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Running {
-    /// Its name.
+pub struct Attempt {
+    /// Attempt id.
     pub id: AttemptId,
 }
 
-/// A change of an engine's prefix cache, as the engine tells it.
+/// A change of an engine's prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Grows by one with each event of one boot.
+    /// Sequence number, which increases by one with each event of a boot.
     pub seq: u64,
     /// `stored` or `evicted`.
     pub op: String,
-    /// The block's name, in hexadecimal digits.
+    /// Hash of the block in hexadecimal digits.
     pub prefix: String,
 }
 
-/// Some cache events of an engine.
+/// A page of cache events.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachePage {
-    /// The life of the engine that speaks.
+    /// Boot id of the engine.
     pub boot: BootId,
-    /// The last number that was published; a missing one up to it was lost.
+    /// Last published sequence number. Events missing from the sequence up to it were lost.
     pub last: u64,
-    /// The events, in their order.
+    /// Events in order.
     pub events: Vec<CacheEvent>,
 }
 
-/// A model engine as seen from a daemon. Dropping an exchange's events closes its connection.
+/// The daemon's interface to model engines. Dropping an exchange's events closes its connection.
 pub trait Engine: Send + Sync {
-    /// Sends an attempt and follows its answer.
+    /// Sends an attempt and returns the events of its response.
     fn dispatch(&self, call: Call) -> Events;
 
-    /// Follows the answer of an earlier attempt from token `from`, over a new connection.
+    /// Resumes the response of an earlier attempt from token `from`, over a new connection.
     fn resume(&self, target: &Target, attempt: &AttemptId, from: u64) -> Events;
 
-    /// Asks over a new connection how an attempt stands.
-    fn probe(&self, target: &Target, attempt: &AttemptId) -> Answer<Status>;
+    /// Requests the status of an attempt over a new connection.
+    fn probe(&self, target: &Target, attempt: &AttemptId) -> ResponseFuture<Status>;
 
-    /// Cancels an attempt over a new connection. The answer says how it stood; an attempt that
-    /// was never seen never will be started.
-    fn cancel(&self, target: &Target, attempt: &AttemptId) -> Answer<Status>;
+    /// Cancels an attempt over a new connection and returns the status it had. An attempt unknown
+    /// to the engine will not be started if it arrives later.
+    fn cancel(&self, target: &Target, attempt: &AttemptId) -> ResponseFuture<Status>;
 
-    /// Lists what runs for an owner.
-    fn running_attempts(&self, target: &Target, owner: &HostId) -> Answer<Vec<Running>>;
+    /// Lists the attempts that run for an owner.
+    fn running_attempts(&self, target: &Target, owner: &HostId) -> ResponseFuture<Vec<Attempt>>;
 
-    /// Cache events after a number; they come late and with gaps.
-    fn cache_events(&self, target: &Target, after: u64) -> Answer<CachePage>;
+    /// Returns the cache events after a sequence number. Events may be late or missing.
+    fn cache_events(&self, target: &Target, after: u64) -> ResponseFuture<CachePage>;
 
-    /// Reserves memory under an attempt's name, or renews it; `false` where there is no room.
+    /// Reserves memory for an attempt, or renews its reservation. Returns `false` if there is not
+    /// enough memory.
     fn reserve(
         &self,
         target: &Target,
@@ -88,17 +90,17 @@
         owner: &HostId,
         tokens: u64,
         time_to_live: Duration,
-    ) -> Answer<bool>;
+    ) -> ResponseFuture<bool>;
 
-    /// Releases a reservation; `false` where there was none.
-    fn release(&self, target: &Target, attempt: &AttemptId) -> Answer<bool>;
+    /// Releases a reservation. Returns `false` if there was none.
+    fn release(&self, target: &Target, attempt: &AttemptId) -> ResponseFuture<bool>;
 
-    /// Gives an order over a new connection, if `check` allows it right before.
-    fn order(&self, target: &Target, order: &Order, check: Check) -> Ordered;
+    /// Sends an order over a new connection, if `precondition` holds right before it is written.
+    fn order(&self, target: &Target, order: &Order, precondition: Precondition) -> OrderFuture;
 
-    /// What the engine has loaded and does.
-    fn order_report(&self, target: &Target) -> Answer<Report>;
+    /// Returns the engine's report on its loaded version and its orders.
+    fn order_report(&self, target: &Target) -> ResponseFuture<Report>;
 
-    /// Drops pooled connections to an endpoint that went silent.
+    /// Drops the pooled connections to an endpoint that stopped responding.
     fn drop_pooled_connections(&self, target: &Target);
 }
--- a/crates/kumquatdrum_engine/src/http.rs
+++ b/crates/kumquatdrum_engine/src/http.rs
@@ -1,4 +1,4 @@
-//! The engine protocol over HTTP, as `docs/ENGINE-PROTOCOL.md` states it.
+//! Engine protocol over HTTP, as specified in `docs/ENGINE-PROTOCOL.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,36 +12,38 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
 
-use crate::engine::{Answer, CachePage, Check, Engine, Events, Ordered, Running, Unreachable};
+use crate::engine::{
+    Attempt, CachePage, Engine, Events, OrderFuture, Precondition, ResponseFuture, Unreachable,
+};
 use crate::{order, sse};
 
 const ATTEMPT_HEADER: &str = "x-attempt-id";
 const END_MARKER: &[u8] = b"[DONE]";
-/// A pooled connection that was idle for longer is not used again.
-const POOL_IDLE: Duration = Duration::from_secs(10);
+/// Maximum idle time after which a pooled connection is reused.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the engine may take to answer a question about an attempt.
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(1);
-/// Data sent but not acknowledged for this long ends the connection.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
-/// An error's body is cut to this.
-const ERROR_BODY: usize = 64 * 1024;
-
-/// Speaks HTTP with engines, a pool of connections for each.
+/// Timeout of requests that do not stream a response.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum time for which sent data may stay unacknowledged before the connection is closed.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
+/// Error bodies are truncated to this size.
+const MAX_ERROR_BODY_BYTES: usize = 64 * 1024;
+
+/// HTTP client of model engines, with a connection pool for each engine.
 #[derive(Debug)]
 pub struct Client {
     pools: Mutex<IndexMap<SocketAddr, reqwest::Client>>,
-    fresh: reqwest::Client,
+    unpooled: reqwest::Client,
     orders: reqwest::Client,
 }
 
 #[derive(Debug, Deserialize)]
-struct Refused {
-    error: RefusedError,
+struct ErrorBody {
+    error: ErrorDetail,
 }
 
 #[derive(Debug, Deserialize)]
-struct RefusedError {
+struct ErrorDetail {
     #[serde(default = "assume_started")]
     started: bool,
 }
@@ -52,11 +54,11 @@
 
 #[derive(Debug, Deserialize)]
 struct Listing {
-    attempts: Vec<Running>,
+    attempts: Vec<Attempt>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Named<'a> {
+struct EventId<'a> {
     #[serde(borrow)]
     id: Option<std::borrow::Cow<'a, str>>,
 }
@@ -70,12 +72,12 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Freed {
+struct Release {
     freed: bool,
 }
 
 #[derive(Debug, Deserialize)]
-struct Counted {
+struct Chunk {
     #[serde(default)]
     usage: Option<Usage>,
     #[serde(default)]
@@ -88,22 +90,23 @@
     finish_reason: Option<String>,
 }
 
-pub(crate) fn pool() -> reqwest::ClientBuilder {
+/// Returns a builder with the settings that all connections to engines share.
+pub(crate) fn client_builder() -> reqwest::ClientBuilder {
     reqwest::Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
-        .tcp_user_timeout(UNACKNOWLEDGED)
+        .tcp_user_timeout(UNACKNOWLEDGED_TIMEOUT)
         .no_proxy()
         .retry(reqwest::retry::never())
         .redirect(reqwest::redirect::Policy::none())
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client. Connections are opened on demand.
     pub fn new() -> Result<Self, reqwest::Error> {
         Ok(Self {
             pools: Mutex::new(IndexMap::new()),
-            fresh: pool().pool_max_idle_per_host(0).build()?,
+            unpooled: client_builder().pool_max_idle_per_host(0).build()?,
             orders: order::client()?,
         })
     }
@@ -113,19 +116,19 @@
         pools
             .entry(address)
             .or_insert_with(|| {
-                pool()
-                    .pool_idle_timeout(POOL_IDLE)
+                client_builder()
+                    .pool_idle_timeout(POOL_IDLE_TIMEOUT)
                     .build()
-                    .unwrap_or_else(|_| self.fresh.clone())
+                    .unwrap_or_else(|_| self.unpooled.clone())
             })
             .clone()
     }
 
-    fn ask(&self, method: reqwest::Method, target: &Target, path: &str) -> Answer<Bytes> {
+    fn query(&self, method: reqwest::Method, target: &Target, path: &str) -> ResponseFuture<Bytes> {
         let request = self
-            .fresh
+            .unpooled
             .request(method, format!("http://{}{path}", target.address))
-            .timeout(QUESTION_TIMEOUT);
+            .timeout(QUERY_TIMEOUT);
         let endpoint = target.endpoint.to_string();
         Box::pin(async move {
             let unreachable = |error: reqwest::Error| Unreachable {
@@ -137,16 +140,21 @@
         })
     }
 
-    fn standing(&self, method: reqwest::Method, target: &Target, id: &AttemptId) -> Answer<Status> {
-        let body = self.ask(method, target, &format!("/v1/attempts/{id}"));
-        decoded(target, body)
+    fn attempt_status(
+        &self,
+        method: reqwest::Method,
+        target: &Target,
+        id: &AttemptId,
+    ) -> ResponseFuture<Status> {
+        let body = self.query(method, target, &format!("/v1/attempts/{id}"));
+        decode(target, body)
     }
 }
 
-fn decoded<T: serde::de::DeserializeOwned + 'static>(
+fn decode<T: serde::de::DeserializeOwned + 'static>(
     target: &Target,
-    body: Answer<Bytes>,
-) -> Answer<T> {
+    body: ResponseFuture<Bytes>,
+) -> ResponseFuture<T> {
     let endpoint = target.endpoint.to_string();
     Box::pin(async move {
         serde_json::from_slice(&body.await?).map_err(|error| Unreachable {
@@ -172,7 +180,7 @@
         for (name, value) in call.headers {
             request = request.header(name, value);
         }
-        follow(request, call.attempt)
+        stream_events(request, call.attempt)
     }
 
     fn resume(&self, target: &Target, attempt: &AttemptId, from: u64) -> Events {
@@ -180,26 +188,26 @@
             "http://{}/v1/attempts/{attempt}/stream?from={from}",
             target.address
         );
-        follow(self.fresh.get(url), attempt.clone())
+        stream_events(self.unpooled.get(url), attempt.clone())
     }
 
-    fn probe(&self, target: &Target, attempt: &AttemptId) -> Answer<Status> {
-        self.standing(reqwest::Method::GET, target, attempt)
+    fn probe(&self, target: &Target, attempt: &AttemptId) -> ResponseFuture<Status> {
+        self.attempt_status(reqwest::Method::GET, target, attempt)
     }
 
-    fn cancel(&self, target: &Target, attempt: &AttemptId) -> Answer<Status> {
-        self.standing(reqwest::Method::DELETE, target, attempt)
+    fn cancel(&self, target: &Target, attempt: &AttemptId) -> ResponseFuture<Status> {
+        self.attempt_status(reqwest::Method::DELETE, target, attempt)
     }
 
-    fn running_attempts(&self, target: &Target, owner: &HostId) -> Answer<Vec<Running>> {
+    fn running_attempts(&self, target: &Target, owner: &HostId) -> ResponseFuture<Vec<Attempt>> {
         let path = format!("/v1/attempts?owner={owner}");
-        let listing = decoded::<Listing>(target, self.ask(reqwest::Method::GET, target, &path));
+        let listing = decode::<Listing>(target, self.query(reqwest::Method::GET, target, &path));
         Box::pin(async move { Ok(listing.await?.attempts) })
     }
 
-    fn cache_events(&self, target: &Target, after: u64) -> Answer<CachePage> {
+    fn cache_events(&self, target: &Target, after: u64) -> ResponseFuture<CachePage> {
         let path = format!("/v1/cache/events?after={after}");
-        decoded(target, self.ask(reqwest::Method::GET, target, &path))
+        decode(target, self.query(reqwest::Method::GET, target, &path))
     }
 
     fn reserve(
@@ -209,7 +217,7 @@
         owner: &HostId,
         tokens: u64,
         time_to_live: Duration,
-    ) -> Answer<bool> {
+    ) -> ResponseFuture<bool> {
         let body = Reservation {
             id: attempt,
             owner,
@@ -217,9 +225,9 @@
             ttl_ms: time_to_live.as_millis() as u64,
         };
         let request = self
-            .fresh
+            .unpooled
             .post(format!("http://{}/v1/reservations", target.address))
-            .timeout(QUESTION_TIMEOUT)
+            .timeout(QUERY_TIMEOUT)
             .json(&body);
         let endpoint = target.endpoint.to_string();
         Box::pin(async move {
@@ -231,20 +239,20 @@
         })
     }
 
-    fn release(&self, target: &Target, attempt: &AttemptId) -> Answer<bool> {
+    fn release(&self, target: &Target, attempt: &AttemptId) -> ResponseFuture<bool> {
         let path = format!("/v1/reservations/{attempt}");
-        let freed = decoded::<Freed>(target, self.ask(reqwest::Method::DELETE, target, &path));
-        Box::pin(async move { Ok(freed.await?.freed) })
+        let release = decode::<Release>(target, self.query(reqwest::Method::DELETE, target, &path));
+        Box::pin(async move { Ok(release.await?.freed) })
     }
 
-    fn order(&self, target: &Target, order: &Order, check: Check) -> Ordered {
-        order::send(&self.orders, target, order, check)
+    fn order(&self, target: &Target, order: &Order, precondition: Precondition) -> OrderFuture {
+        order::send(&self.orders, target, order, precondition)
     }
 
-    fn order_report(&self, target: &Target) -> Answer<Report> {
-        decoded(
+    fn order_report(&self, target: &Target) -> ResponseFuture<Report> {
+        decode(
             target,
-            self.ask(reqwest::Method::GET, target, "/v1/orders/state"),
+            self.query(reqwest::Method::GET, target, "/v1/orders/state"),
         )
     }
 
@@ -254,11 +262,11 @@
     }
 }
 
-/// Sends a request and reads its answer as events.
-fn follow(request: reqwest::RequestBuilder, attempt: AttemptId) -> Events {
+/// Sends a request and returns its response as a stream of events.
+fn stream_events(request: reqwest::RequestBuilder, attempt: AttemptId) -> Events {
     let events = stream::once(async move {
         match request.send().await {
-            Ok(response) => opened(response, &attempt).await,
+            Ok(response) => read_response(response, &attempt).await,
             Err(error) if error.is_connect() => fault(Fault::NotSent),
             Err(_) => fault(Fault::Broken),
         }
@@ -270,85 +278,89 @@
     stream::iter([Event::Fault(fault)]).boxed()
 }
 
-async fn opened(response: reqwest::Response, attempt: &AttemptId) -> Events {
+async fn read_response(response: reqwest::Response, attempt: &AttemptId) -> Events {
     let status = response.status().as_u16();
     if status >= 300 {
-        return fault(refusal(status, response).await);
+        return fault(read_error(status, response).await);
     }
-    let echoed = response.headers().get(ATTEMPT_HEADER);
-    if echoed.is_none_or(|echo| echo.as_bytes() != attempt.as_str().as_bytes()) {
+    let returned = response.headers().get(ATTEMPT_HEADER);
+    if returned.is_none_or(|id| id.as_bytes() != attempt.as_str().as_bytes()) {
         return fault(Fault::WrongAttempt);
     }
     let head = Head {
         status,
         content_type: Some("text/event-stream".to_owned()),
     };
-    let reading = Reading {
+    let exchange = Exchange {
         attempt: attempt.clone(),
         body: response.bytes_stream().boxed(),
         reader: sse::Reader::default(),
-        over: false,
+        is_finished: false,
     };
-    let tokens = stream::unfold(reading, |mut reading| async move {
-        let event = reading.next().await?;
-        Some((event, reading))
+    let tokens = stream::unfold(exchange, |mut exchange| async move {
+        let event = exchange.next().await?;
+        Some((event, exchange))
     });
     stream::iter([Event::Accepted(head)]).chain(tokens).boxed()
 }
 
-async fn refusal(status: u16, response: reqwest::Response) -> Fault {
+/// Returns the fault described by an error response.
+async fn read_error(status: u16, response: reqwest::Response) -> Fault {
     let Ok(mut body) = response.bytes().await else {
         return Fault::Broken;
     };
-    let started = serde_json::from_slice::<Refused>(&body).map_or(true, |told| told.error.started);
+    let started =
+        serde_json::from_slice::<ErrorBody>(&body).map_or(true, |body| body.error.started);
     if !started {
         return Fault::NotStarted;
     }
-    body.truncate(ERROR_BODY);
+    body.truncate(MAX_ERROR_BODY_BYTES);
     Fault::Rejected { status, body }
 }
 
-struct Reading {
+/// The event stream of one attempt.
+struct Exchange {
     attempt: AttemptId,
     body: stream::BoxStream<'static, reqwest::Result<Bytes>>,
     reader: sse::Reader,
-    over: bool,
+    is_finished: bool,
 }
 
-impl Reading {
+impl Exchange {
     async fn next(&mut self) -> Option<Event> {
-        while !self.over {
-            if let Some(message) = self.reader.next() {
-                return Some(self.event(message));
+        while !self.is_finished {
+            if let Some(event) = self.reader.next() {
+                return Some(self.convert(event));
             }
-            let pushed = match self.body.next().await {
+            let is_readable = match self.body.next().await {
                 Some(Ok(bytes)) => self.reader.push(&bytes).is_ok(),
                 Some(Err(_)) | None => false,
             };
-            if !pushed {
-                return Some(self.ended(Event::Fault(Fault::Broken)));
+            if !is_readable {
+                return Some(self.finish(Event::Fault(Fault::Broken)));
             }
         }
         None
     }
 
-    fn ended(&mut self, event: Event) -> Event {
-        self.over = true;
+    fn finish(&mut self, event: Event) -> Event {
+        self.is_finished = true;
         event
     }
 
-    /// Events name their attempt as the head does; one that names another isn't this caller's.
+    /// Returns whether an event belongs to this attempt. Rejects events with the id of another one,
+    /// which must not reach this caller.
     fn is_own(&self, data: &[u8]) -> bool {
-        let named = serde_json::from_slice::<Named<'_>>(data).ok();
-        let id = named.and_then(|named| named.id);
+        let event = serde_json::from_slice::<EventId<'_>>(data).ok();
+        let id = event.and_then(|event| event.id);
         id.is_none_or(|id| id == self.attempt.as_str())
     }
 
-    fn event(&mut self, message: sse::Message) -> Event {
-        let sse::Message { id, data } = message;
+    fn convert(&mut self, event: sse::Event) -> Event {
+        let sse::Event { id, data } = event;
         match id {
-            _ if data == END_MARKER => self.ended(Event::Finished),
-            _ if !self.is_own(&data) => self.ended(Event::Fault(Fault::WrongAttempt)),
+            _ if data == END_MARKER => self.finish(Event::Finished),
+            _ if !self.is_own(&data) => self.finish(Event::Fault(Fault::WrongAttempt)),
             Some(index) => Event::Token { index, data },
             None => summary(data),
         }
@@ -356,11 +368,11 @@
 }
 
 fn summary(data: Bytes) -> Event {
-    let counted = serde_json::from_slice::<Counted>(&data).ok();
-    let usage = counted
-        .filter(|counted| {
-            counted.usage.is_some() || counted.choices.iter().any(|c| c.finish_reason.is_some())
+    let chunk = serde_json::from_slice::<Chunk>(&data).ok();
+    let usage = chunk
+        .filter(|chunk| {
+            chunk.usage.is_some() || chunk.choices.iter().any(|c| c.finish_reason.is_some())
         })
-        .and_then(|counted| counted.usage);
+        .and_then(|chunk| chunk.usage);
     Event::Summary { data, usage }
 }
--- a/crates/kumquatdrum_engine/src/lib.rs
+++ b/crates/kumquatdrum_engine/src/lib.rs
@@ -1,4 +1,4 @@
-//! Model engines: streams, resume, cancel, load and cache events.
+//! Client of model engines: streams, resume, cancel, orders and cache events.
 
 pub mod engine;
 pub mod http;
--- a/crates/kumquatdrum_engine/src/order.rs
+++ b/crates/kumquatdrum_engine/src/order.rs
@@ -1,5 +1,5 @@
-//! Orders over HTTP. The last check comes when the connection asks for the body, so that neither
-//! a slow connect nor a process that freezes before it makes an order late.
+//! Sends orders over HTTP. The precondition is checked when the body is written, so that a slow
+//! connect or a paused process does not send an order after its lease expired.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,7 +12,7 @@
 use kumquatdrum_types::exchange::Target;
 use serde::{Deserialize, Serialize};
 
-use crate::engine::{Check, Ordered};
+use crate::engine::{OrderFuture, Precondition};
 
 #[derive(Debug, Serialize)]
 struct Body<'a> {
@@ -23,12 +23,12 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Refused {
-    error: RefusedError,
+struct ErrorBody {
+    error: ErrorDetail,
 }
 
 #[derive(Debug, Deserialize)]
-struct RefusedError {
+struct ErrorDetail {
     code: String,
     #[serde(default)]
     message: String,
@@ -37,24 +37,30 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("the lease has run out")]
-struct TooLate;
+#[error("the lease has expired")]
+struct LeaseExpired;
 
-fn flight() -> Duration {
+fn order_timeout() -> Duration {
     Settings::default().flight
 }
 
-/// A client whose connections, kernel buffers included, give up within an order's flight.
+/// Creates a client whose connections give up within the maximum flight time of an order. This
+/// includes data in kernel buffers.
 pub fn client() -> Result<reqwest::Client, reqwest::Error> {
-    crate::http::pool()
-        .tcp_user_timeout(flight())
-        .timeout(flight())
+    crate::http::client_builder()
+        .tcp_user_timeout(order_timeout())
+        .timeout(order_timeout())
         .pool_max_idle_per_host(0)
         .build()
 }
 
-/// Sends an order.
-pub fn send(client: &reqwest::Client, target: &Target, order: &Order, check: Check) -> Ordered {
+/// Sends an order if the precondition holds.
+pub fn send(
+    client: &reqwest::Client,
+    target: &Target,
+    order: &Order,
+    precondition: Precondition,
+) -> OrderFuture {
     let body = Body {
         id: order.id.to_string(),
         fencing: order.id.fencing,
@@ -69,40 +75,44 @@
             Ok(body) => body,
             Err(error) => return refused(error.to_string()),
         };
-        let withheld = Arc::new(AtomicBool::new(false));
-        let request = request.body(checked(body, check, withheld.clone()));
+        let is_withheld = Arc::new(AtomicBool::new(false));
+        let request = request.body(conditional_body(body, precondition, is_withheld.clone()));
         match request.send().await {
-            Ok(response) => answer(response).await,
-            Err(_) if withheld.load(Ordering::SeqCst) => Answer::NotSent,
+            Ok(response) => read_answer(response).await,
+            Err(_) if is_withheld.load(Ordering::SeqCst) => Answer::NotSent,
             Err(error) => lost(&error),
         }
     })
 }
 
-/// A body that exists only if the check allows it at the moment it is written. An engine drops
-/// a request whose body breaks off.
-fn checked(body: Bytes, check: Check, withheld: Arc<AtomicBool>) -> reqwest::Body {
+/// Returns a body that fails if the precondition does not hold when it is written. Engines ignore
+/// requests with an incomplete body.
+fn conditional_body(
+    body: Bytes,
+    precondition: Precondition,
+    is_withheld: Arc<AtomicBool>,
+) -> reqwest::Body {
     reqwest::Body::wrap_stream(stream::once(async move {
-        if check() {
+        if precondition() {
             return Ok(body);
         }
-        withheld.store(true, Ordering::SeqCst);
-        Err(TooLate)
+        is_withheld.store(true, Ordering::SeqCst);
+        Err(LeaseExpired)
     }))
 }
 
-async fn answer(response: reqwest::Response) -> Answer {
+async fn read_answer(response: reqwest::Response) -> Answer {
     let status = response.status();
     let body = match response.bytes().await {
         Ok(_) if status.is_success() => return Answer::Accepted,
         Ok(body) => body,
         Err(error) => return lost(&error),
     };
-    match serde_json::from_slice::<Refused>(&body) {
-        Ok(Refused { error }) if error.code == "old_fencing" => Answer::OldFencing {
+    match serde_json::from_slice::<ErrorBody>(&body) {
+        Ok(ErrorBody { error }) if error.code == "old_fencing" => Answer::OldFencing {
             current: error.current,
         },
-        Ok(Refused { error }) => refused(format!("{}: {}", error.code, error.message)),
+        Ok(ErrorBody { error }) => refused(format!("{}: {}", error.code, error.message)),
         Err(_) if status.is_client_error() => refused(status.to_string()),
         Err(_) => Answer::Lost {
             reason: status.to_string(),
--- a/crates/kumquatdrum_engine/src/sse.rs
+++ b/crates/kumquatdrum_engine/src/sse.rs
@@ -1,25 +1,25 @@
-//! Server-sent events, read from a stream of bytes.
+//! Parses server-sent events from a stream of bytes.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longer lines than this are no engine's.
-const LONGEST_LINE: usize = 1024 * 1024;
+/// Maximum length of a line.
+const MAX_LINE_BYTES: usize = 1024 * 1024;
 
-/// One event.
+/// A server-sent event.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Message {
-    /// The event's id, where it has one.
+pub struct Event {
+    /// Event id, if it has a numeric one.
     pub id: Option<u64>,
-    /// Its data.
+    /// Event data.
     pub data: Bytes,
 }
 
-/// A line exceeds the bound.
+/// Error for a line that exceeds the maximum length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("an event's line is longer than {LONGEST_LINE} bytes")]
-pub struct TooLong;
+#[error("a line of the event stream is longer than {MAX_LINE_BYTES} bytes")]
+pub struct LineTooLong;
 
-/// Collects bytes and yields whole events.
+/// Incremental parser that collects bytes and yields complete events.
 ///
 /// ```
 /// let mut reader = kumquatdrum_engine::sse::Reader::default();
@@ -36,16 +36,16 @@
 }
 
 impl Reader {
-    /// Takes in the next bytes.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
-        if self.buffer.len() + bytes.len() > LONGEST_LINE && !bytes.contains(&b'\n') {
-            return Err(TooLong);
+    /// Appends received bytes.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), LineTooLong> {
+        if self.buffer.len() + bytes.len() > MAX_LINE_BYTES && !bytes.contains(&b'\n') {
+            return Err(LineTooLong);
         }
         self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
-    fn line(&mut self) -> Option<Bytes> {
+    fn next_line(&mut self) -> Option<Bytes> {
         let end = self.buffer.iter().position(|byte| *byte == b'\n')?;
         let mut line = self.buffer.split_to(end + 1).freeze();
         line.truncate(end);
@@ -55,7 +55,7 @@
         Some(line)
     }
 
-    fn field(&mut self, line: &Bytes) {
+    fn parse_field(&mut self, line: &Bytes) {
         if let Some(rest) = line.strip_prefix(b"data:") {
             let value = rest.strip_prefix(b" ").unwrap_or(rest);
             match &mut self.data {
@@ -74,18 +74,18 @@
 }
 
 impl Iterator for Reader {
-    type Item = Message;
+    type Item = Event;
 
-    fn next(&mut self) -> Option<Message> {
-        while let Some(line) = self.line() {
+    fn next(&mut self) -> Option<Event> {
+        while let Some(line) = self.next_line() {
             if !line.is_empty() {
-                self.field(&line);
+                self.parse_field(&line);
                 continue;
             }
             let id = self.id.take();
             if let Some(data) = self.data.take() {
                 let data = data.freeze();
-                return Some(Message { id, data });
+                return Some(Event { id, data });
             }
         }
         None
--- a/crates/kumquatdrum_engine/tests/sse.rs
+++ b/crates/kumquatdrum_engine/tests/sse.rs
@@ -1,4 +1,4 @@
-//! The reader of server-sent events, however the bytes are cut.
+//! Tests the parser of server-sent events with arbitrary chunk boundaries and input.
 
 use arbtest::arbtest;
 use kumquatdrum_engine::sse::Reader;
@@ -7,7 +7,7 @@
 const SEEDS: u64 = 300;
 
 #[test]
-fn events_come_out_whole_wherever_the_bytes_are_cut() {
+fn events_are_parsed_across_any_chunk_boundaries() {
     for index in 0..SEEDS {
         arbtest(|u| {
             let texts: Vec<u32> = u.arbitrary()?;
@@ -19,10 +19,10 @@
             let mut found = Vec::new();
             let mut rest = stream.as_bytes();
             while !rest.is_empty() {
-                let cut = u.int_in_range(1..=rest.len()).unwrap_or(rest.len());
-                reader.push(&rest[..cut]).expect("short lines");
+                let length = u.int_in_range(1..=rest.len()).unwrap_or(rest.len());
+                reader.push(&rest[..length]).expect("short lines");
                 found.extend(reader.by_ref().map(|event| (event.id, event.data)));
-                rest = &rest[cut..];
+                rest = &rest[length..];
             }
             let expected: Vec<_> = texts
                 .iter()
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn any_bytes_are_taken_without_harm() {
+fn any_input_is_parsed_without_a_panic() {
     for index in 0..SEEDS {
         arbtest(|u| {
             let mut reader = Reader::default();
