--- a/crates/kumquatdrum_service/src/http.rs
+++ b/crates/kumquatdrum_service/src/http.rs
@@ -1,4 +1,4 @@
-//! Plain services over HTTP.
+//! HTTP client of plain services.
 
 use std::time::Duration;
 
@@ -8,33 +8,34 @@
 use crate::service::{Events, Service};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Data sent but not acknowledged for this long ends the connection.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
+/// Maximum time for which sent data may stay unacknowledged before the connection is closed.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 const ATTEMPT_HEADER: &str = "x-attempt-id";
-const SERVER_ERROR: u16 = 500;
-/// An error's body is cut to this.
-const ERROR_BODY: usize = 64 * 1024;
+/// Lowest status of server errors. Lower statuses are relayed to the caller.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
+/// Error bodies are truncated to this size.
+const MAX_ERROR_BODY_BYTES: usize = 64 * 1024;
 
-/// Speaks HTTP with plain services. Each call opens a connection of its own: a pooled one can have
-/// gone silent, and a plain service can't be asked what became of a call on it.
+/// HTTP client of plain services. Each call opens a new connection: a pooled one may be broken
+/// without notice, and plain services have no way to query the outcome of a call lost on it.
 #[derive(Debug)]
 pub struct Client {
-    fresh: reqwest::Client,
+    unpooled: reqwest::Client,
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client. Connections are opened on demand.
     pub fn new() -> Result<Self, reqwest::Error> {
-        let fresh = reqwest::Client::builder()
+        let unpooled = reqwest::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .pool_max_idle_per_host(0)
             .tcp_nodelay(true)
-            .tcp_user_timeout(UNACKNOWLEDGED)
+            .tcp_user_timeout(UNACKNOWLEDGED_TIMEOUT)
             .no_proxy()
             .retry(reqwest::retry::never())
             .redirect(reqwest::redirect::Policy::none())
             .build()?;
-        Ok(Self { fresh })
+        Ok(Self { unpooled })
     }
 }
 
@@ -45,7 +46,7 @@
         };
         let url = format!("http://{}{}", call.target.address, call.path);
         let mut request = self
-            .fresh
+            .unpooled
             .request(method, url)
             .header(ATTEMPT_HEADER, call.attempt.as_str())
             .header("x-owner", call.owner.as_str())
@@ -54,7 +55,7 @@
         for (name, value) in call.headers {
             request = request.header(name, value);
         }
-        stream::once(answer(request)).flatten().boxed()
+        stream::once(send(request)).flatten().boxed()
     }
 }
 
@@ -62,15 +63,16 @@
     stream::iter([Event::Fault(fault)]).boxed()
 }
 
-async fn answer(request: reqwest::RequestBuilder) -> Events {
+/// Sends a request and returns its response as a stream of events.
+async fn send(request: reqwest::RequestBuilder) -> Events {
     let response = match request.send().await {
         Ok(response) => response,
         Err(error) if error.is_connect() => return fault(Fault::NotSent),
         Err(_) => return fault(Fault::Broken),
     };
     let status = response.status().as_u16();
-    if status >= SERVER_ERROR {
-        return fault(rejected(status, response).await);
+    if status >= MIN_SERVER_ERROR_STATUS {
+        return fault(read_error(status, response).await);
     }
     let content_type = response
         .headers()
@@ -81,20 +83,20 @@
         status,
         content_type,
     };
-    let pieces = response.bytes_stream().map(|piece| match piece {
+    let chunks = response.bytes_stream().map(|chunk| match chunk {
         Ok(bytes) => Event::Chunk(bytes),
         Err(_) => Event::Fault(Fault::Broken),
     });
     stream::iter([Event::Accepted(head)])
-        .chain(pieces)
+        .chain(chunks)
         .chain(stream::iter([Event::Finished]))
         .boxed()
 }
 
-async fn rejected(status: u16, response: reqwest::Response) -> Fault {
+async fn read_error(status: u16, response: reqwest::Response) -> Fault {
     match response.bytes().await {
         Ok(mut body) => {
-            body.truncate(ERROR_BODY);
+            body.truncate(MAX_ERROR_BODY_BYTES);
             Fault::Rejected { status, body }
         }
         Err(_) => Fault::Broken,
--- a/crates/kumquatdrum_service/src/lib.rs
+++ b/crates/kumquatdrum_service/src/lib.rs
@@ -1,4 +1,4 @@
-//! Plain services: calls passed on over HTTP.
+//! Client of plain services over HTTP.
 
 pub mod http;
 pub mod service;
--- a/crates/kumquatdrum_service/src/service.rs
+++ b/crates/kumquatdrum_service/src/service.rs
@@ -1,15 +1,15 @@
-//! What a daemon needs of a plain service.
+//! Interface to a plain service.
 
 use std::pin::Pin;
 
 use futures::Stream;
 use kumquatdrum_types::exchange::{Call, Event};
 
-/// The events of one exchange; it ends after `Finished` or a fault.
+/// Events of one exchange. The stream ends after `Finished` or a fault.
 pub type Events = Pin<Box<dyn Stream<Item = Event> + Send>>;
 
-/// A plain service as seen from a daemon. Dropping an exchange's events closes its connection.
+/// The daemon's interface to plain services. Dropping an exchange's events closes its connection.
 pub trait Service: Send + Sync {
-    /// Sends a call and follows its answer.
+    /// Sends a call and returns the events of its response.
     fn call(&self, call: Call) -> Events;
 }
