--- a/crates/kumquatdrum_caller/src/admission.rs
+++ b/crates/kumquatdrum_caller/src/admission.rs
@@ -211,22 +211,17 @@
         Refusal::UnknownService => (404, "no such service for this workspace"),
         Refusal::PromptTooLong => (413, "the prompt exceeds what any set of engines can hold"),
         Refusal::BodyTooLarge => (413, "the body exceeds the limit"),
-        Refusal::MemoryFull => (
-            503,
-            "the request bodies on this host have reached their memory limit",
-        ),
-        Refusal::RateLimited => (429, "the workspace has reached its rate limit"),
+        Refusal::MemoryFull => (503, "this host holds as many bytes of bodies as it may"),
+        Refusal::RateLimited => (429, "the workspace's rate is used up"),
         Refusal::ConcurrencyLimited => (429, "the workspace has too many requests in flight"),
         Refusal::Overloaded => (503, "the service can't meet the deadline now"),
         Refusal::NoEndpoint => (503, "no endpoint of the service can take the request now"),
-        Refusal::DeadlineBeforeDispatch => {
-            (504, "the deadline passed before an endpoint became free")
-        }
+        Refusal::DeadlineBeforeDispatch => (504, "the deadline came before an endpoint was free"),
         Refusal::ClaimUnavailable => (
             503,
-            "this request was not run, and the outcome of earlier requests with the same key is unavailable",
+            "this sending was not run, and of earlier ones with the key nothing can be learnt now",
         ),
         Refusal::Draining => (503, "this host is shutting down"),
-        Refusal::NoDeclaration => (503, "this host has no declaration in force yet"),
+        Refusal::NoDeclaration => (503, "no declaration is in force on this host yet"),
     }
 }
--- a/crates/kumquatdrum_caller/src/routes.rs
+++ b/crates/kumquatdrum_caller/src/routes.rs
@@ -95,9 +95,9 @@
 struct Keys(Arc<dyn Admission>);
 
 /// The idempotency key of a request and the workspace it belongs to, if it has one.
-struct IdempotencyKey(Option<(WorkspaceName, String)>);
+struct Key(Option<(WorkspaceName, String)>);
 
-impl IdempotencyKey {
+impl Key {
     fn new(caller: &Caller, call: &Submission) -> Self {
         Self(call.key.clone().map(|key| (caller.workspace.clone(), key)))
     }
@@ -236,7 +236,7 @@
                 return Err(refusal);
             }
         };
-        let key = IdempotencyKey::new(&caller, &submission);
+        let key = Key::new(&caller, &submission);
         let result = async {
             submission.body = body::read(&mut caller, data, length).await?;
             let parsed = wire::parse(&submission.body)
@@ -285,7 +285,7 @@
             .and_then(Result::ok)
             .unwrap_or_default();
         submission.path = service_path(request);
-        let key = IdempotencyKey::new(&caller, &submission);
+        let key = Key::new(&caller, &submission);
         let result = async {
             submission.body = body::read(&mut caller, data, length).await?;
             self.0.submit(caller, submission)
@@ -373,7 +373,7 @@
     problem.class = kumquatdrum_types::FailureClass::Unknown;
     "internal".clone_into(&mut problem.code);
     problem.status = 500;
-    problem.with_message("internal error: the exchange ended without a final reply")
+    problem.with_message("the daemon lost track of the request")
 }
 
 async fn stream<'r>(request: &'r Request<'_>, mut exchange: Exchange, _: String) -> Outcome<'r> {
--- a/crates/kumquatdrum_operator/src/client.rs
+++ b/crates/kumquatdrum_operator/src/client.rs
@@ -51,7 +51,7 @@
 
 fn describe(report: &Report) -> String {
     match report {
-        Report::Unauthorized => "the key does not belong to an operator".to_owned(),
+        Report::Unauthorized => "the key is no operator's key".to_owned(),
         Report::NoSuchVersion => "there is no such version".to_owned(),
         Report::BadRequest { message } => message.clone(),
         other => other.outcome().to_owned(),
@@ -210,10 +210,10 @@
     let status = response.status();
     let host = response.url().authority().to_owned();
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        return Attempt::NotProcessed(format!("{host} cannot reach a majority"));
+        return Attempt::NotProcessed(format!("{host} reaches no majority"));
     }
     if status.is_server_error() {
-        return Attempt::Unknown(format!("{host} responded with {status}"));
+        return Attempt::Unknown(format!("{host} answered {status}"));
     }
     let headers = response.headers().clone();
     match response.text().await {
@@ -271,10 +271,7 @@
 
     /// Returns the error for a response that is not from an operators' listener of this version.
     fn malformed(&self) -> Error {
-        Error::Unknown(vec![format!(
-            "malformed response with status {}",
-            self.status
-        )])
+        Error::Unknown(vec![format!("an answer {} can't be read", self.status)])
     }
 }
 
--- a/crates/kumquatdrum_operator/src/command/show.rs
+++ b/crates/kumquatdrum_operator/src/command/show.rs
@@ -69,9 +69,7 @@
         (None, Some(at)) => {
             let unix_ms = at.parse().ok().or_else(|| rfc3339::parse(at));
             let unix_ms = unix_ms.ok_or_else(|| {
-                Failure::Usage(format!(
-                    "{at} is not a valid time, such as 2026-12-02T21:30:00Z"
-                ))
+                Failure::Usage(format!("{at} is no time, such as 2026-12-02T21:30:00Z"))
             })?;
             Ok(Selector::At(unix_ms))
         }
--- a/crates/kumquatdrum_operator/src/reply.rs
+++ b/crates/kumquatdrum_operator/src/reply.rs
@@ -34,7 +34,7 @@
     }
 
     pub(crate) fn missing_context() -> Self {
-        let message = "internal error: the routes have no context".to_owned();
+        let message = "the routes were mounted without a context".to_owned();
         Self {
             status: Status::InternalServerError,
             report: Report::BadRequest { message },
--- a/crates/kumquatdrum_operator/src/routes.rs
+++ b/crates/kumquatdrum_operator/src/routes.rs
@@ -102,7 +102,7 @@
 
 async fn read_text(body: Data<'_>) -> Result<String, Reply> {
     let text = body.open(MAX_BYTES.bytes()).into_string().await;
-    let text = text.map_err(|_| Reply::bad_request("the body is incomplete or not valid UTF-8"))?;
+    let text = text.map_err(|_| Reply::bad_request("the file is not whole or not UTF-8"))?;
     if text.is_complete() {
         Ok(text.into_inner())
     } else {
--- a/crates/kumquatdrum_operator/tests/commands.rs
+++ b/crates/kumquatdrum_operator/tests/commands.rs
@@ -135,7 +135,7 @@
     };
     let mut out = Vec::new();
     assert_eq!(status::run(&options, &mut out).await, Exit::Usage);
-    assert_eq!(out, b"the key does not belong to an operator\n");
+    assert_eq!(out, b"the key is no operator's key\n");
     host.stop().await;
 }
 
