--- a/crates/kumquatdrum_caller/src/admission.rs
+++ b/crates/kumquatdrum_caller/src/admission.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use kumquatdrum_daemon::body::Hold;
+use kumquatdrum_daemon::body::Allocation;
 use kumquatdrum_types::exchange::Head;
 use kumquatdrum_types::{FailureClass, Refusal, RequestId, WorkspaceName};
 use serde::Serialize;
@@ -27,7 +27,7 @@
     /// Maximum number of body bytes that the workspace may hold on this host.
     pub workspace_limit: Option<u64>,
     /// Bytes reserved for the body. Grows while the body arrives.
-    pub hold: Hold,
+    pub hold: Allocation,
 }
 
 /// A request as submitted by the caller.
--- a/crates/kumquatdrum_engine/src/order.rs
+++ b/crates/kumquatdrum_engine/src/order.rs
@@ -40,16 +40,16 @@
 #[error("the lease has expired")]
 struct LeaseExpired;
 
-fn order_timeout() -> Duration {
-    Settings::default().flight
+fn delivery_timeout() -> Duration {
+    Settings::default().delivery_timeout
 }
 
-/// Creates a client whose connections give up within the maximum flight time of an order. This
-/// includes data in kernel buffers.
+/// Creates a client whose connections give up within the delivery timeout of an order, which also
+/// covers data in kernel buffers.
 pub fn client() -> Result<reqwest::Client, reqwest::Error> {
     crate::http::client_builder()
-        .tcp_user_timeout(order_timeout())
-        .timeout(order_timeout())
+        .tcp_user_timeout(delivery_timeout())
+        .timeout(delivery_timeout())
         .pool_max_idle_per_host(0)
         .build()
 }
@@ -109,7 +109,7 @@
         Err(error) => return lost(&error),
     };
     match serde_json::from_slice::<ErrorBody>(&body) {
-        Ok(ErrorBody { error }) if error.code == "old_fencing" => Answer::OldFencing {
+        Ok(ErrorBody { error }) if error.code == "old_fencing" => Answer::Fenced {
             current: error.current,
         },
         Ok(ErrorBody { error }) => refused(format!("{}: {}", error.code, error.message)),
--- a/crates/kumquatdrum_setup/src/state.rs
+++ b/crates/kumquatdrum_setup/src/state.rs
@@ -87,7 +87,7 @@
         if let Some(answer @ ApplyAnswer::Accepted { .. }) = answer {
             return Preparation::Answered(answer);
         }
-        match kumquatdrum_declaration::checked(&request.text) {
+        match kumquatdrum_declaration::parse_and_check(&request.text) {
             Ok(declaration) => Preparation::Propose(Action::Apply(Apply {
                 changes: self.changes(request, &declaration),
                 request: request.clone(),
