--- a/crates/kumquatdrum_caller/src/admission.rs
+++ b/crates/kumquatdrum_caller/src/admission.rs
@@ -27,7 +27,7 @@
     /// Maximum number of body bytes that the workspace may hold on this host.
     pub workspace_limit: Option<u64>,
     /// Bytes reserved for the body. Grows while the body arrives.
-    pub hold: Allocation,
+    pub allocation: Allocation,
 }
 
 /// A request as submitted by the caller.
--- a/crates/kumquatdrum_caller/src/body.rs
+++ b/crates/kumquatdrum_caller/src/body.rs
@@ -56,7 +56,7 @@
         return Err(refuse(caller, Refusal::BodyTooLarge));
     }
     let expected = length.unwrap_or(0);
-    if !caller.hold.grow(expected, caller.workspace_limit) {
+    if !caller.allocation.grow(expected, caller.workspace_limit) {
         return Err(refuse(caller, Refusal::MemoryFull));
     }
     let mut body = BytesMut::with_capacity(expected as usize);
@@ -72,7 +72,7 @@
             return Err(refuse(caller, Refusal::BodyTooLarge));
         }
         let excess = (body.len() as u64).saturating_sub(reserved);
-        if !caller.hold.grow(excess, caller.workspace_limit) {
+        if !caller.allocation.grow(excess, caller.workspace_limit) {
             return Err(refuse(caller, Refusal::MemoryFull));
         }
         reserved += excess;
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -112,7 +112,7 @@
             routing,
             policy,
             key,
-            allocation: caller.hold,
+            allocation: caller.allocation,
             work: self.context.drain.work(),
             permit,
             ask,
@@ -213,7 +213,7 @@
             return Err(self.refuse(Refusal::Unauthorized, Some(&request)));
         };
         Ok(Caller {
-            hold: self.context.body_budget.allocate(&workspace.name),
+            allocation: self.context.body_budget.allocate(&workspace.name),
             workspace: workspace.name.clone(),
             body_limit: self.context.settings.limits.body_bytes,
             workspace_limit: workspace.limits.body_bytes,
