--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kumquatdrum_caller::Admission;
-use kumquatdrum_caller::admission::{Answer, Ask, Caller, Exchange, KeyState, Problem};
+use kumquatdrum_caller::admission::{BoxFuture, Caller, Exchange, KeyState, Problem, Submission};
 use kumquatdrum_daemon::admission;
 use kumquatdrum_daemon::lifecycle::Policy;
 use kumquatdrum_declaration::{Index, Service, Workspace};
@@ -63,7 +63,7 @@
         Problem::refused(refusal, None, request.cloned())
     }
 
-    fn admit(&self, caller: Caller, ask: Ask) -> Result<Job, Problem> {
+    fn admit(&self, caller: Caller, ask: Submission) -> Result<Job, Problem> {
         let current = self.current(Some(&caller.request))?;
         let index = &current.index;
         let refuse = |refusal| self.refuse(refusal, Some(&caller.request));
@@ -71,7 +71,7 @@
         let workspace = workspace.ok_or_else(|| refuse(Refusal::Unauthorized))?;
         let service = index
             .service_for(workspace, &ask.service)
-            .filter(|service| index.model_of(service).is_some() == ask.model)
+            .filter(|service| index.model_of(service).is_some() == ask.is_model_request)
             .ok_or_else(|| refuse(Refusal::UnknownService))?;
         let deadline = admission::resolve_deadline(service, ask.deadline);
         let prompt_tokens = Self::estimate_prompt_tokens(index, service, &ask);
@@ -87,11 +87,11 @@
                 service,
                 &ask.method,
                 &ask.path,
-                ask.idempotent,
+                ask.is_idempotent,
             ),
             has_key: ask.key.is_some(),
-            is_resumable: ask.model,
-            is_streamed: ask.stream || !ask.model,
+            is_resumable: ask.is_model_request,
+            is_streamed: ask.is_streamed || !ask.is_model_request,
             max_attempts: MAX_ATTEMPTS,
         };
         let tokens = prompt_tokens + routing.expected_output_tokens;
@@ -112,14 +112,14 @@
             routing,
             policy,
             key,
-            allocation: caller.hold,
+            allocation: caller.allocation,
             work: self.context.drain.work(),
             permit,
             ask,
         })
     }
 
-    fn estimate_prompt_tokens(index: &Index, service: &Service, ask: &Ask) -> u64 {
+    fn estimate_prompt_tokens(index: &Index, service: &Service, ask: &Submission) -> u64 {
         let counted = ask.prompt_tokens.unwrap_or_default();
         match index.model_of(service) {
             _ if counted > 0 => counted,
@@ -133,7 +133,7 @@
     fn build_routing(
         &self,
         caller: &Caller,
-        ask: &Ask,
+        ask: &Submission,
         index: &Index,
         workspace: &Workspace,
         prompt_tokens: u64,
@@ -163,7 +163,7 @@
             prefix: hash_prefix(ask),
             deadline: self.context.clock.now() + deadline,
             excluded: Vec::new(),
-            kind: if ask.model {
+            kind: if ask.is_model_request {
                 routing::RequestKind::Model
             } else {
                 routing::RequestKind::Plain
@@ -174,7 +174,7 @@
     fn build_key(
         &self,
         caller: &Caller,
-        ask: &Ask,
+        ask: &Submission,
         key: &str,
         service: &Service,
         deadline: Duration,
@@ -197,13 +197,13 @@
         Key {
             claim,
             service: service.name.clone(),
-            is_resumable: ask.model,
+            is_resumable: ask.is_model_request,
         }
     }
 }
 
 impl Admission for Frontend {
-    fn open(&self, bearer: Option<&str>) -> Result<Caller, Problem> {
+    fn authenticate(&self, bearer: Option<&str>) -> Result<Caller, Problem> {
         let request = self.context.next_request_id();
         let current = self.current(Some(&request))?;
         let workspace = bearer.and_then(|key| current.index.workspace_by_key(key));
@@ -213,7 +213,7 @@
             return Err(self.refuse(Refusal::Unauthorized, Some(&request)));
         };
         Ok(Caller {
-            hold: self.context.body_budget.allocate(&workspace.name),
+            allocation: self.context.body_budget.allocate(&workspace.name),
             workspace: workspace.name.clone(),
             body_limit: self.context.settings.limits.body_bytes,
             workspace_limit: workspace.limits.body_bytes,
@@ -221,7 +221,7 @@
         })
     }
 
-    fn enter(&self, caller: Caller, ask: Ask) -> Result<Exchange, Problem> {
+    fn submit(&self, caller: Caller, ask: Submission) -> Result<Exchange, Problem> {
         let job = self.admit(caller, ask)?;
         let request = job.request.clone();
         let (sender, replies) = mpsc::channel(REPLY_BUFFER);
@@ -230,19 +230,19 @@
         Ok(Exchange { request, replies })
     }
 
-    fn refused<'a>(
+    fn resolve_refusal<'a>(
         &'a self,
         workspace: &'a WorkspaceName,
         key: &'a str,
         problem: Problem,
-    ) -> Answer<'a, Problem> {
+    ) -> BoxFuture<'a, Problem> {
         Box::pin(async move {
             let key = IdempotencyKey::new(key);
             crate::key::reconcile_problem(&self.context, workspace, &key, problem).await
         })
     }
 
-    fn is_here(&self, caller: SocketAddr) -> bool {
+    fn is_connected(&self, caller: SocketAddr) -> bool {
         let connections = self.connections.get();
         connections.is_none_or(|connections| connections.stands(caller))
     }
@@ -251,9 +251,9 @@
         &'a self,
         bearer: Option<&'a str>,
         key: &'a str,
-    ) -> Answer<'a, Result<KeyState, Problem>> {
+    ) -> BoxFuture<'a, Result<KeyState, Problem>> {
         Box::pin(async move {
-            let caller = self.open(bearer)?;
+            let caller = self.authenticate(bearer)?;
             let key = IdempotencyKey::new(key);
             let found = self.context.control.key(&caller.workspace, &key).await;
             let holder =
@@ -269,7 +269,7 @@
     }
 }
 
-fn hash_prefix(ask: &Ask) -> Vec<routing::BlockHash> {
+fn hash_prefix(ask: &Submission) -> Vec<routing::BlockHash> {
     let blocks = kumquatdrum_daemon::prefix::hash_blocks(&ask.body[ask.prompt.clone()]);
     blocks.into_iter().map(routing::BlockHash).collect()
 }
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -145,7 +145,7 @@
             }
             Output::Cancel(target, attempt) => {
                 self.events = None;
-                self.context.engine.shed(&target);
+                self.context.engine.drop_pooled_connections(&target);
                 let cancel = self.context.engine.cancel(&target, &attempt);
                 self.start_operation(async move {
                     cancel.await.map_or(Input::Unreachable, Input::Cancelled)
@@ -153,7 +153,7 @@
             }
             Output::Resume(target, attempt, from) => {
                 self.context.metrics.resumes.inc();
-                self.context.engine.shed(&target);
+                self.context.engine.drop_pooled_connections(&target);
                 self.events = Some(self.context.engine.resume(&target, &attempt, from));
             }
             Output::Abandon(target, attempt) if self.job.policy.is_resumable => {
@@ -442,7 +442,7 @@
             }
             Event::Chunk(bytes) => {
                 self.record_token();
-                self.pending = Some(Reply::Piece(bytes));
+                self.pending = Some(Reply::Chunk(bytes));
                 Some(Input::Progress(self.received))
             }
             Event::Finished => Some(Input::Finished),
--- a/crates/kumquatdrum_host/src/request/job.rs
+++ b/crates/kumquatdrum_host/src/request/job.rs
@@ -1,6 +1,6 @@
 //! An admitted request.
 
-use kumquatdrum_caller::admission::Ask;
+use kumquatdrum_caller::admission::Submission;
 use kumquatdrum_daemon::body::Allocation;
 use kumquatdrum_daemon::lifecycle::Policy;
 use kumquatdrum_process::drain::Work;
@@ -17,7 +17,7 @@
     /// The workspace of the caller.
     pub workspace: WorkspaceName,
     /// The request as the caller sent it.
-    pub ask: Ask,
+    pub ask: Submission,
     /// The service.
     pub service: ServiceName,
     /// The request to the router; excluded endpoints are set for each attempt.
