--- a/crates/kumquatdrum/tests/requests.rs
+++ b/crates/kumquatdrum/tests/requests.rs
@@ -219,7 +219,7 @@
         (runs(&engines, PROMPT) == 1).then_some(())
     })
     .await;
-    engines[0].order(&Fault::Die);
+    engines[0].inject(&Fault::Die);
     let first = first.await.expect("the caller lives").expect("an answer");
     assert!(
         ["failed", "unknown"].contains(&first.class().as_str()),
@@ -254,7 +254,7 @@
         engines.iter().find(|engine| engine.counts().running == 1)
     })
     .await;
-    taken.order(&Fault::Die);
+    taken.inject(&Fault::Die);
     cluster.nodes[0].kill();
     let _ = lost.await.expect("the caller lives");
     let second = cluster.nodes[1].callers();
--- a/crates/kumquatdrum_host/tests/faults.rs
+++ b/crates/kumquatdrum_host/tests/faults.rs
@@ -64,7 +64,7 @@
     let asked = tokio::spawn(got(ask));
     let place = busy(engines).await;
     tokio::time::sleep(4 * SLOW_STEP).await;
-    engines[place].order(&fault);
+    engines[place].inject(&fault);
     let _ = system;
     asked.await.expect("the caller lives")
 }
@@ -148,7 +148,7 @@
     let (system, engines) = slow(1).await;
     let first = got(ask(&system, false, false)).await;
     assert_eq!(first.status, 200, "{first:?}");
-    engines[0].order(&Fault::SilenceOpen);
+    engines[0].inject(&Fault::SilenceOpen);
     let second = got(ask(&system, false, false)).await;
     assert_eq!(
         (second.status, second.text()),
@@ -163,7 +163,7 @@
 async fn a_cut_answer_is_resumed_to_its_end() {
     for broken in [true, false] {
         let (system, engines) = slow(1).await;
-        engines[0].order(&Fault::Cut {
+        engines[0].inject(&Fault::Cut {
             after_tokens: 3,
             count: 1,
             broken,
@@ -189,7 +189,7 @@
         );
         let other = tokio::spawn(got(other));
         busy(&engines).await;
-        engines[0].order(&Fault::Cross { count: 1, header });
+        engines[0].inject(&Fault::Cross { count: 1, header });
         let got = got(ask(&system, true, false)).await;
         assert_eq!(
             streamed_text(&got.body),
@@ -206,7 +206,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_answer_is_waited_for() {
     let (system, engines) = slow(1).await;
-    engines[0].order(&Fault::Late {
+    engines[0].inject(&Fault::Late {
         ms: 3_000,
         count: 1,
     });
@@ -224,7 +224,7 @@
 async fn a_full_engine_is_no_reason_to_fail() {
     let (system, engines) = slow(2).await;
     for engine in &engines {
-        engine.order(&Fault::Refuse { count: 1 });
+        engine.inject(&Fault::Refuse { count: 1 });
     }
     // Each request earns a fifth of a retry.
     for _ in 0..8 {
@@ -241,7 +241,7 @@
     const REQUESTS: u64 = 60;
     let (system, engines) = slow(2).await;
     for engine in &engines {
-        engine.order(&Fault::Fail);
+        engine.inject(&Fault::Fail);
     }
     let asked: Vec<_> = (0..REQUESTS)
         .map(|_| tokio::spawn(got(ask(&system, false, true))))
@@ -275,7 +275,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_is_cancelled_when_its_caller_leaves() {
     let (system, engines) = slow(1).await;
-    engines[0].order(&Fault::LoseCancel {
+    engines[0].inject(&Fault::LoseCancel {
         count: 2,
         done: false,
     });
@@ -329,7 +329,7 @@
             .header("x-test-key", key)
     };
     assert_eq!(got(order("k1")).await.status, 200);
-    service.order(&Fault::SilenceOpen);
+    service.inject(&Fault::SilenceOpen);
     let second = got(order("k2")).await;
     assert_eq!(second.status, 200, "{second:?}");
     let counts = service.counts();
--- a/crates/kumquatdrum_host/tests/keys.rs
+++ b/crates/kumquatdrum_host/tests/keys.rs
@@ -113,10 +113,10 @@
 async fn a_request_that_was_not_run_frees_its_key() {
     let system = System::start(3).await;
     let engine = slow_engine(&system).await;
-    engine.order(&Fault::Refuse { count: 9 });
+    engine.inject(&Fault::Refuse { count: 9 });
     let refused = got(keyed(&system, 0, "k1", PROMPT)).await;
     assert_eq!(refused.class(), "not_run", "{refused:?}");
-    engine.order(&Fault::Heal);
+    engine.inject(&Fault::Heal);
     let got = got(keyed(&system, 1, "k1", PROMPT)).await;
     assert_eq!(
         (got.status, got.text()),
--- a/crates/kumquatdrum_host/tests/long.rs
+++ b/crates/kumquatdrum_host/tests/long.rs
@@ -91,7 +91,7 @@
 async fn the_death_of_one_of_several_engines_returns_the_others_memory() {
     let (system, mut engines) = start(3).await;
     for engine in &engines {
-        engine.order(&Fault::Late {
+        engine.inject(&Fault::Late {
             ms: 1_000,
             count: 1,
         });
@@ -106,7 +106,7 @@
     {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    engines[1].order(&Fault::Die);
+    engines[1].inject(&Fault::Die);
     let got = asked.await.expect("the caller lives");
     assert!([200, 502, 503, 504].contains(&got.status), "{}", got.body);
     engines.remove(1).shutdown().await;
--- a/crates/kumquatdrum_host/tests/orders.rs
+++ b/crates/kumquatdrum_host/tests/orders.rs
@@ -129,7 +129,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_to_a_frozen_engine_is_given_up() {
     let (engine, target, client) = checking_engine().await;
-    engine.order(&Fault::Freeze);
+    engine.inject(&Fault::Freeze);
     let answer = client.order(&target, &load(&target, 7), Box::new(|| true));
     let answer = tokio::time::timeout(PATIENCE, answer).await;
     assert!(matches!(answer, Ok(Answer::Lost { .. })), "{answer:?}");
--- a/crates/kumquatdrum_replay/tests/load.rs
+++ b/crates/kumquatdrum_replay/tests/load.rs
@@ -45,7 +45,7 @@
     assert_eq!(comparison.straight.finished, 30);
     assert!(comparison.first_token_ratio.is_some());
     assert!(comparison.daemon.is_some());
-    assert_eq!(one.counts().doubled().count(), 0);
+    assert_eq!(one.counts().duplicate_digests().count(), 0);
     one.shutdown().await;
     two.shutdown().await;
 }
@@ -53,8 +53,8 @@
 #[tokio::test]
 async fn failures_are_counted_apart() {
     let (one, two) = (start("e1").await, start("e2").await);
-    one.order(&Fault::Fail);
-    two.order(&Fault::Cross {
+    one.inject(&Fault::Fail);
+    two.inject(&Fault::Cross {
         count: 40,
         header: false,
     });
--- a/crates/kumquatdrum_replay/tests/straight.rs
+++ b/crates/kumquatdrum_replay/tests/straight.rs
@@ -115,7 +115,7 @@
     ];
     let fleet = Fleet::start(Mix::Toonikaart).await;
     for fault in faults {
-        fleet.engines[0].order(&fault);
+        fleet.engines[0].inject(&fault);
         let trace = generate(&generator::Options {
             requests: 20,
             span_ms: 20,
--- a/crates/kumquatdrum_testing/src/control.rs
+++ b/crates/kumquatdrum_testing/src/control.rs
@@ -15,7 +15,7 @@
 /// What the control port commands.
 pub trait Control: Send + Sync {
     /// Puts a fault in force.
-    fn order(&self, fault: &Fault);
+    fn inject(&self, fault: &Fault);
     /// The counts now.
     fn counts(&self) -> Counts;
 }
@@ -41,8 +41,8 @@
 #[post("/faults", data = "<orders>")]
 fn faults(orders: Json<Orders>, controlled: &State<Arc<dyn Control>>) -> Status {
     match orders.into_inner() {
-        Orders::One(fault) => controlled.order(&fault),
-        Orders::Many(faults) => faults.iter().for_each(|fault| controlled.order(fault)),
+        Orders::One(fault) => controlled.inject(&fault),
+        Orders::Many(faults) => faults.iter().for_each(|fault| controlled.inject(fault)),
     }
     Status::NoContent
 }
--- a/crates/kumquatdrum_testing/src/counters.rs
+++ b/crates/kumquatdrum_testing/src/counters.rs
@@ -32,9 +32,9 @@
     ///
     /// ```
     /// let counts = kumquatdrum_testing::counters::Counts::default();
-    /// assert_eq!(counts.doubled().count(), 0);
+    /// assert_eq!(counts.duplicate_digests().count(), 0);
     /// ```
-    pub fn doubled(&self) -> impl Iterator<Item = &str> {
+    pub fn duplicate_digests(&self) -> impl Iterator<Item = &str> {
         self.runs_by_digest
             .iter()
             .filter(|(_, runs)| **runs > 1)
--- a/crates/kumquatdrum_testing/src/engine.rs
+++ b/crates/kumquatdrum_testing/src/engine.rs
@@ -122,8 +122,8 @@
     }
 
     /// Puts a fault in force.
-    pub fn order(&self, fault: &Fault) {
-        self.shared.order(fault);
+    pub fn inject(&self, fault: &Fault) {
+        self.shared.inject(fault);
     }
 
     /// What it ran and holds.
--- a/crates/kumquatdrum_testing/src/engine/shared.rs
+++ b/crates/kumquatdrum_testing/src/engine/shared.rs
@@ -332,9 +332,9 @@
 }
 
 impl Control for Shared {
-    fn order(&self, fault: &Fault) {
+    fn inject(&self, fault: &Fault) {
         process::apply(&self.switch, fault);
-        self.faults.order(fault);
+        self.faults.inject(fault);
     }
 
     fn counts(&self) -> Counts {
--- a/crates/kumquatdrum_testing/src/fault.rs
+++ b/crates/kumquatdrum_testing/src/fault.rs
@@ -83,7 +83,7 @@
 
 impl Faults {
     /// Puts a fault in force; the ones that concern the whole stand-in are the switch's.
-    pub fn order(&self, fault: &Fault) {
+    pub fn inject(&self, fault: &Fault) {
         let mut orders = self.0.lock();
         match *fault {
             Fault::Late { ms, count } => orders.late = (Duration::from_millis(ms), count),
--- a/crates/kumquatdrum_testing/src/service.rs
+++ b/crates/kumquatdrum_testing/src/service.rs
@@ -119,8 +119,8 @@
     }
 
     /// Puts a fault in force.
-    pub fn order(&self, fault: &Fault) {
-        self.shared.order(fault);
+    pub fn inject(&self, fault: &Fault) {
+        self.shared.inject(fault);
     }
 
     /// What it ran.
@@ -145,9 +145,9 @@
 }
 
 impl Control for Shared {
-    fn order(&self, fault: &Fault) {
+    fn inject(&self, fault: &Fault) {
         process::apply(&self.switch, fault);
-        self.faults.order(fault);
+        self.faults.inject(fault);
     }
 
     fn counts(&self) -> Counts {
--- a/crates/kumquatdrum_testing/tests/announcer.rs
+++ b/crates/kumquatdrum_testing/tests/announcer.rs
@@ -71,7 +71,7 @@
         assert_eq!(echo["attempt"], "a");
         assert_eq!(echo["body"]["test_key"], "k");
     }
-    service.order(&Fault::Refuse { count: 1 });
+    service.inject(&Fault::Refuse { count: 1 });
     let refused = client.get(&url).header("x-test-key", "k").send().await;
     assert_eq!(refused.unwrap().status(), 503);
     let counts = service.counts();
--- a/crates/kumquatdrum_testing/tests/engine.rs
+++ b/crates/kumquatdrum_testing/tests/engine.rs
@@ -126,7 +126,7 @@
     let counts = fixture.engine.counts();
     assert_eq!(counts.runs_by_attempt["a"], 1);
     assert_eq!(counts.received, 2);
-    assert_eq!(counts.doubled().count(), 0);
+    assert_eq!(counts.duplicate_digests().count(), 0);
     fixture.engine.shutdown().await;
 }
 
@@ -174,15 +174,15 @@
 #[tokio::test]
 async fn refusals_and_failures_come_by_order() {
     let fixture = Fixture::start().await;
-    fixture.engine.order(&Fault::Refuse { count: 1 });
+    fixture.engine.inject(&Fault::Refuse { count: 1 });
     let refused = fixture.post("a", "p", 1).await;
     assert_eq!(refused.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(fixture.state("a").await, "never_seen");
-    fixture.engine.order(&Fault::Fail);
+    fixture.engine.inject(&Fault::Fail);
     let failed = fixture.post("b", "p", 1).await;
     assert_eq!(failed.status(), StatusCode::INTERNAL_SERVER_ERROR);
     assert_eq!(fixture.state("b").await, "failed");
-    fixture.engine.order(&Fault::Heal);
+    fixture.engine.inject(&Fault::Heal);
     assert_eq!(fixture.post("c", "p", 1).await.status(), StatusCode::OK);
     fixture.engine.shutdown().await;
 }
@@ -192,7 +192,7 @@
     let fixture = Fixture::start().await;
     fixture.post("a", "first", 1).await.text().await.unwrap();
     for (id, header, shown) in [("b", true, "a"), ("c", false, "c")] {
-        fixture.engine.order(&Fault::Cross { count: 1, header });
+        fixture.engine.inject(&Fault::Cross { count: 1, header });
         let crossed = fixture.post(id, "second", 1).await;
         assert_eq!(crossed.headers()["x-attempt-id"], shown);
         let text = crossed.text().await.unwrap();
@@ -210,7 +210,7 @@
 async fn a_cut_stream_lacks_its_end_marker() {
     let fixture = Fixture::start().await;
     for (id, broken) in [("a", false), ("b", true)] {
-        fixture.engine.order(&Fault::Cut {
+        fixture.engine.inject(&Fault::Cut {
             after_tokens: 2,
             count: 1,
             broken,
@@ -229,7 +229,7 @@
     for (id, done, state) in [("a", false, "running"), ("b", true, "cancelled")] {
         let answer = fixture.post(id, "p", 100_000).await;
         fixture.until_tokens(id).await;
-        fixture.engine.order(&Fault::LoseCancel { count: 1, done });
+        fixture.engine.inject(&Fault::LoseCancel { count: 1, done });
         let lost = fixture.cancel_within(SILENCE, id).await;
         assert!(lost.unwrap_err().is_timeout());
         assert_eq!(fixture.state(id).await, state);
@@ -244,7 +244,7 @@
     let fixture = Fixture::start().await;
     let mut answer = fixture.post("a", "p", 100_000).await;
     answer.chunk().await.unwrap();
-    fixture.engine.order(&Fault::SilenceOpen);
+    fixture.engine.inject(&Fault::SilenceOpen);
     // What had been written before the order may still arrive.
     while tokio::time::timeout(SILENCE, answer.chunk()).await.is_ok() {}
     assert_eq!(fixture.state("a").await, "running");
@@ -259,7 +259,7 @@
     let mut buffer = [0; 4_096];
     connection.write_all(REQUEST).await.unwrap();
     assert!(connection.read(&mut buffer).await.unwrap() > 0);
-    fixture.engine.order(&Fault::SilenceOpen);
+    fixture.engine.inject(&Fault::SilenceOpen);
     connection.write_all(REQUEST).await.unwrap();
     while tokio::time::timeout(SILENCE, connection.read(&mut buffer))
         .await
@@ -274,12 +274,12 @@
     let fixture = Fixture::start().await;
     let mut answer = fixture.post("a", "p", 100_000).await;
     answer.chunk().await.unwrap();
-    fixture.engine.order(&Fault::Freeze);
+    fixture.engine.inject(&Fault::Freeze);
     while tokio::time::timeout(SILENCE, answer.chunk()).await.is_ok() {}
     let url = fixture.url("/v1/health");
     let health = fixture.client.get(&url).timeout(SILENCE).send().await;
     assert!(health.unwrap_err().is_timeout());
-    fixture.engine.order(&Fault::Thaw);
+    fixture.engine.inject(&Fault::Thaw);
     assert!(answer.chunk().await.unwrap().is_some());
     fixture.engine.shutdown().await;
 }
@@ -288,7 +288,7 @@
 async fn a_dead_engine_resets_and_refuses_connections() {
     let fixture = Fixture::start().await;
     let answer = fixture.post("a", "p", 100_000).await;
-    fixture.engine.order(&Fault::Die);
+    fixture.engine.inject(&Fault::Die);
     assert!(answer.text().await.is_err());
     let url = fixture.url("/v1/health");
     // A connection that was being accepted at that moment may be reset rather than refused.
