--- a/crates/kumquatdrum_testing/src/announcer.rs
+++ b/crates/kumquatdrum_testing/src/announcer.rs
@@ -11,12 +11,12 @@
 
 use crate::condition::Gate;
 
-/// Where and how often to announce.
+/// Target hosts, key and interval of the announcements.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Endpoint listeners of entry hosts; the next is tried when one fails.
+    /// Endpoint listeners of entry hosts; the next one is tried when one fails.
     pub hosts: Vec<SocketAddr>,
-    /// The endpoint key, sent as bearer.
+    /// The endpoint key, sent as a bearer token.
     pub key: String,
     /// Time between announcements.
     pub interval: Duration,
@@ -32,22 +32,22 @@
     }
 }
 
-/// Makes the announcement of a moment; the announcer sets sequence and leaving.
+/// Returns the current announcement; the announcer fills in `sequence` and `leaving`.
 pub type Source = dyn Fn() -> Announcement + Send + Sync;
 
-/// A running announcer.
+/// A running announcer task.
 #[derive(Debug)]
 pub struct Announcer {
     leaving: watch::Sender<bool>,
     notified: watch::Receiver<bool>,
-    state: Arc<Mutex<Progress>>,
+    progress: Arc<Mutex<Progress>>,
     task: JoinHandle<()>,
 }
 
 #[derive(Debug, Default)]
 struct Progress {
     sequence: u64,
-    host: usize,
+    host_index: usize,
     delivered: u64,
 }
 
@@ -55,42 +55,42 @@
     options: Options,
     source: Box<Source>,
     client: reqwest::Client,
-    state: Arc<Mutex<Progress>>,
+    progress: Arc<Mutex<Progress>>,
 }
 
 impl Announcer {
-    /// Starts to announce; it ends with its stand-in.
+    /// Starts to announce; the task ends when the stand-in is dead.
     pub fn start(options: Options, source: Box<Source>, gate: Gate) -> Self {
         let (leaving, leave) = watch::channel(false);
         let (notify, notified) = watch::channel(false);
-        let state = Arc::new(Mutex::new(Progress::default()));
+        let progress = Arc::new(Mutex::new(Progress::default()));
         let worker = Worker {
             options,
             source,
             client: reqwest::Client::new(),
-            state: Arc::clone(&state),
+            progress: Arc::clone(&progress),
         };
         let task = tokio::spawn(run(worker, gate, leave, notify));
         Self {
             leaving,
             notified,
-            state,
+            progress,
             task,
         }
     }
 
-    /// Sends the leaving notice and waits until an entry host has answered it.
+    /// Sends the leaving notice and waits until an entry host has accepted it.
     pub async fn leave(&self) {
         self.leaving.send_replace(true);
         let _ = self.notified.clone().wait_for(|done| *done).await;
     }
 
-    /// Announcements that an entry host has answered with success.
+    /// Returns the number of announcements that an entry host has accepted.
     pub fn delivered(&self) -> u64 {
-        self.state.lock().delivered
+        self.progress.lock().delivered
     }
 
-    /// Waits for its end.
+    /// Waits for the task to end.
     pub async fn join(self) {
         let _ = self.task.await;
     }
@@ -102,9 +102,9 @@
     mut leave: watch::Receiver<bool>,
     notify: watch::Sender<bool>,
 ) {
-    let mut dead = gate.clone();
+    let mut death = gate.clone();
     tokio::select! {
-        () = dead.dead() => {}
+        () = death.wait_until_dead() => {}
         () = announce(worker, gate, &mut leave, &notify) => {}
     }
 }
@@ -120,7 +120,7 @@
         notify.send_replace(true);
         return;
     }
-    while gate.running().await.is_ok() {
+    while gate.wait_until_running().await.is_ok() {
         let leaving = *leave.borrow_and_update();
         let delivered = worker.send(leaving).await;
         if leaving && delivered {
@@ -134,26 +134,27 @@
 }
 
 impl Worker {
-    /// Tries each host once, beginning with the one that answered last.
+    /// Tries each host once, starting with the one that accepted the last announcement.
     async fn send(&self, leaving: bool) -> bool {
         for _ in &self.options.hosts {
             let mut announcement = (self.source)();
-            let host = self.next(&mut announcement);
+            let host = self.number(&mut announcement);
             announcement.leaving = leaving;
             if self.post(host, &announcement).await {
-                self.state.lock().delivered += 1;
+                self.progress.lock().delivered += 1;
                 return true;
             }
-            self.state.lock().host += 1;
+            self.progress.lock().host_index += 1;
         }
         false
     }
 
-    fn next(&self, announcement: &mut Announcement) -> SocketAddr {
-        let mut state = self.state.lock();
-        state.sequence += 1;
-        announcement.sequence = state.sequence;
-        self.options.hosts[state.host % self.options.hosts.len()]
+    /// Sets the next sequence number and returns the host to try.
+    fn number(&self, announcement: &mut Announcement) -> SocketAddr {
+        let mut progress = self.progress.lock();
+        progress.sequence += 1;
+        announcement.sequence = progress.sequence;
+        self.options.hosts[progress.host_index % self.options.hosts.len()]
     }
 
     async fn post(&self, host: SocketAddr, announcement: &Announcement) -> bool {
--- a/crates/kumquatdrum_testing/src/bin/stand_in.rs
+++ b/crates/kumquatdrum_testing/src/bin/stand_in.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own, for trials by hand.
+//! Runs one stand-in as a separate process, for manual testing.
 //!
 //! `stand_in engine --name e1 --service formula-llm --model formula --data-centre hall-raatuse
 //! --announce 127.0.0.1:7101,127.0.0.1:7201`
@@ -11,7 +11,7 @@
 use kumquatdrum_testing::{announcer, engine, model, process, service};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Runs one stand-in until the process is ended.
+/// Runs one stand-in until the process is terminated.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 enum Command {
@@ -25,13 +25,13 @@
         model: String,
         #[bpaf(external)]
         sizes: Sizes,
-        /// Age of the load that is reported, in milliseconds
+        /// Delay of load reports, in milliseconds
         #[bpaf(argument("MS"), fallback(0))]
         load_lag_ms: u64,
-        /// Age from which a cache event is published, in milliseconds
+        /// Delay of cache events, in milliseconds
         #[bpaf(argument("MS"), fallback(0))]
         cache_lag_ms: u64,
-        /// Lose each cache event whose number is a multiple of this; 0 loses none
+        /// Drop each cache event whose number is a multiple of N; 0 drops none
         #[bpaf(argument("N"), fallback(0))]
         lose_every: u64,
     },
@@ -40,7 +40,7 @@
     Plain {
         #[bpaf(external)]
         identity: Identity,
-        /// How long a call takes, in milliseconds
+        /// Duration of a call, in milliseconds
         #[bpaf(argument("MS"), fallback(0))]
         work_ms: u64,
     },
@@ -48,23 +48,23 @@
 
 #[derive(Debug, Clone, Bpaf)]
 struct Identity {
-    /// The endpoint's name
+    /// Name of the endpoint
     #[bpaf(argument("NAME"))]
     name: String,
-    /// The service that it serves
+    /// Service that the endpoint belongs to
     #[bpaf(argument("SERVICE"))]
     service: String,
-    /// Where it stands
+    /// Data centre of the endpoint
     #[bpaf(argument("NAME"))]
     data_centre: String,
-    /// Where it listens; port 0 is any free port
+    /// Listening address; port 0 picks a free port
     #[bpaf(argument("ADDRESS"), fallback(SocketAddr::from(([127, 0, 0, 1], 0))))]
     listen: SocketAddr,
-    /// Where its control port listens; port 0 is any free port
+    /// Listening address of the control port; port 0 picks a free port
     #[bpaf(argument("ADDRESS"), fallback(SocketAddr::from(([127, 0, 0, 1], 0))))]
     control: SocketAddr,
-    /// Endpoint listeners of entry hosts, with commas between them
-    #[bpaf(argument::<String>("ADDRESSES"), fallback(String::new()), parse(addresses))]
+    /// Endpoint listeners of entry hosts, separated by commas
+    #[bpaf(argument::<String>("ADDRESSES"), fallback(String::new()), parse(parse_addresses))]
     announce: Vec<SocketAddr>,
     /// The endpoint key
     #[bpaf(argument("KEY"), fallback("endpoint key".to_owned()))]
@@ -73,19 +73,19 @@
 
 #[derive(Debug, Clone, Bpaf)]
 struct Sizes {
-    /// KV memory, in tokens
+    /// Size of the KV memory, in tokens
     #[bpaf(argument("N"), fallback(model::Options::default().memory_tokens))]
     memory_tokens: u64,
-    /// The most requests of one batch
+    /// Maximum number of requests in the batch
     #[bpaf(argument("N"), fallback(model::Options::default().batch_limit))]
     batch_limit: u32,
-    /// The most requests that wait
+    /// Maximum number of waiting requests
     #[bpaf(argument("N"), fallback(model::Options::default().queue_limit))]
     queue_limit: u32,
-    /// Tokens computed in one step
+    /// Token budget of one step
     #[bpaf(argument("N"), fallback(model::Options::default().chunk_tokens))]
     chunk_tokens: u64,
-    /// Prefix cache, in tokens
+    /// Size of the prefix cache, in tokens
     #[bpaf(argument("N"), fallback(model::Options::default().cache_tokens))]
     cache_tokens: u64,
     /// Fixed cost of a step, in microseconds
@@ -99,7 +99,7 @@
     decode_us: u64,
 }
 
-fn addresses(list: String) -> Result<Vec<SocketAddr>, std::net::AddrParseError> {
+fn parse_addresses(list: String) -> Result<Vec<SocketAddr>, std::net::AddrParseError> {
     let parts = list.split(',').filter(|part| !part.is_empty());
     parts.map(str::parse).collect()
 }
@@ -157,8 +157,8 @@
                 ..engine::Options::new("", "", &model, "")
             };
             let engine = engine::Engine::start(options).await?;
-            report(engine.address(), engine.control_address());
-            if ended().await == Signal::Terminate {
+            print_addresses(engine.address(), engine.control_address());
+            if wait_for_signal().await == Signal::Terminate {
                 engine.drain().await;
             }
             engine.shutdown().await;
@@ -170,8 +170,8 @@
                 ..service::Options::new("", "", "")
             };
             let service = service::Service::start(options).await?;
-            report(service.address(), service.control_address());
-            if ended().await == Signal::Terminate {
+            print_addresses(service.address(), service.control_address());
+            if wait_for_signal().await == Signal::Terminate {
                 service.leave().await;
             }
             service.shutdown().await;
@@ -180,18 +180,18 @@
     Ok(())
 }
 
-fn report(address: SocketAddr, control: SocketAddr) {
+fn print_addresses(address: SocketAddr, control: SocketAddr) {
     println!("address={address} control={control}");
 }
 
-/// What ends the process: SIGTERM lets it leave first, SIGINT stops it at once.
+/// Signal that ended the process: SIGTERM drains the stand-in first, SIGINT stops it at once.
 #[derive(Debug, PartialEq, Eq)]
 enum Signal {
     Interrupt,
     Terminate,
 }
 
-async fn ended() -> Signal {
+async fn wait_for_signal() -> Signal {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return Signal::Interrupt;
     };
--- a/crates/kumquatdrum_testing/src/condition.rs
+++ b/crates/kumquatdrum_testing/src/condition.rs
@@ -1,33 +1,33 @@
-//! Whether a stand-in runs, is frozen or dead, and which of its connections have gone silent.
+//! Whether a stand-in is running, frozen or dead, and which of its connections are silenced.
 
 use tokio::sync::watch;
 
-/// Whether a stand-in runs.
+/// Run state of a stand-in.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// It works.
+    /// Requests are served.
     #[default]
     Running,
-    /// It stands still, as a stopped process does: connections open, nothing is answered.
+    /// Connections stay open and nothing is answered, as with a process that got SIGSTOP.
     Frozen,
-    /// It is gone: connections are reset and refused.
+    /// Open connections are reset, new ones refused.
     Dead,
 }
 
-/// The condition of a stand-in at one moment.
+/// Run state of a stand-in and epoch of its connections.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Condition {
-    /// Whether it runs.
+    /// The run state.
     pub mode: Mode,
-    /// Connections opened in an earlier epoch carry nothing any more.
+    /// Connections opened in an earlier epoch carry no bytes.
     pub epoch: u64,
 }
 
-/// Sets the condition; every task of the stand-in watches it.
+/// Sets the condition that every task of the stand-in watches.
 #[derive(Debug)]
 pub struct Switch(watch::Sender<Condition>);
 
-/// Watches the condition.
+/// Watches the condition set by a [`Switch`].
 #[derive(Debug, Clone)]
 pub struct Gate(watch::Receiver<Condition>);
 
@@ -42,7 +42,7 @@
 }
 
 impl Switch {
-    /// A gate that watches this switch.
+    /// Returns a gate that watches this switch.
     pub fn gate(&self) -> Gate {
         Gate(self.0.subscribe())
     }
@@ -62,30 +62,30 @@
 }
 
 impl Gate {
-    /// The condition now.
-    pub fn now(&self) -> Condition {
+    /// Returns the current condition.
+    pub fn current(&self) -> Condition {
         *self.0.borrow()
     }
 
-    /// Waits until the stand-in runs.
-    pub async fn running(&mut self) -> Result<(), Dead> {
-        self.passes(u64::MAX).await
+    /// Waits until the stand-in is running.
+    pub async fn wait_until_running(&mut self) -> Result<(), Dead> {
+        self.wait_until_open(u64::MAX).await
     }
 
-    /// Waits until the stand-in runs and connections of this epoch carry bytes.
-    pub async fn passes(&mut self, epoch: u64) -> Result<(), Dead> {
-        let open = |condition: &Condition| {
+    /// Waits until the stand-in is running and connections of this epoch carry bytes.
+    pub async fn wait_until_open(&mut self, epoch: u64) -> Result<(), Dead> {
+        let is_settled = |condition: &Condition| {
             condition.mode == Mode::Dead
                 || (condition.mode == Mode::Running && condition.epoch <= epoch)
         };
-        match self.0.wait_for(open).await {
+        match self.0.wait_for(is_settled).await {
             Ok(condition) if condition.mode == Mode::Running => Ok(()),
             _ => Err(Dead),
         }
     }
 
     /// Waits until the stand-in is dead.
-    pub async fn dead(&mut self) {
+    pub async fn wait_until_dead(&mut self) {
         let _ = self
             .0
             .wait_for(|condition| condition.mode == Mode::Dead)
--- a/crates/kumquatdrum_testing/src/control.rs
+++ b/crates/kumquatdrum_testing/src/control.rs
@@ -12,42 +12,40 @@
 use crate::fault::Fault;
 use crate::server::{Error, Server};
 
-/// What the control port commands.
+/// A stand-in that the control port can inject faults into and read counts from.
 pub trait Control: Send + Sync {
-    /// Puts a fault in force.
+    /// Activates a fault.
     fn inject(&self, fault: &Fault);
-    /// The counts now.
+    /// Returns the current counts.
     fn counts(&self) -> Counts;
 }
 
-/// One fault, or several in their order.
+/// Body of `POST /faults`: one fault, or several that are injected in order.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
-enum Orders {
+enum Body {
     One(Fault),
     Many(Vec<Fault>),
 }
 
-/// Starts the control port; it outlives the stand-in's death, so that counts stay readable.
-pub async fn start(address: SocketAddr, controlled: Arc<dyn Control>) -> Result<Server, Error> {
+/// Starts the control port, which stays up when the stand-in is dead so that counts can be read.
+pub async fn start(address: SocketAddr, target: Arc<dyn Control>) -> Result<Server, Error> {
     Server::start(address, |rocket| {
-        rocket
-            .manage(controlled)
-            .mount("/", routes![faults, counters])
+        rocket.manage(target).mount("/", routes![faults, counters])
     })
     .await
 }
 
-#[post("/faults", data = "<orders>")]
-fn faults(orders: Json<Orders>, controlled: &State<Arc<dyn Control>>) -> Status {
-    match orders.into_inner() {
-        Orders::One(fault) => controlled.inject(&fault),
-        Orders::Many(faults) => faults.iter().for_each(|fault| controlled.inject(fault)),
+#[post("/faults", data = "<body>")]
+fn faults(body: Json<Body>, target: &State<Arc<dyn Control>>) -> Status {
+    match body.into_inner() {
+        Body::One(fault) => target.inject(&fault),
+        Body::Many(faults) => faults.iter().for_each(|fault| target.inject(fault)),
     }
     Status::NoContent
 }
 
 #[get("/counters")]
-fn counters(controlled: &State<Arc<dyn Control>>) -> Json<Counts> {
-    Json(controlled.counts())
+fn counters(target: &State<Arc<dyn Control>>) -> Json<Counts> {
+    Json(target.counts())
 }
--- a/crates/kumquatdrum_testing/src/counters.rs
+++ b/crates/kumquatdrum_testing/src/counters.rs
@@ -1,15 +1,15 @@
-//! What a stand-in ran, counted.
+//! Counts of the requests and runs of a stand-in.
 
 use indexmap::IndexMap;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// Counts of one stand-in.
+/// Counts of one stand-in, as `GET /counters` returns them.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests that arrived, refused ones among them.
+    /// Requests received, including refused ones.
     pub received: u64,
-    /// Requests accepted, run or not.
+    /// Requests accepted, whether or not they ran.
     pub accepted: u64,
     /// Runs by attempt identifier.
     pub runs_by_attempt: IndexMap<String, u32>,
@@ -17,18 +17,18 @@
     pub runs_by_digest: IndexMap<String, u32>,
     /// Runs by test key (plain services only).
     pub runs_by_key: IndexMap<String, u32>,
-    /// Runs that came to their end.
+    /// Runs that finished.
     pub finished: u64,
-    /// KV memory in use now, in tokens (engines only).
+    /// KV memory in use, in tokens (engines only).
     pub memory_used_tokens: u64,
-    /// Requests in the batch now (engines), or calls in work (plain services).
+    /// Requests in the batch (engines), or calls in flight (plain services).
     pub running: u32,
-    /// Requests that wait for the batch (engines only).
+    /// Requests waiting to enter the batch (engines only).
     pub waiting: u32,
 }
 
 impl Counts {
-    /// Prompt digests that ran more than once.
+    /// Returns the prompt digests that ran more than once.
     ///
     /// ```
     /// let counts = kumquatdrum_testing::counters::Counts::default();
@@ -42,46 +42,46 @@
     }
 }
 
-/// Counts that tasks share.
+/// Counts shared between tasks.
 #[derive(Debug, Default)]
 pub struct Counters(Mutex<Counts>);
 
 impl Counters {
-    /// A request arrived.
-    pub fn received(&self) {
+    /// Counts a received request.
+    pub fn record_received(&self) {
         self.0.lock().received += 1;
     }
 
-    /// A request was accepted; it has not run yet.
-    pub fn accepted(&self) {
+    /// Counts an accepted request, before it runs.
+    pub fn record_accepted(&self) {
         self.0.lock().accepted += 1;
     }
 
-    /// A run began.
-    pub fn ran(&self, attempt: &str, digest: &str) {
+    /// Counts a run by attempt and prompt digest.
+    pub fn record_run(&self, attempt: &str, digest: &str) {
         let mut counts = self.0.lock();
         *counts.runs_by_attempt.entry(attempt.into()).or_default() += 1;
         *counts.runs_by_digest.entry(digest.into()).or_default() += 1;
     }
 
-    /// A call with a test key began.
-    pub fn keyed(&self, key: &str) {
+    /// Counts a run by test key.
+    pub fn record_key(&self, key: &str) {
         *self.0.lock().runs_by_key.entry(key.into()).or_default() += 1;
     }
 
-    /// The number of calls in work changed.
-    pub fn working(&self, by: i32) {
+    /// Adds `change` to the number of calls in flight.
+    pub fn adjust_running(&self, change: i32) {
         let mut counts = self.0.lock();
-        counts.running = counts.running.saturating_add_signed(by);
+        counts.running = counts.running.saturating_add_signed(change);
     }
 
-    /// A run came to its end.
-    pub fn finished(&self) {
+    /// Counts a finished run.
+    pub fn record_finished(&self) {
         self.0.lock().finished += 1;
     }
 
-    /// The counts now.
-    pub fn read(&self) -> Counts {
+    /// Returns a copy of the counts.
+    pub fn snapshot(&self) -> Counts {
         self.0.lock().clone()
     }
 }
--- a/crates/kumquatdrum_testing/src/engine.rs
+++ b/crates/kumquatdrum_testing/src/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in model engine: the pure model stepped in real time behind HTTP.
+//! A stand-in model engine, which steps [`crate::model`] in real time and serves it over HTTP.
 
 mod answer;
 mod http;
@@ -26,30 +26,30 @@
 
 pub use shared::Reports;
 
-/// Time between two looks at whether a leaving engine has become idle.
-const DRAIN_INTERVAL: Duration = Duration::from_millis(10);
-/// What the server has taken of the last streams still passes through the relay.
-const DRAIN_DELIVERY: Duration = Duration::from_millis(200);
+/// Time between two checks whether a draining engine is idle.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time for the relay to forward the last bytes of finished streams.
+const STREAM_FLUSH_DELAY: Duration = Duration::from_millis(200);
 
-/// What an engine is.
+/// Configuration of an engine.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Who it is and where it listens.
+    /// Name, service, addresses and announcements.
     pub process: process::Options,
     /// The loaded model.
     pub model: ModelName,
     /// Sizes and step costs.
     pub sizes: model::Options,
-    /// How its load reports and cache events lag.
+    /// Delay and loss of load reports and cache events.
     pub reports: Reports,
-    /// How it takes orders; it takes none where absent.
+    /// How orders are executed; `None` for an engine that supports none.
     pub orders: Option<orders::Options>,
-    /// The largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_limit: u64,
 }
 
 impl Options {
-    /// An engine on a free loopback port that announces itself to no one.
+    /// Returns options for an engine on a free loopback port that isn't announced.
     ///
     /// ```
     /// let options = kumquatdrum_testing::engine::Options::new("e1", "formula-llm", "formula", "hall-raatuse");
@@ -88,19 +88,19 @@
 }
 
 impl Engine {
-    /// Starts an engine; it announces itself at once, where it has entry hosts to announce to.
+    /// Starts an engine, and announces it if entry hosts are configured.
     pub async fn start(options: Options) -> Result<Self, Error> {
         let switch = Arc::new(Switch::default());
         let shared = Arc::new(Shared::new(options, Arc::clone(&switch)));
-        let mounted = Arc::clone(&shared);
-        let announced = Arc::clone(&shared);
+        let mounted_state = Arc::clone(&shared);
+        let announced_state = Arc::clone(&shared);
         let process = Process::start(
             &shared.options.process,
             Arc::clone(&switch),
             Arc::clone(&shared) as Arc<dyn Control>,
             Arc::clone(&shared.connections),
-            |rocket| http::mount(rocket, mounted),
-            |address| Box::new(move || announcement(&announced, address)),
+            |rocket| http::mount(rocket, mounted_state),
+            |address| Box::new(move || announcement(&announced_state, address)),
         )
         .await?;
         let stepper = tokio::spawn(step(Arc::clone(&shared), switch.gate()));
@@ -111,77 +111,76 @@
         })
     }
 
-    /// Where it takes calls.
+    /// Returns the address that serves requests.
     pub fn address(&self) -> SocketAddr {
         self.process.address()
     }
 
-    /// Where its control port listens; it outlives the engine's ordered death.
+    /// Returns the address of the control port, which stays up after [`Fault::Die`].
     pub fn control_address(&self) -> SocketAddr {
         self.process.control_address()
     }
 
-    /// Puts a fault in force.
+    /// Activates a fault.
     pub fn inject(&self, fault: &Fault) {
         self.shared.inject(fault);
     }
 
-    /// What it ran and holds.
+    /// Returns the counts of requests, runs and memory.
     pub fn counts(&self) -> Counts {
         self.shared.counts()
     }
 
-    /// What it has loaded, where it takes orders.
+    /// Returns the loaded model and adapters; `None` if the engine supports no orders.
     pub fn order_report(&self) -> Option<kumquatdrum_orders::Report> {
         self.shared.orders.as_ref().map(orders::Orders::report)
     }
 
-    /// Announcements that an entry host has answered with success.
+    /// Returns the number of announcements that an entry host has accepted.
     pub fn announced(&self) -> u64 {
         self.process.announcer().delivered()
     }
 
-    /// Sends the leaving notice and waits until an entry host has answered it.
+    /// Sends the leaving notice and waits until an entry host has accepted it.
     pub async fn leave(&self) {
         self.process.announcer().leave().await;
     }
 
-    /// Sends the leaving notice and waits until nothing runs or waits any more, and all streams
-    /// have ended.
+    /// Sends the leaving notice and waits until all requests and streams have ended.
     pub async fn drain(&self) {
         self.leave().await;
         while self.shared.is_busy() {
-            tokio::time::sleep(DRAIN_INTERVAL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        tokio::time::sleep(DRAIN_DELIVERY).await;
+        tokio::time::sleep(STREAM_FLUSH_DELAY).await;
     }
 
-    /// Stops it at once and joins all its tasks.
+    /// Stops the engine at once and joins all its tasks.
     pub async fn shutdown(self) {
         self.process.shutdown().await;
         let _ = self.stepper.await;
     }
 }
 
-/// Steps the model until the engine is dead; a frozen engine doesn't step.
+/// Steps the model until the engine is dead, pausing while it is frozen.
 async fn step(shared: Arc<Shared>, mut gate: Gate) {
-    let mut dead = gate.clone();
-    while gate.running().await.is_ok() {
+    let mut death = gate.clone();
+    while gate.wait_until_running().await.is_ok() {
         let step = shared.step();
         tokio::select! {
-            () = dead.dead() => return,
-            () = rest(&shared, step.cost) => {}
+            () = death.wait_until_dead() => return,
+            () = wait_for_next_step(&shared, step.cost) => {}
         }
-        if gate.running().await.is_err() {
+        if gate.wait_until_running().await.is_err() {
             return;
         }
         shared.publish(&step.progress);
     }
 }
 
-async fn rest(shared: &Shared, cost: Duration) {
+async fn wait_for_next_step(shared: &Shared, cost: Duration) {
     if cost.is_zero() {
-        shared.work().await;
+        shared.wait_for_work().await;
     } else {
         tokio::time::sleep(cost).await;
     }
--- a/crates/kumquatdrum_testing/src/engine/answer.rs
+++ b/crates/kumquatdrum_testing/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! The stream of an answer, and its cut by order.
+//! Streams the events of an answer, and cuts a stream where a fault demands it.
 
 use std::io::Cursor;
 use std::time::Duration;
@@ -10,104 +10,104 @@
 use bytes::Bytes;
 use futures::stream::{self, Stream};
 
-/// A comment is sent after this much silence, so that a caller's leaving is noticed.
+/// Time without events after which a comment is sent, so that a closed connection is noticed.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
-/// A part of an answer's body: the bytes of some events.
-pub(super) type Part = Cursor<Bytes>;
+/// The bytes of one or more events.
+pub(super) type Chunk = Cursor<Bytes>;
 
-/// An answer under way.
+/// A stream in progress.
 struct Answer<F> {
     source: Source,
-    sent: u32,
+    tokens_sent: u32,
     cut: Option<Cut>,
-    break_off: F,
-    over: bool,
+    reset_connection: F,
+    is_finished: bool,
 }
 
-/// The events of a source from a token on; `break_off` breaks the connection off.
+/// Streams the events of a source, starting at token `from`.
 pub(super) fn stream(
     source: Source,
     from: u32,
     cut: Option<Cut>,
-    break_off: impl Fn() + Send + Sync,
-) -> impl Stream<Item = Part> + Send {
+    reset_connection: impl Fn() + Send + Sync,
+) -> impl Stream<Item = Chunk> + Send {
     let answer = Answer {
         source,
-        sent: from,
+        tokens_sent: from,
         cut,
-        break_off,
-        over: false,
+        reset_connection,
+        is_finished: false,
     };
     stream::unfold(answer, |mut answer| async move {
-        if answer.over {
+        if answer.is_finished {
             return None;
         }
-        Some((answer.next().await, answer))
+        Some((answer.next_chunk().await, answer))
     })
 }
 
 impl<F: Fn()> Answer<F> {
-    async fn next(&mut self) -> Part {
-        let sent = self.sent;
-        let news = |status: &Status| status.tokens > sent || status.state.has_ended();
-        let waited = tokio::time::timeout(KEEP_ALIVE, self.source.status.wait_for(news))
+    async fn next_chunk(&mut self) -> Chunk {
+        let sent = self.tokens_sent;
+        let has_changed = |status: &Status| status.tokens > sent || status.state.has_ended();
+        let result = tokio::time::timeout(KEEP_ALIVE, self.source.status.wait_for(has_changed))
             .await
             .map(|status| status.map(|status| *status));
-        let status = match waited {
+        let status = match result {
             Ok(Ok(status)) => status,
-            Ok(Err(_)) => return self.stop(),
+            Ok(Err(_)) => return self.finish(),
             Err(_) => return events(": keep-alive\n\n".into()),
         };
-        let until = self.cut.map_or(u32::MAX, |cut| cut.after_tokens);
-        let ended = status.state.has_ended() && self.sent >= status.tokens;
+        let limit = self.cut.map_or(u32::MAX, |cut| cut.after_tokens);
+        let ended = status.state.has_ended() && self.tokens_sent >= status.tokens;
         match self.cut {
-            Some(cut) if ended || cut.after_tokens <= self.sent => self.cut_off(cut).await,
-            _ => self.render(status, until),
+            Some(cut) if ended || cut.after_tokens <= self.tokens_sent => self.apply_cut(cut).await,
+            _ => self.render(status, limit),
         }
     }
 
-    fn stop(&mut self) -> Part {
-        self.over = true;
+    fn finish(&mut self) -> Chunk {
+        self.is_finished = true;
         events(String::new())
     }
 
-    /// Ends the body as if it were whole, or breaks off its connection and stays open.
-    async fn cut_off(&mut self, cut: Cut) -> Part {
+    /// Ends the body without an end marker, or resets the connection and sends nothing more.
+    async fn apply_cut(&mut self, cut: Cut) -> Chunk {
         if cut.broken {
-            (self.break_off)();
+            (self.reset_connection)();
             std::future::pending::<()>().await;
         }
-        self.stop()
+        self.finish()
     }
 
-    fn render(&mut self, status: Status, until: u32) -> Part {
+    fn render(&mut self, status: Status, limit: u32) -> Chunk {
         let id = self.source.id.as_str();
-        let last = status.tokens.min(until);
-        let mut text: String = (self.sent..last)
-            .map(|index| self.source.form.token(id, &self.source.digest, index))
+        let last = status.tokens.min(limit);
+        let mut text: String = (self.tokens_sent..last)
+            .map(|index| self.source.api.token(id, &self.source.digest, index))
             .collect();
-        self.sent = last.max(self.sent);
-        let ended = status.state.has_ended() && self.sent >= status.tokens;
+        self.tokens_sent = last.max(self.tokens_sent);
+        let ended = status.state.has_ended() && self.tokens_sent >= status.tokens;
         match status.state {
             _ if !ended || self.cut.is_some() => {}
             Stage::Finished => {
                 let end = self
                     .source
-                    .form
+                    .api
                     .end(id, self.source.prompt_tokens, status.tokens);
                 text.push_str(&end);
-                self.over = true;
+                self.is_finished = true;
             }
             state => {
                 text.push_str(&wire::failure(id, state));
-                self.over = true;
+                self.is_finished = true;
             }
         }
         events(text)
     }
 }
 
-fn events(text: String) -> Part {
+fn events(text: String) -> Chunk {
     Cursor::new(Bytes::from(text))
 }
--- a/crates/kumquatdrum_testing/src/engine/http.rs
+++ b/crates/kumquatdrum_testing/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The engine protocol over HTTP; `docs/ENGINE-PROTOCOL.md` describes it.
+//! Serves the engine protocol over HTTP; `docs/ENGINE-PROTOCOL.md` describes it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 use rocket::{Build, Rocket, State as Managed, delete, get, post, routes};
 use serde_json::{Value, json};
 
-use super::request::{Headers, Malformed, read};
+use super::request::{self, Headers, read};
 use super::shared::{Shared, Source};
-use super::wire::{AttemptState, CacheEvents, Form, Holdings, Reservation, error};
+use super::wire::{Api, AttemptState, CacheEvents, Holdings, Reservation, error};
 use super::{answer, orders};
 use crate::fault::Cut;
-use crate::model::{Attempt, Fate, Hold, HoldError, Model, Rejection, Stage};
+use crate::model::{Attempt, Hold, HoldError, Model, Rejection, Stage, Summary};
 use crate::relay::Connections;
 
 type Engine = Managed<Arc<Shared>>;
 
-/// Mounts the protocol.
+/// Mounts the routes of the engine protocol.
 pub(super) fn mount(rocket: Rocket<Build>, shared: Arc<Shared>) -> Rocket<Build> {
     orders::mount(rocket.manage(shared)).mount(
         "/v1",
@@ -47,25 +47,25 @@
     )
 }
 
-/// An answer of the engine.
+/// Response to a request.
 enum Reply {
     Json(Status, Value),
     Stream {
-        shown: AttemptId,
+        attempt_id: AttemptId,
         source: Source,
         from: u32,
         cut: Option<Cut>,
-        breaker: Breaker,
+        connection: Connection,
     },
 }
 
-/// Breaks off the connection of one call.
-struct Breaker {
+/// The relayed connection of one call.
+struct Connection {
     connections: Arc<Connections>,
     remote: Option<SocketAddr>,
 }
 
-impl Breaker {
+impl Connection {
     fn new(remote: Option<SocketAddr>, engine: &Shared) -> Self {
         Self {
             connections: Arc::clone(&engine.connections),
@@ -73,9 +73,9 @@
         }
     }
 
-    fn break_off(&self) {
+    fn reset(&self) {
         if let Some(remote) = self.remote {
-            self.connections.break_off(remote);
+            self.connections.reset(remote);
         }
     }
 }
@@ -85,28 +85,28 @@
         match self {
             Self::Json(status, body) => (status, Json(body)).respond_to(request),
             Self::Stream {
-                shown,
+                attempt_id,
                 source,
                 from,
                 cut,
-                breaker,
+                connection,
             } => Response::build()
                 .header(ContentType::EventStream)
                 .header(Header::new("cache-control", "no-cache"))
-                .header(Header::new("x-attempt-id", shown.to_string()))
+                .header(Header::new("x-attempt-id", attempt_id.to_string()))
                 .streamed_body(ReaderStream::from(Box::pin(answer::stream(
                     source,
                     from,
                     cut,
-                    move || breaker.break_off(),
+                    move || connection.reset(),
                 ))))
                 .ok(),
         }
     }
 }
 
-fn bad_request(malformed: &Malformed) -> Reply {
-    let message = malformed.to_string();
+fn bad_request(reason: &request::Error) -> Reply {
+    let message = reason.to_string();
     Reply::Json(Status::BadRequest, error("bad_request", false, &message))
 }
 
@@ -116,30 +116,30 @@
 
 #[post("/completions", data = "<body>")]
 async fn completions(headers: Headers<'_>, body: Data<'_>, engine: &Engine) -> Reply {
-    run(Form::Text, &headers, body, engine).await
+    run(Api::Text, &headers, body, engine).await
 }
 
 #[post("/chat/completions", data = "<body>")]
 async fn chat_completions(headers: Headers<'_>, body: Data<'_>, engine: &Engine) -> Reply {
-    run(Form::Chat, &headers, body, engine).await
+    run(Api::Chat, &headers, body, engine).await
 }
 
-async fn run(form: Form, headers: &Headers<'_>, body: Data<'_>, engine: &Engine) -> Reply {
-    engine.counters.received();
+async fn run(api: Api, headers: &Headers<'_>, body: Data<'_>, engine: &Engine) -> Reply {
+    engine.counters.record_received();
     if engine.faults.take_refuse() || !engine.is_serving() {
-        return rejected(Rejection::Full);
+        return rejection_reply(Rejection::Full);
     }
     let request = match read(headers, body, engine).await {
         Ok(request) => request,
-        Err(malformed) => return bad_request(&malformed),
+        Err(error) => return bad_request(&error),
     };
     let fails = engine.faults.fails();
-    let source = match engine.submit(request, form, fails) {
+    let source = match engine.submit(request, api, fails) {
         Ok(source) => source,
-        Err(rejection) => return rejected(rejection),
+        Err(rejection) => return rejection_reply(rejection),
     };
     if fails {
-        let message = "failed by order";
+        let message = "injected failure";
         return Reply::Json(
             Status::InternalServerError,
             error("internal", true, message),
@@ -148,35 +148,35 @@
     if let Some(delay) = engine.faults.take_late() {
         tokio::time::sleep(delay).await;
     }
-    reply(source, headers, engine)
+    stream_reply(source, headers, engine)
 }
 
-/// The stream of a new attempt, crossed or cut where that is ordered.
-fn reply(mut source: Source, headers: &Headers<'_>, engine: &Shared) -> Reply {
-    let mut shown = source.id.clone();
+/// Streams a new attempt, crossed or cut if such a fault is active.
+fn stream_reply(mut source: Source, headers: &Headers<'_>, engine: &Shared) -> Reply {
+    let mut attempt_id = source.id.clone();
     if let Some(header) = engine.faults.take_cross() {
-        let (other, digest) = engine.other(&source);
+        let (other, digest) = engine.other_attempt(&source);
         if header {
-            shown = other.clone();
+            attempt_id = other.clone();
         }
         source.id = other;
         source.digest = digest;
     }
     Reply::Stream {
-        shown,
+        attempt_id,
         source,
         from: 0,
         cut: engine.faults.take_cut(),
-        breaker: Breaker::new(headers.remote, engine),
+        connection: Connection::new(headers.remote, engine),
     }
 }
 
-fn rejected(rejection: Rejection) -> Reply {
+fn rejection_reply(rejection: Rejection) -> Reply {
     let message = rejection.to_string();
     match rejection {
-        Rejection::Known(fate) => {
-            let mut body = error("known", fate.started, &message);
-            body["error"]["state"] = json!(fate.state);
+        Rejection::Known(summary) => {
+            let mut body = error("known", summary.started, &message);
+            body["error"]["state"] = json!(summary.state);
             Reply::Json(Status::Conflict, body)
         }
         Rejection::Full => Reply::Json(Status::ServiceUnavailable, error("full", false, &message)),
@@ -200,41 +200,41 @@
     }
 }
 
-/// An attempt that is no longer kept, or never came.
-fn remembered(id: &AttemptId, fate: Fate, engine: &Shared) -> AttemptState {
+/// Describes an attempt whose details are not kept, or that was never received.
+fn describe_discarded(id: &AttemptId, summary: Summary, engine: &Shared) -> AttemptState {
     AttemptState {
         id: id.to_string(),
         boot: engine.boot,
-        state: fate.state,
-        started: fate.started,
+        state: summary.state,
+        started: summary.started,
         tokens: 0,
         owner: String::new(),
     }
 }
 
-fn show(id: &AttemptId, engine: &Shared) -> AttemptState {
-    engine.with(|model| match model.attempt(id) {
+fn find_state(id: &AttemptId, engine: &Shared) -> AttemptState {
+    engine.with_model(|model| match model.attempt(id) {
         Some(attempt) => describe(attempt, engine),
-        None => remembered(id, model.fate(id), engine),
+        None => describe_discarded(id, model.summary(id), engine),
     })
 }
 
 #[get("/attempts/<id>")]
 fn attempt(id: &str, engine: &Engine) -> (Status, Json<AttemptState>) {
-    let shown = show(&AttemptId::new(id), engine);
-    let status = match shown.state {
+    let state = find_state(&AttemptId::new(id), engine);
+    let status = match state.state {
         Stage::NeverSeen => Status::NotFound,
         _ => Status::Ok,
     };
-    (status, Json(shown))
+    (status, Json(state))
 }
 
 #[get("/attempts?<owner>")]
 fn attempts(owner: &str, engine: &Engine) -> Json<Holdings> {
-    Json(engine.with(|model| holdings(owner, model, engine)))
+    Json(engine.with_model(|model| list_holdings(owner, model, engine)))
 }
 
-fn holdings(owner: &str, model: &Model, engine: &Shared) -> Holdings {
+fn list_holdings(owner: &str, model: &Model, engine: &Shared) -> Holdings {
     let is_owned = |hold: &&Hold| hold.owner == owner;
     Holdings {
         boot: engine.boot,
@@ -252,13 +252,13 @@
 fn resume(id: &str, from: Option<u32>, headers: Headers<'_>, engine: &Engine) -> Reply {
     match engine.source(&AttemptId::new(id)) {
         Some(source) => Reply::Stream {
-            shown: source.id.clone(),
+            attempt_id: source.id.clone(),
             source,
             from: from.unwrap_or(0),
             cut: engine.faults.take_cut(),
-            breaker: Breaker::new(headers.remote, engine),
+            connection: Connection::new(headers.remote, engine),
         },
-        None => not_found("the attempt is unknown or no longer kept"),
+        None => not_found("the attempt is unknown or has been discarded"),
     }
 }
 
@@ -268,14 +268,14 @@
     match engine.faults.take_lose_cancel() {
         None => {
             engine.cancel(&id);
-            Reply::Json(Status::Ok, json!(show(&id, engine)))
+            Reply::Json(Status::Ok, json!(find_state(&id, engine)))
         }
-        Some(done) => {
-            if done {
+        Some(takes_effect) => {
+            if takes_effect {
                 engine.cancel(&id);
             }
-            engine.switch.gate().dead().await;
-            not_found("lost by order")
+            engine.switch.gate().wait_until_dead().await;
+            not_found("injected loss of the cancel")
         }
     }
 }
@@ -290,45 +290,48 @@
     Json(engine.cache_events(after.unwrap_or(0)))
 }
 
-#[post("/reservations", data = "<wanted>")]
-fn reserve(wanted: Json<Reservation>, engine: &Engine) -> Reply {
-    let wanted = wanted.into_inner();
-    let ttl = Duration::from_millis(wanted.ttl_ms);
+#[post("/reservations", data = "<reservation>")]
+fn reserve(reservation: Json<Reservation>, engine: &Engine) -> Reply {
+    let reservation = reservation.into_inner();
+    let ttl = Duration::from_millis(reservation.ttl_ms);
     let hold = Hold {
-        id: wanted.id,
-        owner: wanted.owner,
-        tokens: wanted.tokens,
+        id: reservation.id,
+        owner: reservation.owner,
+        tokens: reservation.tokens,
     };
     let now = engine.now();
-    held(
-        engine.with(|model| model.reserve(now, hold.clone(), ttl)),
+    hold_reply(
+        engine.with_model(|model| model.reserve(now, hold.clone(), ttl)),
         &hold,
     )
 }
 
 #[delete("/reservations/<id>")]
 fn release(id: &str, engine: &Engine) -> Reply {
-    freed(engine.with(|model| model.release(id)))
+    freed_reply(engine.with_model(|model| model.release(id)))
 }
 
 #[post("/kv/<id>/export")]
 fn export_kv(id: &str, engine: &Engine) -> Reply {
-    match engine.with(|model| model.export_kv(&AttemptId::new(id))) {
-        Ok(hold) => held(Ok(()), &hold),
-        Err(HoldError::Unknown) => not_found("the attempt is unknown or no longer kept"),
-        Err(error) => refused(error),
+    match engine.with_model(|model| model.export_kv(&AttemptId::new(id))) {
+        Ok(hold) => hold_reply(Ok(()), &hold),
+        Err(HoldError::Unknown) => not_found("the attempt is unknown or has been discarded"),
+        Err(error) => hold_error_reply(error),
     }
 }
 
 #[post("/kv/import", data = "<hold>")]
 fn import_kv(hold: Json<Hold>, engine: &Engine) -> Reply {
     let hold = hold.into_inner();
-    held(engine.with(|model| model.import_kv(hold.clone())), &hold)
+    hold_reply(
+        engine.with_model(|model| model.import_kv(hold.clone())),
+        &hold,
+    )
 }
 
 #[delete("/kv/<id>")]
 fn drop_kv(id: &str, engine: &Engine) -> Reply {
-    freed(engine.with(|model| model.drop_kv(id)))
+    freed_reply(engine.with_model(|model| model.drop_kv(id)))
 }
 
 #[get("/health")]
@@ -336,14 +339,14 @@
     Json(json!({"boot": engine.boot, "endpoint": engine.options.process.name}))
 }
 
-fn held(result: Result<(), HoldError>, hold: &Hold) -> Reply {
+fn hold_reply(result: Result<(), HoldError>, hold: &Hold) -> Reply {
     match result {
         Ok(()) => Reply::Json(Status::Ok, json!(hold)),
-        Err(error) => refused(error),
+        Err(error) => hold_error_reply(error),
     }
 }
 
-fn refused(reason: HoldError) -> Reply {
+fn hold_error_reply(reason: HoldError) -> Reply {
     let message = reason.to_string();
     match reason {
         HoldError::Full => Reply::Json(Status::ServiceUnavailable, error("full", false, &message)),
@@ -352,7 +355,7 @@
     }
 }
 
-/// Freeing is idempotent: `freed` says whether anything was held.
-fn freed(freed: bool) -> Reply {
+/// Freeing is idempotent; `freed` tells whether anything was held.
+fn freed_reply(freed: bool) -> Reply {
     Reply::Json(Status::Ok, json!({"freed": freed}))
 }
--- a/crates/kumquatdrum_testing/src/engine/orders.rs
+++ b/crates/kumquatdrum_testing/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! The orders' side of a stand-in engine: what it has loaded, and what it is told to load.
+//! Executes the orders that a host sends to an engine, such as loading a model or an adapter.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,21 +15,21 @@
 use super::shared::Shared;
 use super::wire::error;
 
-/// Time between two looks at whether what ran has ended.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+/// Time between two checks whether the running requests have ended.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How an engine takes orders.
+/// How an engine executes orders.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The version of the weights at its start.
+    /// Version of the weights loaded at startup.
     pub version: String,
-    /// Whether it refuses old fencing numbers.
+    /// Whether orders with a lower fencing token than the highest one seen are refused.
     pub checks_fencing: bool,
-    /// How long a load takes once nothing runs any more.
+    /// Duration of a load, after the running requests have ended.
     pub load_time: Duration,
 }
 
-/// What is loaded, and the highest fencing number so far.
+/// Order state of an engine.
 #[derive(Debug)]
 pub(super) struct Orders {
     options: Options,
@@ -39,11 +39,12 @@
 
 #[derive(Debug)]
 struct State {
+    /// The highest fencing token seen.
     fencing: u64,
     report: Report,
 }
 
-/// An order as it comes in.
+/// Body of an order request.
 #[derive(Debug, Deserialize)]
 struct Order {
     fencing: u64,
@@ -71,8 +72,8 @@
         self.state.lock().report.clone()
     }
 
-    /// Takes note of an order, or says why not.
-    fn take(&self, order: &Order) -> Result<(), (Status, Value)> {
+    /// Applies an order, or returns the response that refuses it.
+    fn accept(&self, order: &Order) -> Result<(), (Status, Value)> {
         let mut state = self.state.lock();
         let refuse = |code: &str, current: u64| {
             let mut body = error(code, false, "the order is refused");
@@ -89,11 +90,11 @@
         if state.report.role == Role::Loading && order.action != Action::Fence {
             return refuse("loading", state.fencing);
         }
-        state.obey(&order.action);
+        state.apply(&order.action);
         Ok(())
     }
 
-    fn loaded(&self, model: ModelName, version: String) {
+    fn finish_load(&self, model: ModelName, version: String) {
         let report = &mut self.state.lock().report;
         report.model = Some(model);
         report.version = Some(version);
@@ -102,8 +103,8 @@
 }
 
 impl State {
-    /// A load only begins here; the report shows it from now on.
-    fn obey(&mut self, action: &Action) {
+    /// Applies an action to the report; `LoadModel` only marks the load as started.
+    fn apply(&mut self, action: &Action) {
         let report = &mut self.report;
         let adapters = &mut report.adapters;
         match action {
@@ -112,19 +113,19 @@
                 adapters.clear();
                 report.role = Role::Loading;
             }
-            Action::LoadAdapter(adapter) => replace(adapters, adapter),
+            Action::LoadAdapter(adapter) => replace_adapter(adapters, adapter),
             Action::UnloadAdapter { name } => adapters.retain(|held| held.name != *name),
             Action::ChangeRole { role } => report.role = *role,
         }
     }
 }
 
-fn replace(adapters: &mut Vec<Adapter>, adapter: &Adapter) {
+fn replace_adapter(adapters: &mut Vec<Adapter>, adapter: &Adapter) {
     adapters.retain(|held| held.name != adapter.name);
     adapters.push(adapter.clone());
 }
 
-/// Mounts the orders' side of the protocol.
+/// Mounts the order routes of the engine protocol.
 pub(super) fn mount(rocket: Rocket<Build>) -> Rocket<Build> {
     rocket.mount("/v1/orders", routes![order, state])
 }
@@ -135,7 +136,7 @@
         return unsupported();
     };
     let order = order.into_inner();
-    if let Err((status, body)) = orders.take(&order) {
+    if let Err((status, body)) = orders.accept(&order) {
         return (status, Json(body));
     }
     if let Action::LoadModel { model, version } = order.action {
@@ -153,25 +154,25 @@
 }
 
 fn unsupported() -> (Status, Json<Value>) {
-    let body = error("not_found", false, "this engine takes no orders");
+    let body = error("not_found", false, "this engine supports no orders");
     (Status::NotFound, Json(body))
 }
 
-/// Lets what runs end, then loads.
+/// Waits until the engine is idle, then loads the model.
 async fn load(engine: Arc<Shared>, model: ModelName, version: String) {
     let Some(orders) = &engine.orders else {
         return;
     };
-    let mut dead = engine.switch.gate();
+    let mut death = engine.switch.gate();
     let loading = async {
-        while !engine.with(|model| model.is_idle()) {
-            tokio::time::sleep(LOOK_AGAIN).await;
+        while !engine.with_model(|model| model.is_idle()) {
+            tokio::time::sleep(IDLE_POLL_INTERVAL).await;
         }
         tokio::time::sleep(orders.options.load_time).await;
-        orders.loaded(model, version);
+        orders.finish_load(model, version);
     };
     tokio::select! {
-        () = dead.dead() => {}
+        () = death.wait_until_dead() => {}
         () = loading => {}
     }
 }
--- a/crates/kumquatdrum_testing/src/engine/request.rs
+++ b/crates/kumquatdrum_testing/src/engine/request.rs
@@ -1,4 +1,4 @@
-//! Reads a request of the engine protocol: its headers and its body.
+//! Parses the headers and the body of a request of the engine protocol.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,14 +16,14 @@
 use crate::model;
 use crate::prompt;
 
-/// Time that a request without a deadline may take.
+/// Deadline of a request that states none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(3_600);
-/// Tokens of an answer whose request doesn't say.
+/// Length of the answer if the request states none.
 const DEFAULT_MAX_TOKENS: u64 = 16;
-/// Bytes of prompt text that are counted as one token where the caller doesn't count.
+/// Bytes counted as one token if the request doesn't state the length of its prompt.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// The headers of a call.
+/// Headers and remote address of a call.
 pub(super) struct Headers<'r> {
     map: &'r HeaderMap<'r>,
     pub(super) remote: Option<SocketAddr>,
@@ -46,32 +46,34 @@
         self.map.get_one(name).map(str::to_owned)
     }
 
-    fn number<T: FromStr>(&self, name: &'static str) -> Result<Option<T>, Malformed> {
+    fn number<T: FromStr>(&self, name: &'static str) -> Result<Option<T>, Error> {
         let parsed = self.map.get_one(name).map(str::parse).transpose();
-        parsed.map_err(|_| Malformed::Number(name))
+        parsed.map_err(|_| Error::InvalidNumber(name))
     }
 }
 
-/// What is wrong with a request.
+/// Reason why a request is malformed.
 #[derive(Debug, Error)]
-pub(super) enum Malformed {
-    #[error("the header {0} is not a number in range")]
-    Number(&'static str),
-    #[error("the header x-attempt-id is missing")]
-    NoAttempt,
-    #[error("the body is broken off or exceeds the limit")]
-    Body,
-    #[error("the body is not JSON with a prompt or messages")]
-    NoPrompt,
+pub(super) enum Error {
+    #[error("header {0} is not a number in range")]
+    InvalidNumber(&'static str),
+    #[error("header x-attempt-id is missing")]
+    MissingAttemptId,
+    #[error("the body is incomplete or exceeds the size limit")]
+    IncompleteBody,
+    #[error("the body is not a JSON object with `prompt` or `messages`")]
+    MissingPrompt,
 }
 
-/// Reads a request; digests of long prompts are taken off the server's threads.
+/// Reads and parses a request.
 pub(super) async fn read(
     headers: &Headers<'_>,
     body: Data<'_>,
     engine: &Shared,
-) -> Result<model::Request, Malformed> {
-    let id = headers.text("x-attempt-id").ok_or(Malformed::NoAttempt)?;
+) -> Result<model::Request, Error> {
+    let id = headers
+        .text("x-attempt-id")
+        .ok_or(Error::MissingAttemptId)?;
     let remaining = headers.number::<u64>("x-deadline-ms")?;
     let remaining = remaining.map_or(DEFAULT_DEADLINE, Duration::from_millis);
     let deadline = engine.now() + remaining;
@@ -81,18 +83,18 @@
         .await
         .ok()
         .filter(Capped::is_complete)
-        .ok_or(Malformed::Body)?;
-    // Digests of long prompts take milliseconds; they must not hold up other requests.
+        .ok_or(Error::IncompleteBody)?;
+    // Hashing a long prompt takes milliseconds and would block the server's threads.
     let parsed = tokio::task::spawn_blocking(move || Prompt::parse(&bytes)).await;
-    let prompt = parsed.ok().flatten().ok_or(Malformed::NoPrompt)?;
-    let counted = headers.number::<u64>("x-prompt-tokens")?;
+    let prompt = parsed.ok().flatten().ok_or(Error::MissingPrompt)?;
+    let stated_tokens = headers.number::<u64>("x-prompt-tokens")?;
     Ok(model::Request {
         id: AttemptId::new(id),
         owner: headers.text("x-owner").unwrap_or_default(),
         counter: headers.number("x-owner-attempt")?.unwrap_or_default(),
         priority: headers.number("x-priority")?.unwrap_or_default(),
         deadline,
-        prompt_tokens: counted.unwrap_or(prompt.tokens).max(1),
+        prompt_tokens: stated_tokens.unwrap_or(prompt.tokens).max(1),
         max_tokens: prompt.max_tokens,
         digest: prompt.digest,
         blocks: prompt.blocks,
@@ -100,7 +102,7 @@
     })
 }
 
-/// What a body says.
+/// The parsed body of a request.
 struct Prompt {
     tokens: u64,
     max_tokens: u32,
--- a/crates/kumquatdrum_testing/src/engine/shared.rs
+++ b/crates/kumquatdrum_testing/src/engine/shared.rs
@@ -1,4 +1,4 @@
-//! The state that an engine's tasks share.
+//! State shared between the tasks of an engine.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use super::Options;
 use super::orders::Orders;
-use super::wire::{CacheEvents, Form};
+use super::wire::{Api, CacheEvents};
 use crate::condition::Switch;
 use crate::control::Control;
 use crate::counters::{Counters, Counts};
@@ -21,43 +21,43 @@
 use crate::process;
 use crate::relay::Connections;
 
-/// How long an idle engine rests before it looks at deadlines again.
-const IDLE_REST: Duration = Duration::from_millis(20);
-/// Load reports kept to serve late ones.
-const REPORT_LIMIT: usize = 4_096;
+/// Time between two steps of an idle engine, which also check deadlines.
+const IDLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Entries of each history kept to serve delayed reports.
+const MAX_HISTORY_LENGTH: usize = 4_096;
 
-/// How load reports and cache events lag.
+/// Delay and loss of load reports and cache events.
 #[derive(Debug, Clone, Default)]
 pub struct Reports {
-    /// Age of the load that is reported.
+    /// Minimum age of the reported load.
     pub load_lag: Duration,
-    /// Age from which a cache event is published.
+    /// Minimum age of a published cache event.
     pub cache_lag: Duration,
-    /// Each cache event whose number is a multiple of this is lost; 0 loses none.
+    /// Cache events whose number is a multiple of this are dropped; 0 drops none.
     pub lose_every: u64,
 }
 
-/// How far an attempt has come, as its streams see it.
+/// Progress of an attempt, as published to its streams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Status {
     pub(super) state: Stage,
     pub(super) tokens: u32,
 }
 
-/// What streams of one attempt need.
+/// Publishes the status of one attempt to its streams.
 #[derive(Debug)]
 struct Channel {
     status: watch::Sender<Status>,
-    form: Form,
+    api: Api,
 }
 
-/// What a stream shows.
+/// The attempt that a stream sends.
 #[derive(Debug)]
 pub(super) struct Source {
     pub(super) id: AttemptId,
     pub(super) digest: String,
     pub(super) prompt_tokens: u64,
-    pub(super) form: Form,
+    pub(super) api: Api,
     pub(super) status: watch::Receiver<Status>,
 }
 
@@ -72,15 +72,15 @@
     pub(super) connections: Arc<Connections>,
     core: Mutex<Core>,
     wake: Notify,
-    zero: Instant,
+    started_at: Instant,
 }
 
 #[derive(Debug)]
 struct Core {
     model: Model,
     channels: IndexMap<AttemptId, Channel>,
-    reports: VecDeque<(Moment, Load)>,
-    cache_marks: VecDeque<(Moment, u64)>,
+    load_history: VecDeque<(Moment, Load)>,
+    cache_history: VecDeque<(Moment, u64)>,
 }
 
 impl Shared {
@@ -88,8 +88,8 @@
         let core = Core {
             model: Model::new(options.sizes.clone()),
             channels: IndexMap::new(),
-            reports: VecDeque::new(),
-            cache_marks: VecDeque::new(),
+            load_history: VecDeque::new(),
+            cache_history: VecDeque::new(),
         };
         let boot = options.process.boot();
         let orders = options.orders.clone();
@@ -104,32 +104,32 @@
             connections: Arc::default(),
             core: Mutex::new(core),
             wake: Notify::new(),
-            zero: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
     pub(super) fn now(&self) -> Moment {
-        Moment::ZERO + self.zero.elapsed()
+        Moment::ZERO + self.started_at.elapsed()
     }
 
-    /// The loaded model.
+    /// Returns the loaded model.
     pub(super) fn model(&self) -> ModelName {
         let report = self.orders.as_ref().map(Orders::report);
         let loaded = report.and_then(|report| report.model);
         loaded.unwrap_or_else(|| self.options.model.clone())
     }
 
-    /// Whether it takes requests at present.
+    /// Whether the engine accepts requests.
     pub(super) fn is_serving(&self) -> bool {
         let role = self.orders.as_ref().map(|orders| orders.report().role);
         role.is_none_or(|role| role == Role::Serving)
     }
 
-    /// Takes a request; with `fails` it fails at once, as if it had run in part.
+    /// Submits a request; with `fails` set, it fails at once as if it had run in part.
     pub(super) fn submit(
         &self,
         request: Request,
-        form: Form,
+        api: Api,
         fails: bool,
     ) -> Result<Source, Rejection> {
         let now = self.now();
@@ -138,32 +138,32 @@
         let mut core = self.core.lock();
         if fails {
             core.model.fail(now, request)?;
-            self.counters.ran(id.as_str(), &digest);
+            self.counters.record_run(id.as_str(), &digest);
         } else {
             core.model.submit(now, request)?;
         }
-        core.open(&id, form);
-        self.counters.accepted();
+        core.open(&id, api);
+        self.counters.record_accepted();
         let source = core.source(&id).ok_or(Rejection::Full);
         drop(core);
         self.wake.notify_one();
         source
     }
 
-    /// A source of an attempt that runs or is still kept.
+    /// Returns the source of an attempt that is running or still kept.
     pub(super) fn source(&self, id: &AttemptId) -> Option<Source> {
         self.core.lock().source(id)
     }
 
-    /// The latest attempt with another prompt: its identifier and digest.
-    pub(super) fn other(&self, source: &Source) -> (AttemptId, String) {
+    /// Returns identifier and digest of the latest attempt with a different prompt.
+    pub(super) fn other_attempt(&self, source: &Source) -> (AttemptId, String) {
         let core = self.core.lock();
         let kept = core.channels.keys().rev();
         let found = kept
             .filter_map(|id| core.model.attempt(id))
             .find(|other| other.request.digest != source.digest);
-        let named = |other: &Attempt| (other.request.id.clone(), other.request.digest.clone());
-        found.map_or_else(|| made_up(&source.id), named)
+        let identify = |other: &Attempt| (other.request.id.clone(), other.request.digest.clone());
+        found.map_or_else(|| fabricated_attempt(&source.id), identify)
     }
 
     pub(super) fn cancel(&self, id: &AttemptId) -> Stage {
@@ -174,13 +174,13 @@
         state
     }
 
-    /// The model itself, for questions and for memory held by name.
-    pub(super) fn with<T>(&self, question: impl FnOnce(&mut Model) -> T) -> T {
+    /// Runs `action` on the locked model.
+    pub(super) fn with_model<T>(&self, action: impl FnOnce(&mut Model) -> T) -> T {
         let mut core = self.core.lock();
-        question(&mut core.model)
+        action(&mut core.model)
     }
 
-    /// Whether anything waits or runs, or some stream has not ended.
+    /// Whether any request is waiting or running, or a stream is open.
     pub(super) fn is_busy(&self) -> bool {
         let core = self.core.lock();
         let mut channels = core.channels.values();
@@ -191,11 +191,11 @@
         let now = self.now();
         let mut core = self.core.lock();
         let step = core.model.step(now);
-        core.report(now);
+        core.record_history(now);
         for id in &step.started {
             let attempt = core.model.attempt(id);
             let digest = attempt.map_or("", |attempt| &attempt.request.digest);
-            self.counters.ran(id.as_str(), digest);
+            self.counters.record_run(id.as_str(), digest);
         }
         step
     }
@@ -204,7 +204,7 @@
         let mut core: MutexGuard<'_, Core> = self.core.lock();
         for change in progress {
             if change.state == Stage::Finished {
-                self.counters.finished();
+                self.counters.record_finished();
             }
             let status = Status {
                 state: change.state,
@@ -214,12 +214,12 @@
         }
     }
 
-    /// Waits for work, or for a while.
-    pub(super) async fn work(&self) {
-        let _ = tokio::time::timeout(IDLE_REST, self.wake.notified()).await;
+    /// Waits for a request, at most for `IDLE_INTERVAL`.
+    pub(super) async fn wait_for_work(&self) {
+        let _ = tokio::time::timeout(IDLE_INTERVAL, self.wake.notified()).await;
     }
 
-    /// The load report in force, as old as the options say.
+    /// Returns the load report, delayed by `load_lag`.
     pub(super) fn load(&self) -> Load {
         let now = self.now();
         let lag = self.options.reports.load_lag;
@@ -227,49 +227,53 @@
         if lag.is_zero() {
             return core.model.load();
         }
-        core.report(now);
-        let aged = core.reports.iter().rev().find(|(at, _)| now - *at >= lag);
-        aged.map(|(_, load)| load.clone()).unwrap_or_default()
+        core.record_history(now);
+        let visible = core
+            .load_history
+            .iter()
+            .rev()
+            .find(|(at, _)| now - *at >= lag);
+        visible.map(|(_, load)| load.clone()).unwrap_or_default()
     }
 
-    /// Cache events after `seq`, late and with gaps as the options say.
+    /// Returns cache events after `after`, delayed and dropped as configured.
     pub(super) fn cache_events(&self, after: u64) -> CacheEvents {
         let now = self.now();
         let reports = &self.options.reports;
         let core = self.core.lock();
         let (events, last) = core.model.cache_events(after);
-        let visible = match reports.cache_lag {
+        let last_visible = match reports.cache_lag {
             Duration::ZERO => last,
-            lag => core.mark_before(now, lag),
+            lag => core.last_event_before(now, lag),
         };
-        let kept = |seq: u64| reports.lose_every == 0 || !seq.is_multiple_of(reports.lose_every);
+        let is_kept = |seq: u64| reports.lose_every == 0 || !seq.is_multiple_of(reports.lose_every);
         CacheEvents {
             boot: self.boot,
-            last: visible,
+            last: last_visible,
             events: events
-                .filter(|event| event.seq <= visible && kept(event.seq))
+                .filter(|event| event.seq <= last_visible && is_kept(event.seq))
                 .cloned()
                 .collect(),
         }
     }
 }
 
-/// An attempt that was never sent, and a digest that is no prompt's.
-fn made_up(id: &AttemptId) -> (AttemptId, String) {
+/// Returns the identifier of an attempt that doesn't exist, and a digest of no prompt.
+fn fabricated_attempt(id: &AttemptId) -> (AttemptId, String) {
     let name = format!("crossed-{id}");
     let digest = digest::hex(name.as_bytes());
     (AttemptId::new(name), digest)
 }
 
 impl Core {
-    fn open(&mut self, id: &AttemptId, form: Form) {
+    fn open(&mut self, id: &AttemptId, api: Api) {
         let attempt = self.model.attempt(id);
         let status = Status {
             state: attempt.map_or(Stage::NeverSeen, |attempt| attempt.state),
             tokens: 0,
         };
         let status = watch::channel(status).0;
-        self.channels.insert(id.clone(), Channel { status, form });
+        self.channels.insert(id.clone(), Channel { status, api });
         if self.channels.len() > 2 * self.model.options().ended_limit {
             let model = &self.model;
             self.channels.retain(|id, _| model.attempt(id).is_some());
@@ -283,12 +287,12 @@
             id: id.clone(),
             digest: attempt.request.digest.clone(),
             prompt_tokens: attempt.request.prompt_tokens,
-            form: channel.form,
+            api: channel.api,
             status: channel.status.subscribe(),
         })
     }
 
-    /// Shows a change to the attempt's streams; an end is never taken back.
+    /// Publishes a status to the attempt's streams, unless the attempt has ended.
     fn publish(&mut self, id: &AttemptId, status: Status) {
         let Some(channel) = self.channels.get(id) else {
             return;
@@ -302,28 +306,29 @@
         });
     }
 
-    /// Keeps what late reports need.
-    fn report(&mut self, now: Moment) {
-        let due = |last: Option<Moment>| last.is_none_or(|at| now - at >= IDLE_REST);
-        if due(self.reports.back().map(|(at, _)| *at)) {
+    /// Appends the current load and cache event number to the histories.
+    fn record_history(&mut self, now: Moment) {
+        let is_due = |last: Option<Moment>| last.is_none_or(|at| now - at >= IDLE_INTERVAL);
+        if is_due(self.load_history.back().map(|(at, _)| *at)) {
             let load = self.model.load();
-            self.reports.push_back((now, load));
+            self.load_history.push_back((now, load));
         }
-        if due(self.cache_marks.back().map(|(at, _)| *at)) {
+        if is_due(self.cache_history.back().map(|(at, _)| *at)) {
             let last = self.model.cache_events(u64::MAX).1;
-            self.cache_marks.push_back((now, last));
+            self.cache_history.push_back((now, last));
         }
-        if self.reports.len() > REPORT_LIMIT {
-            self.reports.pop_front();
+        if self.load_history.len() > MAX_HISTORY_LENGTH {
+            self.load_history.pop_front();
         }
-        if self.cache_marks.len() > REPORT_LIMIT {
-            self.cache_marks.pop_front();
+        if self.cache_history.len() > MAX_HISTORY_LENGTH {
+            self.cache_history.pop_front();
         }
     }
 
-    fn mark_before(&self, now: Moment, lag: Duration) -> u64 {
-        let marks = self.cache_marks.iter().rev();
-        marks
+    /// Returns the number of the last cache event that is at least `lag` old.
+    fn last_event_before(&self, now: Moment, lag: Duration) -> u64 {
+        let history = self.cache_history.iter().rev();
+        history
             .filter(|(at, _)| now - *at >= lag)
             .map(|(_, last)| *last)
             .next()
@@ -338,8 +343,8 @@
     }
 
     fn counts(&self) -> Counts {
-        let mut counts = self.counters.read();
-        self.with(|model| {
+        let mut counts = self.counters.snapshot();
+        self.with_model(|model| {
             let load = model.load();
             counts.memory_used_tokens = load.memory_used_tokens;
             counts.running = load.running;
--- a/crates/kumquatdrum_testing/src/engine/wire.rs
+++ b/crates/kumquatdrum_testing/src/engine/wire.rs
@@ -1,4 +1,4 @@
-//! The engine protocol's messages.
+//! Messages of the engine protocol.
 
 use kumquatdrum_types::BootId;
 use serde::{Deserialize, Serialize};
@@ -7,17 +7,17 @@
 use crate::model::{Event, Hold, Stage};
 use crate::prompt;
 
-/// Which of the two completion interfaces an attempt uses.
+/// The completion interface that an attempt uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum Api {
     /// `/v1/completions`
     Text,
     /// `/v1/chat/completions`
     Chat,
 }
 
-impl Form {
-    /// The event of one token.
+impl Api {
+    /// Renders the event of one token.
     pub(super) fn token(self, id: &str, digest: &str, index: u32) -> String {
         let text = prompt::token(digest, index);
         let choice = match self {
@@ -27,7 +27,7 @@
         event(Some(index), &json!({"id": id, "choices": [choice]}))
     }
 
-    /// The events of a whole answer's end.
+    /// Renders the events that end a complete answer.
     pub(super) fn end(self, id: &str, prompt_tokens: u64, tokens: u32) -> String {
         let choice = match self {
             Self::Text => json!({"index": 0, "text": "", "finish_reason": "stop"}),
@@ -42,14 +42,14 @@
     }
 }
 
-/// The event of an answer that ends without being whole.
+/// Renders the event that ends an incomplete answer.
 pub(super) fn failure(id: &str, state: Stage) -> String {
     let code = match state {
         Stage::Cancelled => "cancelled",
         _ => "deadline",
     };
     let error =
-        json!({"code": code, "message": "the attempt has ended before its answer was whole"});
+        json!({"code": code, "message": "the attempt ended before its answer was complete"});
     event(None, &json!({"id": id, "error": error}))
 }
 
@@ -60,12 +60,12 @@
     }
 }
 
-/// An error body.
+/// Builds an error body.
 pub(super) fn error(code: &str, started: bool, message: &str) -> Value {
     json!({"error": {"code": code, "started": started, "message": message}})
 }
 
-/// An attempt as `GET /v1/attempts` shows it.
+/// An attempt as `GET /v1/attempts` returns it.
 #[derive(Debug, Serialize)]
 pub(super) struct AttemptState {
     pub(super) id: String,
@@ -76,7 +76,7 @@
     pub(super) owner: String,
 }
 
-/// What an engine holds for an owner.
+/// Attempts and memory that an engine holds for an owner.
 #[derive(Debug, Serialize)]
 pub(super) struct Holdings {
     pub(super) boot: BootId,
@@ -85,16 +85,16 @@
     pub(super) kv: Vec<Hold>,
 }
 
-/// Cache events after a number.
+/// Response of `GET /v1/cache/events`.
 #[derive(Debug, Serialize)]
 pub(super) struct CacheEvents {
     pub(super) boot: BootId,
-    /// The number of the last event published, also where it was lost.
+    /// Number of the last published event, even if that event was dropped.
     pub(super) last: u64,
     pub(super) events: Vec<Event>,
 }
 
-/// A memory reservation.
+/// Body of `POST /v1/reservations`.
 #[derive(Debug, Deserialize)]
 pub(super) struct Reservation {
     pub(super) id: String,
--- a/crates/kumquatdrum_testing/src/fault.rs
+++ b/crates/kumquatdrum_testing/src/fault.rs
@@ -1,69 +1,70 @@
-//! Faults that a stand-in is ordered to show.
+//! Faults that can be injected into a stand-in.
 
 use std::time::Duration;
 
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// An order to fail in one way.
+/// A fault to inject.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// Stop abruptly: connections are reset, new ones refused. A dead stand-in stays dead.
+    /// Stop abruptly: open connections are reset, new ones refused. It can't be undone.
     Die,
-    /// Stand still as a stopped process does.
+    /// Stop all work and answer nothing, with connections open.
     Freeze,
-    /// Go on after a freeze.
+    /// Continue after a freeze.
     Thaw,
-    /// Let the connections that are open now carry nothing any more; new ones work.
+    /// Stop forwarding bytes on the open connections; new ones work.
     SilenceOpen,
-    /// Begin the next `count` answers `ms` milliseconds late; the work itself isn't delayed.
+    /// Delay the next `count` answers by `ms` milliseconds; the run itself isn't delayed.
     Late {
-        /// Milliseconds.
+        /// Delay in milliseconds.
         ms: u64,
-        /// How many answers.
+        /// Number of answers.
         count: u32,
     },
     /// Answer the next `count` requests with another attempt's answer.
     Cross {
-        /// How many answers.
+        /// Number of answers.
         count: u32,
-        /// Whether the `x-attempt-id` header is the other attempt's too, or only the events.
+        /// Whether the `x-attempt-id` header also names the other attempt.
         header: bool,
     },
-    /// End the next `count` streams after some tokens, without the end marker.
+    /// End the next `count` streams after `after_tokens` tokens, without the end marker.
     Cut {
-        /// Tokens that still arrive.
+        /// Tokens sent before the cut.
         after_tokens: u32,
-        /// How many streams.
+        /// Number of streams.
         count: u32,
-        /// Whether the connection is broken off, or the body ends as if it were whole.
+        /// Whether the connection is reset, rather than the body ended normally.
         broken: bool,
     },
-    /// Lose the next `count` cancels: no answer comes.
+    /// Leave the next `count` cancels unanswered.
     LoseCancel {
-        /// How many cancels.
+        /// Number of cancels.
         count: u32,
-        /// Whether the cancel takes effect all the same.
+        /// Whether the cancel takes effect nevertheless.
         done: bool,
     },
-    /// Refuse the next `count` requests as full, with nothing run.
+    /// Refuse the next `count` requests as full, without running them.
     Refuse {
-        /// How many requests.
+        /// Number of requests.
         count: u32,
     },
     /// Run each request in part and answer 500, until `Heal`.
     Fail,
-    /// End all faults but death and silenced connections.
+    /// End all faults except `Die` and `SilenceOpen`.
     Heal,
 }
 
-/// The faults in force.
+/// The active faults.
 #[derive(Debug, Default)]
-pub struct Faults(Mutex<Orders>);
+pub struct Faults(Mutex<Active>);
 
+/// The fault parameters, each with the number of times that it still applies.
 #[derive(Debug, Default)]
-struct Orders {
+struct Active {
     late: (Duration, u32),
     cross: (bool, u32),
     cut: (Cut, u32),
@@ -72,22 +73,22 @@
     fail: bool,
 }
 
-/// Where and how a stream is cut.
+/// How a stream is cut.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Cut {
-    /// Tokens that still arrive.
+    /// Tokens sent before the cut.
     pub after_tokens: u32,
-    /// Whether the connection is broken off.
+    /// Whether the connection is reset.
     pub broken: bool,
 }
 
 impl Faults {
-    /// Puts a fault in force; the ones that concern the whole stand-in are the switch's.
+    /// Activates a fault; [`crate::process`] applies those that affect the whole stand-in.
     pub fn inject(&self, fault: &Fault) {
-        let mut orders = self.0.lock();
+        let mut active = self.0.lock();
         match *fault {
-            Fault::Late { ms, count } => orders.late = (Duration::from_millis(ms), count),
-            Fault::Cross { count, header } => orders.cross = (header, count),
+            Fault::Late { ms, count } => active.late = (Duration::from_millis(ms), count),
+            Fault::Cross { count, header } => active.cross = (header, count),
             Fault::Cut {
                 after_tokens,
                 count,
@@ -97,42 +98,42 @@
                     after_tokens,
                     broken,
                 };
-                orders.cut = (cut, count);
+                active.cut = (cut, count);
             }
-            Fault::LoseCancel { count, done } => orders.lose_cancel = (done, count),
-            Fault::Refuse { count } => orders.refuse = count,
-            Fault::Fail => orders.fail = true,
-            Fault::Heal => *orders = Orders::default(),
+            Fault::LoseCancel { count, done } => active.lose_cancel = (done, count),
+            Fault::Refuse { count } => active.refuse = count,
+            Fault::Fail => active.fail = true,
+            Fault::Heal => *active = Active::default(),
             Fault::Die | Fault::Freeze | Fault::Thaw | Fault::SilenceOpen => {}
         }
     }
 
-    /// The delay of this answer.
+    /// Returns the delay of the current answer.
     pub fn take_late(&self) -> Option<Duration> {
         take(&mut self.0.lock().late)
     }
 
-    /// Whether this answer is crossed, and whether its header is too.
+    /// Returns `Some` if the current answer is crossed, with `true` if its header is crossed too.
     pub fn take_cross(&self) -> Option<bool> {
         take(&mut self.0.lock().cross)
     }
 
-    /// Where this stream is cut.
+    /// Returns how the current stream is cut.
     pub fn take_cut(&self) -> Option<Cut> {
         take(&mut self.0.lock().cut)
     }
 
-    /// Whether this cancel is lost, and whether it takes effect all the same.
+    /// Returns `Some` if the current cancel is lost, with `true` if it takes effect nevertheless.
     pub fn take_lose_cancel(&self) -> Option<bool> {
         take(&mut self.0.lock().lose_cancel)
     }
 
-    /// Whether this request is refused.
+    /// Whether the current request is refused.
     pub fn take_refuse(&self) -> bool {
-        let mut orders = self.0.lock();
-        let refused = orders.refuse > 0;
-        orders.refuse = orders.refuse.saturating_sub(1);
-        refused
+        let mut active = self.0.lock();
+        let is_refused = active.refuse > 0;
+        active.refuse = active.refuse.saturating_sub(1);
+        is_refused
     }
 
     /// Whether every request fails.
@@ -141,10 +142,11 @@
     }
 }
 
-fn take<T: Copy>(order: &mut (T, u32)) -> Option<T> {
-    if order.1 == 0 {
+/// Uses up one application of a fault.
+fn take<T: Copy>(fault: &mut (T, u32)) -> Option<T> {
+    if fault.1 == 0 {
         return None;
     }
-    order.1 -= 1;
-    Some(order.0)
+    fault.1 -= 1;
+    Some(fault.0)
 }
--- a/crates/kumquatdrum_testing/src/lib.rs
+++ b/crates/kumquatdrum_testing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for engines and plain services, for tests and the demo.
+//! Stand-ins for model engines and plain services, for tests and the demo.
 //!
 //! [`Engine`] is a model engine with continuous batching, chunked prefill, bounded KV memory and
-//! a prefix cache; [`Service`] is a plain service that counts what it ran. Both take faults by
-//! order, in process or over a control port. The protocol stands in `docs/ENGINE-PROTOCOL.md`.
+//! a prefix cache; [`Service`] is a plain service that counts its runs. Faults are injected into
+//! both by method calls or over a control port. `docs/ENGINE-PROTOCOL.md` describes the protocol.
 
 pub mod announcer;
 pub mod condition;
--- a/crates/kumquatdrum_testing/src/model.rs
+++ b/crates/kumquatdrum_testing/src/model.rs
@@ -1,7 +1,7 @@
-//! A small model engine as a pure state machine: no sockets, no clock.
+//! A model engine as a pure state machine, without sockets or a clock.
 //!
-//! Each step decodes one token for every request whose prompt is computed and spends the rest of
-//! the step's token budget on prompts, by priority and arrival. Memory is counted in tokens.
+//! Each step decodes one token for every request whose prefill is complete and spends the rest of
+//! its token budget on prefill, by priority and arrival. Memory is counted in tokens.
 
 mod attempt;
 mod cache;
@@ -14,4 +14,4 @@
 pub use kumquatdrum_types::exchange::Stage;
 pub use ledger::{Hold, HoldError};
 pub use options::Options;
-pub use scheduler::{Fate, Model, Progress, Rejection, Step};
+pub use scheduler::{Model, Progress, Rejection, Step, Summary};
--- a/crates/kumquatdrum_testing/src/model/attempt.rs
+++ b/crates/kumquatdrum_testing/src/model/attempt.rs
@@ -1,20 +1,20 @@
-//! One attempt of a request on an engine.
+//! Attempts of requests on an engine.
 
 use kumquatdrum_types::exchange::Stage;
 use kumquatdrum_types::{AttemptId, Moment};
 
-/// What a caller asks of an engine.
+/// A request submitted to an engine.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Unique over all requests; a known one never runs again.
+    /// Unique identifier; a known one is refused.
     pub id: AttemptId,
     /// The host that sent it.
     pub owner: String,
     /// The owner's attempt counter.
     pub counter: u64,
-    /// Lower goes first.
+    /// Scheduling priority; lower values run first.
     pub priority: u32,
-    /// The engine gives up at this moment.
+    /// Time at which the engine fails the attempt.
     pub deadline: Moment,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
@@ -22,28 +22,28 @@
     pub max_tokens: u32,
     /// SHA-256 of the prompt text, in hexadecimal.
     pub digest: String,
-    /// Names of the prompt's blocks, for the prefix cache.
+    /// Names of the prompt's blocks in the prefix cache.
     pub blocks: Vec<String>,
-    /// A memory reservation that the attempt takes over in place of memory of its own.
+    /// Reservation whose memory the attempt uses instead of allocating its own.
     pub reservation: Option<String>,
 }
 
-/// An attempt as the engine keeps it.
+/// State of an attempt.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// What was asked.
+    /// The submitted request.
     pub request: Request,
-    /// Where it stands.
+    /// Stage of the attempt.
     pub state: Stage,
     /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u64,
-    /// Prompt tokens computed so far, cached ones among them.
+    /// Prompt tokens computed so far, including cached ones.
     pub computed_tokens: u64,
-    /// Tokens of the answer so far.
+    /// Tokens of the answer generated so far.
     pub tokens: u32,
-    /// Whether it ever entered the batch.
+    /// Whether the attempt ever entered the batch.
     pub started: bool,
-    /// Memory held while it lives.
+    /// Memory allocated until the attempt ends.
     pub(super) held_tokens: u64,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Prompt tokens that still have to be computed.
+    /// Returns the number of prompt tokens still to be computed.
     pub fn remaining_prompt(&self) -> u64 {
         self.request
             .prompt_tokens
--- a/crates/kumquatdrum_testing/src/model/cache.rs
+++ b/crates/kumquatdrum_testing/src/model/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache: names of prompt blocks with their sizes, least recently used out first.
+//! The prefix cache: an LRU cache of prompt block names and sizes.
 
 use std::collections::btree_map::OccupiedEntry;
 use std::collections::{BTreeMap, VecDeque};
@@ -6,29 +6,29 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Events that stay readable.
-const EVENT_LIMIT: usize = 8_192;
+/// Number of latest events that stay readable.
+const MAX_EVENTS: usize = 8_192;
 
-/// What happened to a block.
+/// Change of a block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// The block is in the cache now.
+    /// The block was stored.
     Stored,
-    /// The block is no longer in the cache.
+    /// The block was evicted.
     Evicted,
 }
 
 /// One cache event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Grows by one with each event of one boot; a gap means lost events.
+    /// Sequence number within one boot; a gap means lost events.
     pub seq: u64,
-    /// What happened.
+    /// The change.
     pub op: Change,
     /// The block's chained name.
     pub prefix: String,
-    /// Tokens of the block.
+    /// Size of the block, in tokens.
     pub tokens: u64,
 }
 
@@ -37,9 +37,10 @@
     limit_tokens: u64,
     used_tokens: u64,
     blocks: IndexMap<String, Block>,
-    /// Names by their last use, the least recent first.
-    uses: BTreeMap<u64, String>,
-    clock: u64,
+    /// Block names in order of last use.
+    names_by_last_use: BTreeMap<u64, String>,
+    /// Counter of uses, the latest value.
+    last_use: u64,
     next_seq: u64,
     events: VecDeque<Event>,
 }
@@ -47,7 +48,8 @@
 #[derive(Debug)]
 struct Block {
     tokens: u64,
-    used_at: u64,
+    /// Value of the cache's counter at the last use.
+    last_used: u64,
 }
 
 impl Cache {
@@ -56,14 +58,14 @@
             limit_tokens,
             used_tokens: 0,
             blocks: IndexMap::new(),
-            uses: BTreeMap::new(),
-            clock: 0,
+            names_by_last_use: BTreeMap::new(),
+            last_use: 0,
             next_seq: 1,
             events: VecDeque::new(),
         }
     }
 
-    /// Tokens of the longest cached prefix; the blocks found count as used.
+    /// Returns the length of the longest cached prefix in tokens, and marks its blocks as used.
     pub(super) fn lookup(&mut self, names: &[String]) -> u64 {
         let mut tokens = 0;
         for name in names {
@@ -76,19 +78,22 @@
         tokens
     }
 
-    /// Stores a prompt's blocks, each of `tokens` tokens.
+    /// Stores a prompt's blocks, each of size `tokens`.
     pub(super) fn store(&mut self, names: &[String], tokens: u64) {
-        let begin = self.clock;
+        let latest_use = self.last_use;
         for name in names {
             if self.blocks.contains_key(name) {
                 self.touch(name);
                 continue;
             }
-            if !self.make_room(tokens, begin) {
+            if !self.evict_for(tokens, latest_use) {
                 return;
             }
             self.used_tokens += tokens;
-            let block = Block { tokens, used_at: 0 };
+            let block = Block {
+                tokens,
+                last_used: 0,
+            };
             self.blocks.insert(name.clone(), block);
             self.touch(name);
             self.record(Change::Stored, name.clone(), tokens);
@@ -99,19 +104,20 @@
         let Some(block) = self.blocks.get_mut(name) else {
             return;
         };
-        self.clock += 1;
-        self.uses.remove(&block.used_at);
-        block.used_at = self.clock;
-        self.uses.insert(self.clock, name.to_owned());
+        self.last_use += 1;
+        self.names_by_last_use.remove(&block.last_used);
+        block.last_used = self.last_use;
+        self.names_by_last_use
+            .insert(self.last_use, name.to_owned());
     }
 
-    /// Evicts blocks that were last used at `begin` or before, until there is room.
-    fn make_room(&mut self, tokens: u64, begin: u64) -> bool {
+    /// Evicts blocks last used at `latest_use` or before until `tokens` fit; false if they can't.
+    fn evict_for(&mut self, tokens: u64, latest_use: u64) -> bool {
         while self.used_tokens + tokens > self.limit_tokens {
             let oldest = self
-                .uses
+                .names_by_last_use
                 .first_entry()
-                .filter(|entry| *entry.key() <= begin);
+                .filter(|entry| *entry.key() <= latest_use);
             let Some(name) = oldest.map(OccupiedEntry::remove) else {
                 return false;
             };
@@ -134,7 +140,7 @@
             prefix,
             tokens,
         });
-        if self.events.len() > EVENT_LIMIT {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/kumquatdrum_testing/src/model/ledger.rs
+++ b/crates/kumquatdrum_testing/src/model/ledger.rs
@@ -1,4 +1,4 @@
-//! KV memory in tokens: what attempts, reservations and exported or imported KV hold of it.
+//! Accounts for the KV memory held by attempts, reservations and exported or imported KV.
 
 use std::time::Duration;
 
@@ -7,44 +7,44 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Memory held by name, apart from running attempts.
+/// Memory held under a name, independent of running attempts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
-    /// The name that frees it.
+    /// Name under which the memory is released.
     pub id: String,
-    /// The host that asked for it.
+    /// Host that requested the memory.
     pub owner: String,
-    /// Tokens held.
+    /// Amount of memory, in tokens.
     pub tokens: u64,
 }
 
-/// Why memory can't be held.
+/// Reason why memory can't be held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HoldError {
-    /// Not enough memory is free.
-    #[error("not enough memory is free")]
+    /// Too little free memory.
+    #[error("not enough free memory")]
     Full,
-    /// The name holds memory already, of another size or owner.
-    #[error("the name is taken")]
+    /// The name already holds memory of another size or owner.
+    #[error("the name already holds memory of another size or owner")]
     Taken,
-    /// No such attempt or name.
-    #[error("no such attempt or name")]
+    /// Unknown attempt or name.
+    #[error("unknown attempt or name")]
     Unknown,
 }
 
 #[derive(Debug)]
 pub(super) struct Ledger {
-    limit: u64,
-    attempts: u64,
+    limit_tokens: u64,
+    attempt_tokens: u64,
     reservations: IndexMap<String, (Hold, Moment)>,
     kv: IndexMap<String, Hold>,
 }
 
 impl Ledger {
-    pub(super) fn new(limit: u64) -> Self {
+    pub(super) fn new(limit_tokens: u64) -> Self {
         Self {
-            limit,
-            attempts: 0,
+            limit_tokens,
+            attempt_tokens: 0,
             reservations: IndexMap::new(),
             kv: IndexMap::new(),
         }
@@ -57,22 +57,24 @@
             .map(|(hold, _)| hold.tokens)
             .sum();
         let stored: u64 = self.kv.values().map(|hold| hold.tokens).sum();
-        self.attempts + reserved + stored
+        self.attempt_tokens + reserved + stored
     }
 
     pub(super) fn has_room(&self, tokens: u64) -> bool {
-        self.used() + tokens <= self.limit
+        self.used() + tokens <= self.limit_tokens
     }
 
-    pub(super) fn take(&mut self, tokens: u64) {
-        self.attempts += tokens;
+    /// Allocates memory to attempts.
+    pub(super) fn allocate(&mut self, tokens: u64) {
+        self.attempt_tokens += tokens;
     }
 
-    pub(super) fn give_back(&mut self, tokens: u64) {
-        self.attempts -= tokens;
+    /// Frees memory of attempts.
+    pub(super) fn free(&mut self, tokens: u64) {
+        self.attempt_tokens -= tokens;
     }
 
-    /// Reserves memory until `now + ttl`; the same reservation again renews it.
+    /// Reserves memory until `now + ttl`; an identical reservation is renewed.
     pub(super) fn reserve(
         &mut self,
         now: Moment,
@@ -89,14 +91,16 @@
         Ok(())
     }
 
-    /// Frees a reservation; the tokens that it held.
+    /// Frees a reservation and returns its tokens.
     pub(super) fn release(&mut self, id: &str) -> Option<u64> {
         let (hold, _) = self.reservations.swap_remove(id)?;
         Some(hold.tokens)
     }
 
+    /// Drops expired reservations.
     pub(super) fn expire(&mut self, now: Moment) {
-        self.reservations.retain(|_, (_, until)| *until > now);
+        self.reservations
+            .retain(|_, (_, expires_at)| *expires_at > now);
     }
 
     pub(super) fn store_kv(&mut self, hold: Hold) -> Result<(), HoldError> {
--- a/crates/kumquatdrum_testing/src/model/options.rs
+++ b/crates/kumquatdrum_testing/src/model/options.rs
@@ -1,29 +1,29 @@
-//! Sizes and step costs of an engine.
+//! Sizes and step costs of an engine model.
 
 use std::time::Duration;
 
-/// Sizes and step costs of an engine.
+/// Sizes and step costs of an engine model.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// KV memory, in tokens.
+    /// Size of the KV memory, in tokens.
     pub memory_tokens: u64,
-    /// The most requests of one batch.
+    /// Maximum number of requests in the batch.
     pub batch_limit: u32,
-    /// The most requests that wait for the batch; beyond it the engine refuses as full.
+    /// Maximum number of waiting requests; beyond it requests are refused as full.
     pub queue_limit: u32,
-    /// Tokens computed in one step, decoded ones among them.
+    /// Token budget of one step for decode and prefill.
     pub chunk_tokens: u64,
     /// Fixed cost of a step.
     pub step: Duration,
     /// Cost of one prompt token.
     pub prefill_token: Duration,
-    /// Cost of one decoded token, for each request of the batch.
+    /// Cost of one decoded token.
     pub decode_token: Duration,
-    /// Prefix cache, in tokens; it is besides the KV memory.
+    /// Size of the prefix cache, in tokens; it takes no KV memory.
     pub cache_tokens: u64,
-    /// Ended attempts that stay readable.
+    /// Number of ended attempts that stay readable.
     pub ended_limit: usize,
-    /// Attempt identifiers that are remembered, so that none runs twice.
+    /// Number of attempt identifiers remembered to refuse duplicates.
     pub known_limit: usize,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Options {
-    /// Prompt tokens computed a second when a step computes nothing else.
+    /// Returns the prefill rate of an engine that decodes nothing.
     ///
     /// ```
     /// let options = kumquatdrum_testing::model::Options::default();
--- a/crates/kumquatdrum_testing/src/model/scheduler.rs
+++ b/crates/kumquatdrum_testing/src/model/scheduler.rs
@@ -1,4 +1,4 @@
-//! The engine's batch: admission, chunked prefill, decoding, cancels and deadlines.
+//! Schedules the batch: admission, chunked prefill, decode, cancels and deadlines.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,55 +13,55 @@
 use super::ledger::{Hold, HoldError, Ledger};
 use super::options::Options;
 
-/// Why an engine takes no request. In every case nothing of it ran by this call.
+/// Reason why a request is refused without being run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Rejection {
-    /// The identifier is known: what became of the attempt.
-    #[error("the attempt is known")]
-    Known(Fate),
-    /// Too many requests wait.
+    /// An attempt with this identifier exists.
+    #[error("the attempt identifier was used before")]
+    Known(Summary),
+    /// Too many requests are waiting.
     #[error("the queue is full")]
     Full,
-    /// The request could never fit into the memory.
+    /// The request needs more memory than the engine has.
     #[error("the request exceeds the engine's memory")]
     TooLong,
-    /// The reservation named is not held.
+    /// The reservation is unknown or has expired.
     #[error("the reservation is unknown or has expired")]
     NoReservation,
 }
 
-/// What is remembered of an attempt, also once it is no longer kept.
+/// Stage of an attempt, remembered after its details are discarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fate {
-    /// Where it stands.
+pub struct Summary {
+    /// Stage of the attempt.
     pub state: Stage,
-    /// Whether it ever entered the batch.
+    /// Whether the attempt ever entered the batch.
     pub started: bool,
 }
 
-/// What one step changed in an attempt.
+/// Progress of an attempt in one step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Progress {
-    /// The attempt.
+    /// Identifier of the attempt.
     pub id: AttemptId,
-    /// Where it stands after the step.
+    /// Stage after the step.
     pub state: Stage,
-    /// Tokens of its answer after the step.
+    /// Tokens of the answer after the step.
     pub tokens: u32,
 }
 
-/// A step: its cost, and what it changed once that time has passed.
+/// A step, whose progress counts once its cost has elapsed.
 #[derive(Debug, Default)]
 pub struct Step {
-    /// How long the step takes; zero where there was nothing to compute.
+    /// Duration of the step; zero if nothing was computed.
     pub cost: Duration,
-    /// The attempts that changed.
+    /// Attempts that progressed or ended.
     pub progress: Vec<Progress>,
-    /// The attempts that entered the batch, which is when they count as run.
+    /// Attempts that entered the batch, and so count as run.
     pub started: Vec<AttemptId>,
 }
 
-/// The engine.
+/// State of an engine.
 ///
 /// ```
 /// use kumquatdrum_testing::model::{Model, Options, Request, Stage};
@@ -92,15 +92,17 @@
     waiting: Vec<AttemptId>,
     running: Vec<AttemptId>,
     ended: VecDeque<AttemptId>,
-    known: IndexMap<AttemptId, Fate>,
+    /// Summaries by attempt identifier, to refuse duplicates.
+    known: IndexMap<AttemptId, Summary>,
     ledger: Ledger,
     cache: Cache,
-    seen: IndexMap<String, u64>,
-    reports: u64,
+    /// Highest attempt counter by owner.
+    counters: IndexMap<String, u64>,
+    report_sequence: u64,
 }
 
 impl Model {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(options: Options) -> Self {
         Self {
             ledger: Ledger::new(options.memory_tokens),
@@ -111,67 +113,69 @@
             running: Vec::new(),
             ended: VecDeque::new(),
             known: IndexMap::new(),
-            seen: IndexMap::new(),
-            reports: 0,
+            counters: IndexMap::new(),
+            report_sequence: 0,
         }
     }
 
-    /// Sizes and costs.
+    /// Returns sizes and step costs.
     pub fn options(&self) -> &Options {
         &self.options
     }
 
-    /// Takes a request into the queue.
+    /// Adds a request to the queue.
     pub fn submit(&mut self, now: Moment, request: Request) -> Result<(), Rejection> {
         self.ledger.expire(now);
-        // A refused request adds nothing to the load, so that reports include it in full.
-        self.note_owner(&request);
-        let fate = self.fate(&request.id);
+        // A refused request adds no load, so the load report accounts for it too.
+        self.record_counter(&request);
+        let summary = self.summary(&request.id);
         let own_tokens = request.prompt_tokens + u64::from(request.max_tokens);
         match &request.reservation {
-            _ if fate.state != Stage::NeverSeen => return Err(Rejection::Known(fate)),
+            _ if summary.state != Stage::NeverSeen => return Err(Rejection::Known(summary)),
             None if own_tokens > self.options.memory_tokens => return Err(Rejection::TooLong),
             _ if self.waiting.len() >= self.options.queue_limit as usize => {
                 return Err(Rejection::Full);
             }
             _ => {}
         }
-        let held = match &request.reservation {
+        let reserved = match &request.reservation {
             Some(id) => self.take_over(id)?,
             None => 0,
         };
         self.remember(request.id.clone(), Stage::Waiting, false);
         self.enqueue(&request);
         self.attempts
-            .insert(request.id.clone(), Attempt::new(request, held));
+            .insert(request.id.clone(), Attempt::new(request, reserved));
         Ok(())
     }
 
+    /// Converts a reservation into memory of an attempt.
     fn take_over(&mut self, reservation: &str) -> Result<u64, Rejection> {
         let tokens = self
             .ledger
             .release(reservation)
             .ok_or(Rejection::NoReservation)?;
-        self.ledger.take(tokens);
+        self.ledger.allocate(tokens);
         Ok(tokens)
     }
 
-    fn note_owner(&mut self, request: &Request) {
-        let highest = self.seen.entry(request.owner.clone()).or_default();
+    /// Updates the highest attempt counter of the request's owner.
+    fn record_counter(&mut self, request: &Request) {
+        let highest = self.counters.entry(request.owner.clone()).or_default();
         *highest = request.counter.max(*highest);
     }
 
-    /// Keeps the queue by priority, then arrival.
+    /// Inserts a request into the queue, ordered by priority, then arrival.
     fn enqueue(&mut self, request: &Request) {
-        let place = self
+        let position = self
             .waiting
             .partition_point(|id| self.attempts[id].request.priority <= request.priority);
-        self.waiting.insert(place, request.id.clone());
+        self.waiting.insert(position, request.id.clone());
     }
 
     fn remember(&mut self, id: AttemptId, state: Stage, started: bool) {
-        self.known.insert(id, Fate { state, started });
-        // The older half goes at once, as removing one by one would move all the others.
+        self.known.insert(id, Summary { state, started });
+        // Dropping the older half at once amortises the cost of moving the entries.
         if self.known.len() > 2 * self.options.known_limit {
             self.known.drain(..self.options.known_limit);
         }
@@ -181,36 +185,37 @@
     pub fn step(&mut self, now: Moment) -> Step {
         self.ledger.expire(now);
         let mut step = Step::default();
-        self.give_up_late(now, &mut step);
-        self.fill_batch(&mut step);
+        self.fail_expired(now, &mut step);
+        self.admit_waiting(&mut step);
         if self.running.is_empty() {
             return step;
         }
         let decoded = self.decode(&mut step);
         let computed = self.prefill(self.options.chunk_tokens.saturating_sub(decoded), &mut step);
-        self.retire(&step);
+        self.end_finished(&step);
         step.cost = self.options.step
-            + scale(self.options.decode_token, decoded)
-            + scale(self.options.prefill_token, computed);
+            + multiply(self.options.decode_token, decoded)
+            + multiply(self.options.prefill_token, computed);
         step
     }
 
-    fn give_up_late(&mut self, now: Moment, step: &mut Step) {
-        let late: Vec<AttemptId> = self
+    /// Fails the attempts whose deadline has passed.
+    fn fail_expired(&mut self, now: Moment, step: &mut Step) {
+        let expired: Vec<AttemptId> = self
             .waiting
             .iter()
             .chain(&self.running)
             .filter(|id| self.attempts[*id].request.deadline <= now)
             .cloned()
             .collect();
-        for id in late {
+        for id in expired {
             self.end(&id, Stage::Failed);
             step.progress.push(self.progress(&id));
         }
     }
 
-    /// Admits by priority and arrival; the first that doesn't fit waits, and all behind it.
-    fn fill_batch(&mut self, step: &mut Step) {
+    /// Admits waiting requests in queue order until one doesn't fit.
+    fn admit_waiting(&mut self, step: &mut Step) {
         while self.running.len() < self.options.batch_limit as usize {
             let Some(id) = self.waiting.first().cloned() else {
                 return;
@@ -223,13 +228,13 @@
             if !self.ledger.has_room(needed) {
                 return;
             }
-            self.ledger.take(needed);
+            self.ledger.allocate(needed);
             attempt.held_tokens += needed;
             attempt.state = Stage::Running;
             attempt.started = true;
-            // At least one token is computed, so that the first answer token follows from it.
-            let most = attempt.request.prompt_tokens.saturating_sub(1);
-            attempt.cached_tokens = self.cache.lookup(&attempt.request.blocks).min(most);
+            // At least one prompt token is computed, which yields the first token of the answer.
+            let max_cached = attempt.request.prompt_tokens.saturating_sub(1);
+            attempt.cached_tokens = self.cache.lookup(&attempt.request.blocks).min(max_cached);
             attempt.computed_tokens = attempt.cached_tokens;
             self.waiting.remove(0);
             step.started.push(id.clone());
@@ -237,6 +242,7 @@
         }
     }
 
+    /// Decodes one token for each request whose prefill is complete; returns the token count.
     fn decode(&mut self, step: &mut Step) -> u64 {
         let mut decoded = 0;
         for id in &self.running {
@@ -245,36 +251,38 @@
                 continue;
             }
             decoded += 1;
-            step.progress.push(emit(attempt));
+            step.progress.push(emit_token(attempt));
         }
         decoded
     }
 
-    /// Spends the budget on prompts; a prompt's last chunk yields the first token of its answer.
+    /// Spends the budget on prompts and returns the tokens computed.
+    ///
+    /// A prompt's last chunk yields the first token of its answer.
     fn prefill(&mut self, budget: u64, step: &mut Step) -> u64 {
         let mut order: Vec<AttemptId> = self.running.clone();
         order.sort_by_key(|id| self.attempts[id].request.priority);
-        let mut left = budget.max(1);
+        let mut remaining_budget = budget.max(1);
         for id in order {
             let attempt = &mut self.attempts[&id];
             let remaining = attempt.remaining_prompt();
-            let chunk = remaining.min(left);
+            let chunk = remaining.min(remaining_budget);
             if chunk == 0 {
                 continue;
             }
-            left -= chunk;
+            remaining_budget -= chunk;
             attempt.computed_tokens += chunk;
             if chunk == remaining {
-                step.progress.push(emit(attempt));
+                step.progress.push(emit_token(attempt));
                 let count = attempt.request.blocks.len().max(1) as u64;
-                let each = attempt.request.prompt_tokens.div_ceil(count);
-                self.cache.store(&attempt.request.blocks, each);
+                let block_tokens = attempt.request.prompt_tokens.div_ceil(count);
+                self.cache.store(&attempt.request.blocks, block_tokens);
             }
         }
-        budget.max(1) - left
+        budget.max(1) - remaining_budget
     }
 
-    fn retire(&mut self, step: &Step) {
+    fn end_finished(&mut self, step: &Step) {
         for progress in &step.progress {
             if progress.state == Stage::Finished {
                 self.end(&progress.id, Stage::Finished);
@@ -294,10 +302,9 @@
     fn end(&mut self, id: &AttemptId, state: Stage) {
         let attempt = &mut self.attempts[id];
         attempt.state = state;
-        // Ended attempts are kept for a while; a long prompt's block names are large.
+        // The block names of a long prompt are large, and ended attempts are kept for a while.
         attempt.request.blocks = Vec::new();
-        self.ledger
-            .give_back(std::mem::take(&mut attempt.held_tokens));
+        self.ledger.free(std::mem::take(&mut attempt.held_tokens));
         self.waiting.retain(|other| other != id);
         self.running.retain(|other| other != id);
         let started = attempt.started;
@@ -309,9 +316,9 @@
         }
     }
 
-    /// Cancels an attempt; an unknown one is remembered, so that it is refused if it comes late.
+    /// Cancels an attempt; an unknown identifier is remembered, so that a later request is refused.
     pub fn cancel(&mut self, id: &AttemptId) -> Stage {
-        match self.fate(id).state {
+        match self.summary(id).state {
             Stage::NeverSeen => {
                 self.remember(id.clone(), Stage::Cancelled, false);
                 Stage::Cancelled
@@ -324,7 +331,7 @@
         }
     }
 
-    /// Takes an attempt and fails it at once, as if it had run in part.
+    /// Submits a request and fails it at once, as if it had run in part.
     pub fn fail(&mut self, now: Moment, request: Request) -> Result<(), Rejection> {
         let id = request.id.clone();
         self.submit(now, request)?;
@@ -333,13 +340,13 @@
         Ok(())
     }
 
-    /// What became of an attempt.
-    pub fn fate(&self, id: &AttemptId) -> Fate {
-        let kept = self.attempts.get(id).map(|attempt| Fate {
+    /// Returns the stage of an attempt.
+    pub fn summary(&self, id: &AttemptId) -> Summary {
+        let kept = self.attempts.get(id).map(|attempt| Summary {
             state: attempt.state,
             started: attempt.started,
         });
-        let never_seen = Fate {
+        let never_seen = Summary {
             state: Stage::NeverSeen,
             started: false,
         };
@@ -347,39 +354,39 @@
             .unwrap_or(never_seen)
     }
 
-    /// An attempt that still runs or is still kept.
+    /// Returns an attempt that is live or still kept.
     pub fn attempt(&self, id: &AttemptId) -> Option<&Attempt> {
         self.attempts.get(id)
     }
 
-    /// Attempts that wait or run.
+    /// Returns the attempts that are waiting or running.
     pub fn live(&self) -> impl Iterator<Item = &Attempt> {
         let ids = self.running.iter().chain(&self.waiting);
         ids.map(|id| &self.attempts[id])
     }
 
-    /// Whether nothing waits or runs.
+    /// Whether no attempt is waiting or running.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.waiting.is_empty()
     }
 
-    /// KV memory in use, in tokens.
+    /// Returns the KV memory in use, in tokens.
     pub fn memory_used(&self) -> u64 {
         self.ledger.used()
     }
 
-    /// Reserves memory until `now + ttl`; the same reservation again renews it.
+    /// Reserves memory until `now + ttl`; an identical reservation is renewed.
     pub fn reserve(&mut self, now: Moment, hold: Hold, ttl: Duration) -> Result<(), HoldError> {
         self.ledger.expire(now);
         self.ledger.reserve(now, hold, ttl)
     }
 
-    /// Frees a reservation; false where none is held.
+    /// Frees a reservation; false if the name is unknown.
     pub fn release(&mut self, id: &str) -> bool {
         self.ledger.release(id).is_some()
     }
 
-    /// Reservations held.
+    /// Returns the reservations.
     pub fn reservations(&self) -> impl Iterator<Item = &Hold> {
         self.ledger.reservations()
     }
@@ -396,37 +403,37 @@
         Ok(hold)
     }
 
-    /// Takes in KV of another engine until it is dropped.
+    /// Imports KV of another engine, which is kept until it is dropped.
     pub fn import_kv(&mut self, hold: Hold) -> Result<(), HoldError> {
         self.ledger.store_kv(hold)
     }
 
-    /// Drops exported or imported KV; false where none is held.
+    /// Drops exported or imported KV; false if the name is unknown.
     pub fn drop_kv(&mut self, id: &str) -> bool {
         self.ledger.drop_kv(id).is_some()
     }
 
-    /// Exported and imported KV.
+    /// Returns exported and imported KV.
     pub fn kv(&self) -> impl Iterator<Item = &Hold> {
         self.ledger.kv()
     }
 
-    /// Cache events later than `seq`, oldest first, and the number of the last one.
+    /// Returns the cache events after `seq`, oldest first, and the number of the last event.
     pub fn cache_events(&self, seq: u64) -> (impl Iterator<Item = &Event>, u64) {
         (self.cache.events_after(seq), self.cache.last_seq())
     }
 
-    /// A load report of this moment.
+    /// Returns a report of the current load.
     pub fn load(&mut self) -> Load {
-        self.reports += 1;
+        self.report_sequence += 1;
         Load {
-            sequence: self.reports,
+            sequence: self.report_sequence,
             running: self.running.len() as u32,
             waiting: self.waiting.len() as u32,
             prefill_tokens: self.live().map(Attempt::remaining_prompt).sum(),
             memory_used_tokens: self.ledger.used(),
             seen: self
-                .seen
+                .counters
                 .iter()
                 .map(|(owner, counter)| (owner.clone(), *counter))
                 .collect(),
@@ -434,7 +441,7 @@
     }
 }
 
-fn emit(attempt: &mut Attempt) -> Progress {
+fn emit_token(attempt: &mut Attempt) -> Progress {
     attempt.tokens += 1;
     let state = if attempt.tokens >= attempt.request.max_tokens {
         Stage::Finished
@@ -448,6 +455,6 @@
     }
 }
 
-fn scale(cost: Duration, count: u64) -> Duration {
+fn multiply(cost: Duration, count: u64) -> Duration {
     Duration::from_nanos((cost.as_nanos() as u64).saturating_mul(count))
 }
--- a/crates/kumquatdrum_testing/src/process.rs
+++ b/crates/kumquatdrum_testing/src/process.rs
@@ -1,4 +1,4 @@
-//! What every stand-in consists of: a server behind a relay, a control port and an announcer.
+//! The parts shared by all stand-ins: a server behind a relay, a control port and an announcer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,27 +14,27 @@
 use crate::relay::{Connections, Relay};
 use crate::server::{Error, Server, loopback};
 
-/// Who a stand-in is and where it listens.
+/// Name, service, addresses and announcements of a stand-in.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Its name, stable over restarts.
+    /// Endpoint name, stable across restarts.
     pub name: EndpointId,
-    /// The service that it serves.
+    /// Service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Where it stands.
+    /// Data centre of the endpoint.
     pub data_centre: DataCentre,
-    /// Where it listens; port 0 is any free port.
+    /// Listening address; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Where its control port listens; port 0 is any free port.
+    /// Listening address of the control port; port 0 picks a free port.
     pub control: SocketAddr,
-    /// Its life; the wall clock's microseconds where absent.
+    /// Incarnation of the stand-in; the wall clock in microseconds if `None`.
     pub boot: Option<BootId>,
-    /// To whom it announces itself.
+    /// How the stand-in is announced.
     pub announcer: announcer::Options,
 }
 
 impl Options {
-    /// A stand-in on a free loopback port that announces itself to no one.
+    /// Returns options for a stand-in on a free loopback port that isn't announced.
     ///
     /// ```
     /// let options = kumquatdrum_testing::process::Options::new("e1", "formula-llm", "hall-raatuse");
@@ -52,8 +52,9 @@
         }
     }
 
+    /// Returns the incarnation to announce.
     pub(crate) fn boot(&self) -> BootId {
-        self.boot.unwrap_or_else(wall_clock)
+        self.boot.unwrap_or_else(wall_clock_boot)
     }
 
     pub(crate) fn announcement(
@@ -75,7 +76,7 @@
     }
 }
 
-fn wall_clock() -> BootId {
+fn wall_clock_boot() -> BootId {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     BootId(since.map_or(0, |elapsed| elapsed.as_micros() as u64))
 }
@@ -95,7 +96,7 @@
     pub async fn start(
         options: &Options,
         switch: Arc<Switch>,
-        controlled: Arc<dyn Control>,
+        target: Arc<dyn Control>,
         connections: Arc<Connections>,
         mount: impl FnOnce(Rocket<Build>) -> Rocket<Build>,
         announcement: impl FnOnce(SocketAddr) -> Box<announcer::Source>,
@@ -103,7 +104,7 @@
         let server = Server::start(loopback(), mount).await?;
         let relay =
             Relay::start(options.listen, server.address, switch.gate(), connections).await?;
-        let control = control::start(options.control, controlled).await?;
+        let control = control::start(options.control, target).await?;
         let source = announcement(relay.address);
         let announcer = Announcer::start(options.announcer.clone(), source, switch.gate());
         Ok(Self {
@@ -115,27 +116,27 @@
         })
     }
 
-    /// Where it takes calls.
+    /// Returns the address that serves requests.
     pub fn address(&self) -> SocketAddr {
         self.relay.address
     }
 
-    /// Where its control port listens.
+    /// Returns the address of the control port.
     pub fn control_address(&self) -> SocketAddr {
         self.control.address
     }
 
-    /// Its announcer.
+    /// Returns the announcer.
     pub fn announcer(&self) -> &Announcer {
         &self.announcer
     }
 
-    /// Watches its condition.
+    /// Returns a gate that watches the stand-in's condition.
     pub fn gate(&self) -> Gate {
         self.switch.gate()
     }
 
-    /// Stops everything and joins all tasks.
+    /// Stops and joins all tasks.
     pub async fn shutdown(self) {
         self.switch.set(Mode::Dead);
         self.relay.join().await;
@@ -145,7 +146,7 @@
     }
 }
 
-/// Applies the faults that concern the whole stand-in.
+/// Applies the faults that affect the whole stand-in.
 pub(crate) fn apply(switch: &Switch, fault: &Fault) {
     match fault {
         Fault::Die => switch.set(Mode::Dead),
--- a/crates/kumquatdrum_testing/src/prompt.rs
+++ b/crates/kumquatdrum_testing/src/prompt.rs
@@ -1,17 +1,17 @@
-//! The text of a prompt, its digests, and the answer that follows from it.
+//! Derives prompt text, prefix block names and answer tokens from a request.
 
 use kumquatdrum_types::digest;
 use serde_json::Value;
 
 /// Bytes of prompt text that one block of the prefix cache covers.
 pub const BLOCK_BYTES: usize = 1024;
-/// Hexadecimal digits that name one block of the prefix cache.
-pub const BLOCK_DIGITS: usize = 16;
-/// Hexadecimal digits of the prompt's digest that stand in each token of an answer.
-pub const ANSWER_DIGITS: usize = 8;
+/// Hexadecimal digits in the name of a prefix cache block.
+pub const BLOCK_NAME_DIGITS: usize = 16;
+/// Hexadecimal digits of the prompt's digest in each token of an answer.
+pub const TOKEN_DIGEST_DIGITS: usize = 8;
 
-/// The prompt text of a request body: `prompt`, or the contents of `messages` joined by line
-/// feeds; `None` where the body has neither.
+/// Returns the prompt text of a request body: `prompt`, or the contents of `messages` joined by
+/// line feeds; `None` if the body has neither.
 ///
 /// ```
 /// let body = serde_json::json!({"messages": [{"content": "a"}, {"content": "b"}]});
@@ -33,18 +33,18 @@
     contents.join("\n")
 }
 
-/// The text of token `index` of the answer to the prompt with this digest.
+/// Returns token `index` of the answer to the prompt with this digest.
 ///
 /// ```
 /// let digest = kumquatdrum_types::digest::hex(b"shade card");
 /// assert!(kumquatdrum_testing::prompt::token(&digest, 3).starts_with("t3:"));
 /// ```
 pub fn token(prompt_digest: &str, index: u32) -> String {
-    format!("t{index}:{} ", &prompt_digest[..ANSWER_DIGITS])
+    format!("t{index}:{} ", &prompt_digest[..TOKEN_DIGEST_DIGITS])
 }
 
-/// The names of a prompt's whole blocks, each chained to the one before it: the first digits of
-/// the SHA-256 of the previous name followed by the block's bytes.
+/// Returns the names of a prompt's complete blocks. Each name is the first digits of the SHA-256 of
+/// the previous name followed by the block's bytes.
 ///
 /// ```
 /// use kumquatdrum_testing::prompt::{BLOCK_BYTES, blocks};
@@ -57,7 +57,7 @@
     for block in text.as_bytes().chunks_exact(BLOCK_BYTES) {
         let previous = names.last().map_or("", String::as_str);
         let chained = [previous.as_bytes(), block].concat();
-        names.push(digest::hex(&chained)[..BLOCK_DIGITS].to_owned());
+        names.push(digest::hex(&chained)[..BLOCK_NAME_DIGITS].to_owned());
     }
     names
 }
--- a/crates/kumquatdrum_testing/src/relay.rs
+++ b/crates/kumquatdrum_testing/src/relay.rs
@@ -1,5 +1,5 @@
-//! A TCP relay in front of a stand-in's own listener, so that connections can go silent, freeze
-//! or be reset without the stand-in's help.
+//! A TCP relay in front of a stand-in's server, which can silence, freeze or reset connections
+//! without the server taking part.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,16 +17,16 @@
 
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// The open connections, by the address from which the relay calls the stand-in's server.
+/// The open connections, by the address from which the relay connects to the server.
 ///
-/// The server knows a connection by that address, and rocket ends a body whose stream fails as if it
-/// were whole: only the relay can break a connection off.
+/// The server sees that address as the remote one. Rocket ends a body whose stream fails like a
+/// complete one, so only the relay can reset a connection.
 #[derive(Debug, Default)]
 pub struct Connections(Mutex<IndexMap<SocketAddr, Arc<Notify>>>);
 
 impl Connections {
-    /// Breaks off the connection that the server sees as coming from `remote`.
-    pub fn break_off(&self, remote: SocketAddr) {
+    /// Resets the connection that the server sees as coming from `remote`.
+    pub fn reset(&self, remote: SocketAddr) {
         if let Some(connection) = self.0.lock().get(&remote) {
             connection.notify_one();
         }
@@ -43,10 +43,10 @@
     }
 }
 
-/// A relay; it ends when its stand-in is dead.
+/// A running relay, which ends when its stand-in is dead.
 #[derive(Debug)]
 pub struct Relay {
-    /// Where it listens.
+    /// The listening address.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -65,7 +65,7 @@
         Ok(Self { address, task })
     }
 
-    /// Waits for its end, connections among it.
+    /// Waits until the relay and its connections have ended.
     pub async fn join(self) {
         let _ = self.task.await;
     }
@@ -78,14 +78,19 @@
     connections: Arc<Connections>,
 ) {
     let mut tasks = JoinSet::new();
-    let mut dead = gate.clone();
+    let mut death = gate.clone();
     loop {
         tokio::select! {
-            () = dead.dead() => break,
+            () = death.wait_until_dead() => break,
             Some(_) = tasks.join_next() => {}
             accepted = listener.accept() => match accepted {
                 Ok((caller, _)) => {
-                    tasks.spawn(relay(caller, target, gate.clone(), Arc::clone(&connections)));
+                    tasks.spawn(relay_connection(
+                        caller,
+                        target,
+                        gate.clone(),
+                        Arc::clone(&connections),
+                    ));
                 }
                 Err(_) => tokio::task::yield_now().await,
             },
@@ -95,14 +100,14 @@
     while tasks.join_next().await.is_some() {}
 }
 
-async fn relay(
+async fn relay_connection(
     mut caller: TcpStream,
     target: SocketAddr,
     mut gate: Gate,
     connections: Arc<Connections>,
 ) {
-    let epoch = gate.now().epoch;
-    if gate.passes(epoch).await.is_err() {
+    let epoch = gate.current().epoch;
+    if gate.wait_until_open(epoch).await.is_err() {
         let _ = caller.set_zero_linger();
         return;
     }
@@ -112,21 +117,22 @@
     let Ok(remote) = server.local_addr() else {
         return;
     };
-    let broken = connections.open(remote);
+    let reset = connections.open(remote);
     let _ = caller.set_nodelay(true);
     let _ = server.set_nodelay(true);
-    let carried = tokio::select! {
-        () = broken.notified() => Err(Dead),
-        carried = carry(&mut caller, &mut server, &gate, epoch) => carried,
+    let result = tokio::select! {
+        () = reset.notified() => Err(Dead),
+        result = copy_both_ways(&mut caller, &mut server, &gate, epoch) => result,
     };
-    if carried.is_err() {
+    if result.is_err() {
         let _ = caller.set_zero_linger();
         let _ = server.set_zero_linger();
     }
     connections.close(remote);
 }
 
-async fn carry(
+/// Copies bytes in both directions until both sides have closed.
+async fn copy_both_ways(
     caller: &mut TcpStream,
     server: &mut TcpStream,
     gate: &Gate,
@@ -134,20 +140,20 @@
 ) -> Result<(), Dead> {
     let (caller_read, caller_write) = caller.split();
     let (server_read, server_write) = server.split();
-    let mut dead = gate.clone();
+    let mut death = gate.clone();
     tokio::select! {
-        () = dead.dead() => Err(Dead),
-        moved = async {
+        () = death.wait_until_dead() => Err(Dead),
+        result = async {
             tokio::try_join!(
-                pump(caller_read, server_write, gate.clone(), epoch),
-                pump(server_read, caller_write, gate.clone(), epoch),
+                copy(caller_read, server_write, gate.clone(), epoch),
+                copy(server_read, caller_write, gate.clone(), epoch),
             )
-        } => moved.map(|_| ()),
+        } => result.map(|_| ()),
     }
 }
 
-/// Moves bytes one way; an error of either side ends the connection as a reset does.
-async fn pump(
+/// Copies bytes in one direction; an error on either side is returned as [`Dead`].
+async fn copy(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     mut gate: Gate,
@@ -156,7 +162,7 @@
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let read = from.read(&mut buffer).await;
-        gate.passes(epoch).await?;
+        gate.wait_until_open(epoch).await?;
         match read {
             Ok(0) => return to.shutdown().await.map_err(|_| Dead),
             Ok(length) => to.write_all(&buffer[..length]).await.map_err(|_| Dead)?,
--- a/crates/kumquatdrum_testing/src/server.rs
+++ b/crates/kumquatdrum_testing/src/server.rs
@@ -1,4 +1,4 @@
-//! A rocket instance of its own on a free loopback port.
+//! A Rocket server for one stand-in.
 
 use std::collections::HashSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -11,28 +11,28 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// A server that doesn't start.
+/// Reason why a server fails to start.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The listening address can't be had.
-    #[error("the listening address can't be had: {0}")]
+    /// The listening address can't be bound.
+    #[error("cannot bind the listening address: {0}")]
     Listen(#[from] std::io::Error),
-    /// rocket refuses to start.
-    #[error("the HTTP server doesn't start: {0}")]
+    /// Rocket fails to launch.
+    #[error("the HTTP server failed to start: {0}")]
     Launch(String),
 }
 
 /// A running server.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it listens.
+    /// The listening address.
     pub address: SocketAddr,
     shutdown: rocket::Shutdown,
     task: JoinHandle<()>,
 }
 
 impl Server {
-    /// Starts a server with the routes that `mount` adds.
+    /// Starts a server with the routes mounted by `mount`.
     pub async fn start(
         address: SocketAddr,
         mount: impl FnOnce(Rocket<Build>) -> Rocket<Build>,
@@ -55,7 +55,7 @@
         let launch = rocket.launch();
         let (failure, failed) = oneshot::channel();
         let task = tokio::spawn(async move {
-            // rocket's error prints itself when it is dropped unseen.
+            // A Rocket error that is dropped without being inspected prints itself.
             let ended = launch.await.map(drop).map_err(launch_error);
             let _ = failure.send(ended);
         });
@@ -63,21 +63,21 @@
             biased;
             Ok(address) = liftoff => Ok(Self { address, shutdown, task }),
             Ok(Err(error)) = failed => Err(error),
-            else => Err(Error::Launch("it ended at once".into())),
+            else => Err(Error::Launch("the server stopped during startup".into())),
         }
     }
 
-    /// Stops the server at once and waits for its end.
+    /// Stops the server at once and waits until it has ended.
     pub async fn stop(self) {
         self.shutdown.notify();
         let _ = self.task.await;
     }
 }
 
-/// Discards rocket's own log lines for the whole process, unless another logger was set before.
+/// Discards Rocket's log lines for the whole process, unless another logger is already set.
 ///
-/// rocket raises the process's log level while an instance is being built, whatever the instance's
-/// own level is, so that the lines of others come out in between; `LogLevel::Off` doesn't help.
+/// `LogLevel::Off` isn't enough, as Rocket raises the log level of the process while an instance is
+/// being built.
 pub fn discard_logs() {
     let _ = log::set_logger(&Discard);
 }
@@ -116,7 +116,7 @@
     }
 }
 
-/// A free port of the loopback address.
+/// Returns the loopback address with port 0, which picks a free port.
 pub const fn loopback() -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0)
 }
--- a/crates/kumquatdrum_testing/src/service.rs
+++ b/crates/kumquatdrum_testing/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service: it echoes each call and counts what it ran.
+//! A stand-in plain service, which echoes each call and counts its runs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,19 +30,19 @@
     Method::Options,
 ];
 
-/// What a plain service is.
+/// Configuration of a plain service.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Who it is and where it listens.
+    /// Name, service, addresses and announcements.
     pub process: process::Options,
-    /// How long a call takes.
+    /// Duration of a call.
     pub work: Duration,
-    /// The largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_limit: u64,
 }
 
 impl Options {
-    /// A plain service on a free loopback port that announces itself to no one.
+    /// Returns options for a plain service on a free loopback port that isn't announced.
     ///
     /// ```
     /// let options = kumquatdrum_testing::service::Options::new("p1", "salon-api", "hall-raatuse");
@@ -85,7 +85,7 @@
 }
 
 impl Service {
-    /// Starts a plain service; it announces itself at once, where it has entry hosts to announce to.
+    /// Starts a plain service, and announces it if entry hosts are configured.
     pub async fn start(options: Options) -> Result<Self, Error> {
         let shared = Arc::new(Shared {
             options,
@@ -94,7 +94,7 @@
             counters: Counters::default(),
         });
         let boot = shared.options.process.boot();
-        let announced = shared.options.process.clone();
+        let announced_options = shared.options.process.clone();
         let echo = Echo(Arc::clone(&shared));
         let process = Process::start(
             &shared.options.process,
@@ -102,43 +102,43 @@
             Arc::clone(&shared) as Arc<dyn Control>,
             Arc::default(),
             |rocket| rocket.mount("/", echo),
-            |address| Box::new(move || announced.announcement(boot, address, Kind::Plain)),
+            |address| Box::new(move || announced_options.announcement(boot, address, Kind::Plain)),
         )
         .await?;
         Ok(Self { shared, process })
     }
 
-    /// Where it takes calls.
+    /// Returns the address that serves calls.
     pub fn address(&self) -> SocketAddr {
         self.process.address()
     }
 
-    /// Where its control port listens; it outlives the service's ordered death.
+    /// Returns the address of the control port, which stays up after [`Fault::Die`].
     pub fn control_address(&self) -> SocketAddr {
         self.process.control_address()
     }
 
-    /// Puts a fault in force.
+    /// Activates a fault.
     pub fn inject(&self, fault: &Fault) {
         self.shared.inject(fault);
     }
 
-    /// What it ran.
+    /// Returns the counts of calls and runs.
     pub fn counts(&self) -> Counts {
         self.shared.counts()
     }
 
-    /// Announcements that an entry host has answered with success.
+    /// Returns the number of announcements that an entry host has accepted.
     pub fn announced(&self) -> u64 {
         self.process.announcer().delivered()
     }
 
-    /// Sends the leaving notice and waits until an entry host has answered it.
+    /// Sends the leaving notice and waits until an entry host has accepted it.
     pub async fn leave(&self) {
         self.process.announcer().leave().await;
     }
 
-    /// Stops it at once and joins all its tasks.
+    /// Stops the service at once and joins all its tasks.
     pub async fn shutdown(self) {
         self.process.shutdown().await;
     }
@@ -151,11 +151,11 @@
     }
 
     fn counts(&self) -> Counts {
-        self.counters.read()
+        self.counters.snapshot()
     }
 }
 
-/// Answers every method and path.
+/// Handles every method and path.
 #[derive(Debug, Clone)]
 struct Echo(Arc<Shared>);
 
@@ -187,11 +187,11 @@
     }
 }
 
-/// One call.
+/// A parsed call.
 #[derive(Debug)]
 struct Call {
     attempt: String,
-    key: Option<String>,
+    test_key: Option<String>,
     method: Method,
     path: String,
     digest: String,
@@ -203,10 +203,10 @@
         let header = |name| request.headers().get_one(name).map(str::to_owned);
         let text = || Value::String(String::from_utf8_lossy(body).into_owned());
         let value: Value = serde_json::from_slice(body).unwrap_or_else(|_| text());
-        let key = value["test_key"].as_str().map(str::to_owned);
+        let body_key = value["test_key"].as_str().map(str::to_owned);
         Self {
             attempt: header("x-attempt-id").unwrap_or_default(),
-            key: header("x-test-key").or(key),
+            test_key: header("x-test-key").or(body_key),
             method: request.method(),
             path: request.uri().to_string(),
             digest: digest::hex(body),
@@ -217,24 +217,24 @@
 
 impl Shared {
     async fn run(&self, call: &Call) -> (Status, Value) {
-        self.counters.received();
+        self.counters.record_received();
         if self.faults.take_refuse() {
             let error = json!({"error": {"code": "full", "started": false}});
             return (Status::ServiceUnavailable, error);
         }
-        self.counters.accepted();
-        self.counters.ran(&call.attempt, &call.digest);
-        if let Some(key) = &call.key {
-            self.counters.keyed(key);
+        self.counters.record_accepted();
+        self.counters.record_run(&call.attempt, &call.digest);
+        if let Some(key) = &call.test_key {
+            self.counters.record_key(key);
         }
         if self.faults.fails() {
             let error = json!({"error": {"code": "internal", "started": true}});
             return (Status::InternalServerError, error);
         }
-        self.counters.working(1);
+        self.counters.adjust_running(1);
         tokio::time::sleep(self.options.work).await;
-        self.counters.working(-1);
-        self.counters.finished();
+        self.counters.adjust_running(-1);
+        self.counters.record_finished();
         if let Some(delay) = self.faults.take_late() {
             tokio::time::sleep(delay).await;
         }
--- a/crates/kumquatdrum_testing/tests/announcer.rs
+++ b/crates/kumquatdrum_testing/tests/announcer.rs
@@ -1,4 +1,4 @@
-//! Announcements to entry hosts, and plain services.
+//! Announcements to entry hosts, and calls of plain services.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,9 +30,9 @@
 }
 
 #[tokio::test]
-async fn announcements_go_to_the_next_host_and_end_with_a_leaving_notice() {
+async fn announcements_fail_over_to_the_next_host_and_end_with_a_leaving_notice() {
     let (host, log) = entry_host().await;
-    // Bound without listening: refused, and no other test can be given the port meanwhile.
+    // A bound port without a listener refuses connections and can't be taken by another test.
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind(loopback()).unwrap();
     let unreachable = socket.local_addr().unwrap();
@@ -48,7 +48,10 @@
     }
     service.leave().await;
     let log = log.lock().clone();
-    let sequences: Vec<u64> = log.iter().map(|heard| heard.sequence).collect();
+    let sequences: Vec<u64> = log
+        .iter()
+        .map(|announcement| announcement.sequence)
+        .collect();
     assert!(sequences.is_sorted_by(|left, right| left < right));
     assert_eq!(log[0].address, service.address());
     assert!(!log[0].leaving);
--- a/crates/kumquatdrum_testing/tests/engine.rs
+++ b/crates/kumquatdrum_testing/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine over HTTP: the protocol, and each fault by order.
+//! The stand-in engine over HTTP: the protocol and each injected fault.
 
 use std::time::Duration;
 
@@ -10,9 +10,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Long enough for any answer on a busy machine; a silence is checked for `SILENCE`.
-const PATIENCE: Duration = Duration::from_secs(30);
-const SILENCE: Duration = Duration::from_millis(150);
+/// Timeout of requests that must be answered, with a margin for a busy machine.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time without bytes after which a connection counts as silent.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 
 struct Fixture {
     engine: Engine,
@@ -29,7 +30,7 @@
         change(&mut options);
         Self {
             engine: Engine::start(options).await.unwrap(),
-            client: Client::builder().timeout(PATIENCE).build().unwrap(),
+            client: Client::builder().timeout(REQUEST_TIMEOUT).build().unwrap(),
         }
     }
 
@@ -54,7 +55,7 @@
     }
 
     async fn cancel(&self, id: &str) -> Value {
-        self.cancel_within(PATIENCE, id).await.unwrap()
+        self.cancel_within(REQUEST_TIMEOUT, id).await.unwrap()
     }
 
     async fn cancel_within(&self, timeout: Duration, id: &str) -> reqwest::Result<Value> {
@@ -68,23 +69,23 @@
         shown["state"].as_str().unwrap().to_owned()
     }
 
-    /// Waits until the attempt has tokens.
-    async fn until_tokens(&self, id: &str) {
+    /// Waits until the attempt has generated a token.
+    async fn wait_for_tokens(&self, id: &str) {
         while self.get(&format!("/v1/attempts/{id}")).await["tokens"] == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-fn expected(prompt: &str, tokens: u32) -> String {
+fn expected_text(prompt: &str, tokens: u32) -> String {
     let digest = digest::hex(prompt.as_bytes());
     (0..tokens)
         .map(|index| prompt::token(&digest, index))
         .collect()
 }
 
-/// The text of a stream and whether it has its end marker.
-fn read(stream: &str) -> (String, bool) {
+/// Returns the text of a stream and whether it has the end marker.
+fn parse_stream(stream: &str) -> (String, bool) {
     let mut data = stream
         .lines()
         .filter_map(|line| line.strip_prefix("data: "));
@@ -100,12 +101,12 @@
 }
 
 #[tokio::test]
-async fn an_answer_is_streamed_whole_and_can_be_resumed() {
+async fn an_answer_is_streamed_completely_and_can_be_resumed() {
     let fixture = Fixture::start().await;
     let answer = fixture.post("a", "shade card", 4).await;
     assert_eq!(answer.headers()["x-attempt-id"], "a");
     let whole = answer.text().await.unwrap();
-    assert_eq!(read(&whole), (expected("shade card", 4), true));
+    assert_eq!(parse_stream(&whole), (expected_text("shade card", 4), true));
     let resumed = fixture.url("/v1/attempts/a/stream?from=2");
     let rest = fixture.client.get(resumed).send().await.unwrap();
     let rest = rest.text().await.unwrap();
@@ -134,12 +135,12 @@
 async fn a_cancel_ends_the_attempt_and_frees_its_memory() {
     let fixture = Fixture::start().await;
     let answer = fixture.post("a", "history", 100_000).await;
-    fixture.until_tokens("a").await;
+    fixture.wait_for_tokens("a").await;
     let owned = fixture.get("/v1/attempts?owner=tartu-1").await;
     assert_eq!(owned["attempts"][0]["id"], "a");
     assert_eq!(fixture.cancel("a").await["state"], "cancelled");
     assert_eq!(fixture.cancel("a").await["state"], "cancelled");
-    assert!(!read(&answer.text().await.unwrap()).1);
+    assert!(!parse_stream(&answer.text().await.unwrap()).1);
     assert_eq!(fixture.engine.counts().memory_used_tokens, 0);
     fixture.engine.shutdown().await;
 }
@@ -172,7 +173,7 @@
 }
 
 #[tokio::test]
-async fn refusals_and_failures_come_by_order() {
+async fn injected_refusals_and_failures_are_answered() {
     let fixture = Fixture::start().await;
     fixture.engine.inject(&Fault::Refuse { count: 1 });
     let refused = fixture.post("a", "p", 1).await;
@@ -188,7 +189,7 @@
 }
 
 #[tokio::test]
-async fn crossed_answers_show_another_attempt() {
+async fn crossed_answers_contain_another_attempt() {
     let fixture = Fixture::start().await;
     fixture.post("a", "first", 1).await.text().await.unwrap();
     for (id, header, shown) in [("b", true, "a"), ("c", false, "c")] {
@@ -196,12 +197,12 @@
         let crossed = fixture.post(id, "second", 1).await;
         assert_eq!(crossed.headers()["x-attempt-id"], shown);
         let text = crossed.text().await.unwrap();
-        assert_ne!(read(&text).0, expected("second", 1));
+        assert_ne!(parse_stream(&text).0, expected_text("second", 1));
     }
-    let straight = fixture.post("d", "second", 1).await;
+    let uncrossed = fixture.post("d", "second", 1).await;
     assert_eq!(
-        read(&straight.text().await.unwrap()),
-        (expected("second", 1), true)
+        parse_stream(&uncrossed.text().await.unwrap()),
+        (expected_text("second", 1), true)
     );
     fixture.engine.shutdown().await;
 }
@@ -217,7 +218,7 @@
         });
         let cut = fixture.post(id, "pack", 5).await.text().await;
         assert_eq!(cut.is_err(), broken);
-        let shown = cut.map(|text| read(&text));
+        let shown = cut.map(|text| parse_stream(&text));
         assert!(!shown.unwrap_or_default().1);
     }
     fixture.engine.shutdown().await;
@@ -228,9 +229,9 @@
     let fixture = Fixture::start().await;
     for (id, done, state) in [("a", false, "running"), ("b", true, "cancelled")] {
         let answer = fixture.post(id, "p", 100_000).await;
-        fixture.until_tokens(id).await;
+        fixture.wait_for_tokens(id).await;
         fixture.engine.inject(&Fault::LoseCancel { count: 1, done });
-        let lost = fixture.cancel_within(SILENCE, id).await;
+        let lost = fixture.cancel_within(SILENCE_TIMEOUT, id).await;
         assert!(lost.unwrap_err().is_timeout());
         assert_eq!(fixture.state(id).await, state);
         fixture.cancel(id).await;
@@ -245,8 +246,11 @@
     let mut answer = fixture.post("a", "p", 100_000).await;
     answer.chunk().await.unwrap();
     fixture.engine.inject(&Fault::SilenceOpen);
-    // What had been written before the order may still arrive.
-    while tokio::time::timeout(SILENCE, answer.chunk()).await.is_ok() {}
+    // Bytes written before the fault may still arrive.
+    while tokio::time::timeout(SILENCE_TIMEOUT, answer.chunk())
+        .await
+        .is_ok()
+    {}
     assert_eq!(fixture.state("a").await, "running");
     fixture.engine.shutdown().await;
 }
@@ -261,7 +265,7 @@
     assert!(connection.read(&mut buffer).await.unwrap() > 0);
     fixture.engine.inject(&Fault::SilenceOpen);
     connection.write_all(REQUEST).await.unwrap();
-    while tokio::time::timeout(SILENCE, connection.read(&mut buffer))
+    while tokio::time::timeout(SILENCE_TIMEOUT, connection.read(&mut buffer))
         .await
         .is_ok()
     {}
@@ -270,14 +274,22 @@
 }
 
 #[tokio::test]
-async fn a_frozen_engine_stands_still_until_thawed() {
+async fn a_frozen_engine_makes_no_progress_until_thawed() {
     let fixture = Fixture::start().await;
     let mut answer = fixture.post("a", "p", 100_000).await;
     answer.chunk().await.unwrap();
     fixture.engine.inject(&Fault::Freeze);
-    while tokio::time::timeout(SILENCE, answer.chunk()).await.is_ok() {}
+    while tokio::time::timeout(SILENCE_TIMEOUT, answer.chunk())
+        .await
+        .is_ok()
+    {}
     let url = fixture.url("/v1/health");
-    let health = fixture.client.get(&url).timeout(SILENCE).send().await;
+    let health = fixture
+        .client
+        .get(&url)
+        .timeout(SILENCE_TIMEOUT)
+        .send()
+        .await;
     assert!(health.unwrap_err().is_timeout());
     fixture.engine.inject(&Fault::Thaw);
     assert!(answer.chunk().await.unwrap().is_some());
@@ -291,7 +303,7 @@
     fixture.engine.inject(&Fault::Die);
     assert!(answer.text().await.is_err());
     let url = fixture.url("/v1/health");
-    // A connection that was being accepted at that moment may be reset rather than refused.
+    // A connection accepted just before may be reset instead of refused.
     while !fixture
         .client
         .get(&url)
@@ -315,34 +327,34 @@
     fixture.engine.drain().await;
     assert_eq!(fixture.state("a").await, "finished");
     let whole = reader.await.unwrap().unwrap();
-    assert_eq!(read(&whole), (expected("history", 50), true));
+    assert_eq!(parse_stream(&whole), (expected_text("history", 50), true));
     fixture.engine.shutdown().await;
 }
 
 #[tokio::test]
-async fn faults_come_over_the_control_port_too() {
+async fn faults_are_injected_over_the_control_port() {
     let fixture = Fixture::start().await;
     let url = format!("http://{}/faults", fixture.engine.control_address());
-    let orders = json!([{"fault": "refuse", "count": 1}, {"fault": "late", "ms": 1, "count": 1}]);
-    let ordered = fixture.client.post(&url).json(&orders).send().await;
-    assert_eq!(ordered.unwrap().status(), StatusCode::NO_CONTENT);
+    let faults = json!([{"fault": "refuse", "count": 1}, {"fault": "late", "ms": 1, "count": 1}]);
+    let injected = fixture.client.post(&url).json(&faults).send().await;
+    assert_eq!(injected.unwrap().status(), StatusCode::NO_CONTENT);
     let refused = fixture.post("a", "p", 1).await;
     assert_eq!(refused.status(), StatusCode::SERVICE_UNAVAILABLE);
-    let wrong = fixture.client.post(&url).json(&json!({"fault": "yawn"}));
-    assert!(wrong.send().await.unwrap().status().is_client_error());
+    let unknown = fixture.client.post(&url).json(&json!({"fault": "unknown"}));
+    assert!(unknown.send().await.unwrap().status().is_client_error());
     fixture.engine.shutdown().await;
 }
 
 #[tokio::test]
-async fn late_reports_are_older_than_their_lag() {
-    let fixture = Fixture::with(|options| options.reports.load_lag = PATIENCE).await;
+async fn load_reports_are_delayed_by_their_lag() {
+    let fixture = Fixture::with(|options| options.reports.load_lag = REQUEST_TIMEOUT).await;
     fixture.post("a", "p", 1).await.text().await.unwrap();
     assert_eq!(fixture.get("/v1/load").await["seen"], json!([]));
     fixture.engine.shutdown().await;
 }
 
 #[tokio::test]
-async fn cache_events_are_published_with_gaps() {
+async fn lost_cache_events_leave_gaps() {
     let fixture = Fixture::with(|options| options.reports.lose_every = 2).await;
     let text = "x".repeat(3 * prompt::BLOCK_BYTES);
     fixture.post("a", &text, 1).await.text().await.unwrap();
@@ -355,7 +367,7 @@
 }
 
 #[tokio::test]
-async fn reservations_and_kv_count_in_memory() {
+async fn reservations_and_kv_count_as_used_memory() {
     let fixture = Fixture::start().await;
     let reservation = json!({"id": "r", "owner": "tartu-1", "tokens": 100, "ttl_ms": 60_000});
     let url = fixture.url("/v1/reservations");
--- a/crates/kumquatdrum_testing/tests/model.rs
+++ b/crates/kumquatdrum_testing/tests/model.rs
@@ -1,9 +1,9 @@
-//! The pure engine model: what it admits, in which order it computes, and what it holds.
+//! The engine model: admission, scheduling order, prefix cache and memory.
 
 use std::time::Duration;
 
 use kumquatdrum_testing::model::{
-    Fate, Hold, HoldError, Model, Options, Rejection, Request, Stage,
+    Hold, HoldError, Model, Options, Rejection, Request, Stage, Summary,
 };
 use kumquatdrum_testing::prompt;
 use kumquatdrum_types::{AttemptId, Moment, digest};
@@ -42,7 +42,7 @@
     }
 }
 
-fn run_out(model: &mut Model) -> Vec<AttemptId> {
+fn run_until_idle(model: &mut Model) -> Vec<AttemptId> {
     let mut finished = Vec::new();
     while !model.is_idle() {
         let step = model.step(Moment::ZERO);
@@ -61,12 +61,12 @@
     let mut model = Model::new(options());
     model.submit(Moment::ZERO, request("short", 10, 5)).unwrap();
     model.submit(Moment::ZERO, request("long", 350, 1)).unwrap();
-    assert_eq!(run_out(&mut model), ["long".into(), "short".into()]);
+    assert_eq!(run_until_idle(&mut model), ["long".into(), "short".into()]);
     assert_eq!(model.memory_used(), 0);
 }
 
 #[test]
-fn a_lower_priority_number_goes_first() {
+fn a_lower_priority_value_runs_first() {
     let mut model = Model::new(Options {
         batch_limit: 1,
         ..options()
@@ -75,21 +75,24 @@
         priority: 0,
         ..request("urgent", 10, 1)
     };
-    let patient = Request {
+    let low_priority = Request {
         priority: 5,
-        ..request("patient", 10, 1)
+        ..request("deferrable", 10, 1)
     };
-    model.submit(Moment::ZERO, patient).unwrap();
+    model.submit(Moment::ZERO, low_priority).unwrap();
     model.submit(Moment::ZERO, urgent).unwrap();
-    assert_eq!(run_out(&mut model), ["urgent".into(), "patient".into()]);
+    assert_eq!(
+        run_until_idle(&mut model),
+        ["urgent".into(), "deferrable".into()]
+    );
 }
 
 #[test]
 fn a_known_attempt_never_runs_again() {
     let mut model = Model::new(options());
     model.submit(Moment::ZERO, request("a", 10, 1)).unwrap();
-    run_out(&mut model);
-    let finished = Fate {
+    run_until_idle(&mut model);
+    let finished = Summary {
         state: Stage::Finished,
         started: true,
     };
@@ -101,7 +104,7 @@
 fn a_cancel_before_its_request_refuses_the_request() {
     let mut model = Model::new(options());
     assert_eq!(model.cancel(&"a".into()), Stage::Cancelled);
-    let cancelled = Fate {
+    let cancelled = Summary {
         state: Stage::Cancelled,
         started: false,
     };
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn a_cancelled_attempt_says_whether_it_had_started() {
+fn a_cancelled_attempt_records_whether_it_had_started() {
     let mut model = Model::new(options());
     model.submit(Moment::ZERO, request("ran", 500, 9)).unwrap();
     model.step(Moment::ZERO);
@@ -118,13 +121,13 @@
     model.cancel(&"idle".into());
     assert_eq!(model.step(Moment::ZERO).started, []);
     model.cancel(&"ran".into());
-    assert!(model.fate(&"ran".into()).started);
-    assert!(!model.fate(&"idle".into()).started);
+    assert!(model.summary(&"ran".into()).started);
+    assert!(!model.summary(&"idle".into()).started);
     assert_eq!(model.memory_used(), 0);
 }
 
 #[test]
-fn a_request_is_given_up_at_its_deadline() {
+fn a_request_fails_at_its_deadline() {
     let mut model = Model::new(options());
     let late = Request {
         deadline: Moment::from_millis(5),
@@ -138,14 +141,14 @@
 }
 
 #[test]
-fn what_can_never_fit_is_refused_at_once() {
+fn a_request_larger_than_the_memory_is_refused() {
     let mut model = Model::new(options());
     let refused = model.submit(Moment::ZERO, request("huge", 1_000, 1));
     assert_eq!(refused, Err(Rejection::TooLong));
 }
 
 #[test]
-fn a_full_queue_refuses() {
+fn a_full_queue_refuses_requests() {
     let mut model = Model::new(options());
     for index in 0..8 {
         let id = format!("a{index}");
@@ -164,15 +167,15 @@
     };
     let mut model = Model::new(options());
     model.submit(Moment::ZERO, with_blocks("cold")).unwrap();
-    run_out(&mut model);
+    run_until_idle(&mut model);
     model.submit(Moment::ZERO, with_blocks("warm")).unwrap();
-    run_out(&mut model);
+    run_until_idle(&mut model);
     assert_eq!(model.attempt(&"cold".into()).unwrap().cached_tokens, 0);
     assert_eq!(model.attempt(&"warm".into()).unwrap().cached_tokens, 399);
 }
 
 #[test]
-fn the_cache_evicts_and_reports_it() {
+fn evictions_are_reported() {
     let mut model = Model::new(options());
     for letter in ["x", "y"] {
         let text = letter.repeat(4 * prompt::BLOCK_BYTES);
@@ -181,7 +184,7 @@
             ..request(letter, 400, 1)
         };
         model.submit(Moment::ZERO, wanted).unwrap();
-        run_out(&mut model);
+        run_until_idle(&mut model);
     }
     let (events, last) = model.cache_events(0);
     let ops: Vec<String> = events.map(|event| format!("{:?}", event.op)).collect();
@@ -191,7 +194,7 @@
 }
 
 #[test]
-fn reservations_bound_memory_expire_and_are_taken_over() {
+fn reservations_limit_memory_expire_and_pass_to_an_attempt() {
     let mut model = Model::new(options());
     let ttl = Duration::from_millis(10);
     model.reserve(Moment::ZERO, hold("r", 900), ttl).unwrap();
@@ -205,7 +208,7 @@
     };
     model.submit(Moment::ZERO, long).unwrap();
     assert_eq!(model.memory_used(), 900);
-    run_out(&mut model);
+    run_until_idle(&mut model);
     assert_eq!(model.memory_used(), 0);
     model.reserve(Moment::ZERO, hold("s", 200), ttl).unwrap();
     model.step(Moment::from_millis(10));
@@ -216,7 +219,7 @@
 fn exported_kv_counts_until_it_is_dropped() {
     let mut model = Model::new(options());
     model.submit(Moment::ZERO, request("a", 10, 2)).unwrap();
-    run_out(&mut model);
+    run_until_idle(&mut model);
     assert_eq!(model.export_kv(&"a".into()).unwrap().tokens, 12);
     model.import_kv(hold("b", 5)).unwrap();
     assert_eq!(model.memory_used(), 17);
@@ -227,7 +230,7 @@
 }
 
 #[test]
-fn the_load_names_the_highest_counter_of_each_owner() {
+fn the_load_reports_the_highest_counter_of_each_owner() {
     let mut model = Model::new(options());
     for counter in [3, 2] {
         let counted = Request {
@@ -247,17 +250,17 @@
     assert_eq!(load.prefill_tokens, 20);
 }
 
-/// Whatever comes in whatever order: all memory returns, and no attempt runs twice.
+/// Guards against leaked memory and duplicate runs under random sequences of calls.
 #[test]
-fn memory_returns_after_any_sequence_of_calls() {
+fn memory_is_freed_after_any_sequence_of_calls() {
     const SEEDS: u64 = 64;
     const ENTROPY_BYTES: u64 = 2_048;
     for seed in 0..SEEDS {
-        arbtest::arbtest(any_sequence).seed(ENTROPY_BYTES | (seed << 32));
+        arbtest::arbtest(check_random_calls).seed(ENTROPY_BYTES | (seed << 32));
     }
 }
 
-fn any_sequence(
+fn check_random_calls(
     entropy: &mut arbtest::arbitrary::Unstructured<'_>,
 ) -> arbtest::arbitrary::Result<()> {
     let mut model = Model::new(options());
@@ -276,9 +279,9 @@
                         entropy.int_in_range(1..=9)?,
                     )
                 };
-                let before = model.fate(&wanted.id).state;
-                let taken = model.submit(now, wanted).is_ok();
-                assert!(!taken || before == Stage::NeverSeen);
+                let before = model.summary(&wanted.id).state;
+                let is_accepted = model.submit(now, wanted).is_ok();
+                assert!(!is_accepted || before == Stage::NeverSeen);
             }
             3 => drop(model.cancel(&id.as_str().into())),
             4 => {
@@ -292,8 +295,8 @@
         assert!(model.memory_used() <= 1_000);
         now = now + Duration::from_millis(1);
     }
-    let far = now + Duration::from_secs(60);
-    model.step(far);
+    let after_expiry = now + Duration::from_secs(60);
+    model.step(after_expiry);
     let kept: Vec<String> = model.kv().map(|hold| hold.id.clone()).collect();
     for id in kept {
         model.drop_kv(&id);
