--- a/crates/kumquatdrum_testing/src/engine/shared.rs
+++ b/crates/kumquatdrum_testing/src/engine/shared.rs
@@ -61,6 +61,7 @@
     pub(super) status: watch::Receiver<Status>,
 }
 
+/// An engine, as shared by its tasks.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) options: Options,
@@ -75,6 +76,7 @@
     started_at: Instant,
 }
 
+/// The model and the streams of its attempts.
 #[derive(Debug)]
 struct Core {
     model: Model,
