--- a/crates/kumquatdrum_replay/benches/path.rs
+++ b/crates/kumquatdrum_replay/benches/path.rs
@@ -1,9 +1,9 @@
-//! First-token time through a daemon against straight to a stand-in engine, in one run.
+//! Compares first-token times through a daemon and straight to a stand-in engine in one run.
 //!
 //! `cargo bench -p kumquatdrum_replay --bench path -- --through 127.0.0.1:7100 --key KEY
 //! --service formula-llm --straight 127.0.0.1:9001 --pid PID`
 //!
-//! Without `--through`, a second stand-in takes its place: the ratio then shows the bench's own noise.
+//! Without `--through`, a second stand-in replaces the daemon, and the ratio shows the noise.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,22 +16,22 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// The callers' listener of a daemon; a stand-in engine of its own where absent
+    /// Caller listener of a daemon; a new stand-in engine by default
     #[bpaf(argument("ADDRESS"), optional)]
     through: Option<SocketAddr>,
-    /// A stand-in engine; one of its own where absent
+    /// Address of a stand-in engine; a new one by default
     #[bpaf(argument("ADDRESS"), optional)]
     straight: Option<SocketAddr>,
-    /// The workspace's key at the daemon
+    /// Key of the workspace at the daemon
     #[bpaf(argument("KEY"), optional)]
     key: Option<String>,
     /// The service
     #[bpaf(argument("SERVICE"), fallback("formula-llm".to_owned()))]
     service: String,
-    /// Requests a second on each path, with commas between them: one comparison for each
-    #[bpaf(argument::<String>("RATES"), fallback("83".to_owned()), parse(rates))]
+    /// Rates to compare at, in requests per second on each path, separated by commas
+    #[bpaf(argument::<String>("RATES"), fallback("83".to_owned()), parse(parse_rates))]
     rates: Vec<f64>,
-    /// Seconds of load for each rate
+    /// Duration of the load at each rate, in seconds
     #[bpaf(argument("N"), fallback(12.0))]
     seconds: f64,
     /// Length of the prompts, in tokens
@@ -40,12 +40,12 @@
     /// Length of the answers, in tokens
     #[bpaf(argument("N"), fallback(32))]
     max_tokens: u32,
-    /// The daemon's process, to measure its CPU time and memory
+    /// Process id of the daemon, to measure its CPU time and memory
     #[bpaf(argument("PID"), optional)]
     pid: Option<u32>,
     /// Print JSON
     json: bool,
-    /// Given by cargo
+    /// Passed by cargo
     #[bpaf(long("bench"), hide)]
     _bench: bool,
 }
@@ -54,8 +54,8 @@
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     let arguments = arguments().run();
     let mut engines = Vec::new();
-    let straight = address(arguments.straight, &mut engines).await?;
-    let through = address(arguments.through, &mut engines).await?;
+    let straight = address_or_start(arguments.straight, &mut engines).await?;
+    let through = address_or_start(arguments.through, &mut engines).await?;
     for rate in &arguments.rates {
         let options = options(&arguments, *rate, through, straight);
         let comparison = load::run(&options).await?;
@@ -71,7 +71,7 @@
     Ok(())
 }
 
-fn rates(list: String) -> Result<Vec<f64>, std::num::ParseFloatError> {
+fn parse_rates(list: String) -> Result<Vec<f64>, std::num::ParseFloatError> {
     list.split(',').map(str::parse).collect()
 }
 
@@ -99,11 +99,12 @@
     }
 }
 
-async fn address(
-    given: Option<SocketAddr>,
+/// Returns the given address, or starts a stand-in engine and returns its address.
+async fn address_or_start(
+    address: Option<SocketAddr>,
     engines: &mut Vec<Engine>,
 ) -> Result<SocketAddr, kumquatdrum_testing::server::Error> {
-    if let Some(address) = given {
+    if let Some(address) = address {
         return Ok(address);
     }
     let options = engine::Options::new("e1", "formula-llm", "formula", "hall-raatuse");
--- a/crates/kumquatdrum_replay/examples/baseline.rs
+++ b/crates/kumquatdrum_replay/examples/baseline.rs
@@ -1,4 +1,4 @@
-//! Replays a trace straight to stand-ins, round robin, as a baseline without the system.
+//! Replays a trace straight to stand-ins, round robin, as a baseline without hosts.
 //!
 //! `cargo run --release -p kumquatdrum_replay --example baseline --
 //! --trace examples/traces/toonikaart.jsonl --engines 3`
@@ -19,16 +19,16 @@
     /// The trace
     #[bpaf(argument("FILE"))]
     trace: PathBuf,
-    /// Engines of each model service
+    /// Number of engines of each model service
     #[bpaf(argument("N"), fallback(3))]
     engines: usize,
     /// KV memory of each engine, in tokens
     #[bpaf(argument("N"), fallback(2_000_000))]
     memory_tokens: u64,
-    /// Factor on the trace's prompt lengths
+    /// Factor on the prompt lengths of the trace
     #[bpaf(argument("F"), fallback(1.0))]
     scale: f64,
-    /// Bytes of text for each token
+    /// Bytes of prompt text per token
     #[bpaf(argument("F"), fallback(4.0))]
     bytes_per_token: f64,
     /// Print JSON
@@ -48,11 +48,11 @@
         arguments: &Arguments,
     ) -> Result<Self, kumquatdrum_testing::server::Error> {
         let mut fleet = Self::default();
-        let asked: IndexSet<(&str, bool)> = entries
+        let requested: IndexSet<(&str, bool)> = entries
             .iter()
             .map(|entry| (entry.service.as_str(), entry.is_plain()))
             .collect();
-        for (name, is_plain) in asked {
+        for (name, is_plain) in requested {
             let mut addresses = Vec::new();
             if is_plain {
                 let options = service::Options::new("p1", name, "here");
--- a/crates/kumquatdrum_replay/examples/generate.rs
+++ b/crates/kumquatdrum_replay/examples/generate.rs
@@ -12,30 +12,30 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// Whose requests: toonikaart or treasury
-    #[bpaf(argument::<String>("MIX"), parse(mix))]
+    /// Request mix: toonikaart or treasury
+    #[bpaf(argument::<String>("MIX"), parse(parse_mix))]
     mix: Mix,
-    /// Where randomness begins
+    /// Seed of the random generator
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// How many requests
+    /// Number of requests
     #[bpaf(argument("N"), fallback(300))]
     requests: usize,
     /// Time between the first and the last request, in milliseconds
     #[bpaf(argument("MS"), fallback(8_000))]
     span_ms: u64,
-    /// How many workspaces
+    /// Number of workspaces
     #[bpaf(argument("N"), fallback(10))]
     workspaces: usize,
-    /// The longest prompt, in tokens
+    /// Maximum length of a prompt, in tokens
     #[bpaf(argument("N"), fallback(1_000_000))]
     longest: u64,
-    /// Out of how many keyed requests one is sent again; 0 for none
+    /// One of this many requests with an idempotency key is resent; 0 resends none
     #[bpaf(argument("N"), fallback(0))]
     resend_one_in: usize,
 }
 
-fn mix(name: String) -> Result<Mix, String> {
+fn parse_mix(name: String) -> Result<Mix, String> {
     let known = [Mix::Toonikaart, Mix::Treasury];
     let found = known.into_iter().find(|mix| mix.name() == name);
     found.ok_or_else(|| format!("{name} is neither toonikaart nor treasury"))
@@ -49,7 +49,7 @@
         requests: arguments.requests,
         span_ms: arguments.span_ms,
         workspaces: arguments.workspaces,
-        longest: arguments.longest,
+        max_prompt_tokens: arguments.longest,
         resend_one_in: arguments.resend_one_in,
         ..generator::Options::default()
     });
--- a/crates/kumquatdrum_replay/src/client.rs
+++ b/crates/kumquatdrum_replay/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one request, reads its answer and says how it ended.
+//! A client that sends one request, reads the answer and classifies the outcome.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,10 +16,10 @@
 use crate::sse::{END_MARKER, Parser};
 use crate::trace::Entry;
 
-/// How long an answer is awaited beyond its deadline.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time to wait for an answer beyond its deadline.
+const ANSWER_GRACE: Duration = Duration::from_secs(5);
 
-/// Codes of what the caller itself finds.
+/// Error codes for failures detected by the client.
 mod code {
     pub(super) const BROKEN: &str = "client_connection_broken";
     pub(super) const CONNECT: &str = "client_cannot_connect";
@@ -29,7 +29,7 @@
     pub(super) const WRONG_TEXT: &str = "client_wrong_text";
 }
 
-/// A request that is ready to be sent.
+/// A request ready to be sent.
 #[derive(Debug, Clone)]
 pub struct Request {
     method: Method,
@@ -37,45 +37,45 @@
     headers: HeaderMap,
     body: Bytes,
     timeout: Duration,
-    answer: Answer,
+    expected: Expected,
     identity: Identity,
 }
 
-/// By what a stand-in counts a request.
+/// The key by which a stand-in counts a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Identity {
-    /// The SHA-256 of the prompt.
+    /// SHA-256 of the prompt.
     Digest(String),
-    /// The test key of a call of a plain service.
+    /// Test key of a call to a plain service.
     Key(String),
 }
 
-/// What the whole answer must be.
+/// Expected content of the answer.
 #[derive(Debug, Clone)]
-enum Answer {
-    /// The text of a stream.
+enum Expected {
+    /// Text of a stream.
     Text(String),
-    /// An echo whose path contains this text.
+    /// Text at the end of the path in an echo.
     Echo(String),
 }
 
-/// To whom a request goes, and as what.
+/// Target and parameters of a request.
 #[derive(Debug, Clone)]
 pub struct Route<'a> {
-    /// Where.
+    /// The address to send to.
     pub target: SocketAddr,
-    /// The workspace's key; none for a request straight to an engine.
+    /// The workspace's key; `None` for a request straight to an engine.
     pub bearer: Option<&'a str>,
-    /// What tells this request from every other one.
+    /// Unique name of the request.
     pub name: &'a str,
-    /// What tells this replay from every other one.
+    /// Unique name of the replay.
     pub run: &'a str,
-    /// How long the prompt is.
+    /// Scale of the prompt.
     pub size: Size,
 }
 
 impl Request {
-    /// Makes the request of an entry. Long prompts take milliseconds to make.
+    /// Builds the request of an entry, which takes milliseconds for a long prompt.
     ///
     /// ```
     /// use kumquatdrum_replay::client::{Request, Route};
@@ -91,15 +91,15 @@
     /// ```
     pub fn new(entry: &Entry, route: &Route<'_>) -> Self {
         let mut request = if entry.is_plain() {
-            Self::call(entry, route)
+            Self::for_call(entry, route)
         } else {
-            Self::completion(entry, route)
+            Self::for_completion(entry, route)
         };
-        request.common_headers(entry, route);
+        request.set_common_headers(entry, route);
         request
     }
 
-    fn completion(entry: &Entry, route: &Route<'_>) -> Self {
+    fn for_completion(entry: &Entry, route: &Route<'_>) -> Self {
         let text = prompt::text(entry, route.name, route.size);
         let digest = prompt::digest(&text);
         let mut body = json!({
@@ -114,70 +114,70 @@
         }
         let tokens = route.size.tokens(entry.prompt_tokens);
         let mut headers = HeaderMap::new();
-        set(&mut headers, "x-prompt-tokens", &tokens.to_string());
+        set_header(&mut headers, "x-prompt-tokens", &tokens.to_string());
         Self {
             method: Method::POST,
             url: format!("http://{}{}", route.target, entry.path),
             headers,
             body: Bytes::from(body.to_string()),
             timeout: Duration::ZERO,
-            answer: Answer::Text(prompt::answer(&digest, entry.max_tokens)),
+            expected: Expected::Text(prompt::answer(&digest, entry.max_tokens)),
             identity: Identity::Digest(digest),
         }
     }
 
-    fn call(entry: &Entry, route: &Route<'_>) -> Self {
-        let mark = format!("request={}", route.name);
+    fn for_call(entry: &Entry, route: &Route<'_>) -> Self {
+        let marker = format!("request={}", route.name);
         let method = Method::from_bytes(entry.method.as_bytes()).unwrap_or(Method::POST);
         let body = match method {
             Method::GET | Method::HEAD => Bytes::new(),
             _ => Bytes::from(json!({"test_key": route.name}).to_string()),
         };
         let mut headers = HeaderMap::new();
-        set(&mut headers, "x-test-key", route.name);
+        set_header(&mut headers, "x-test-key", route.name);
         let (service, path) = (&entry.service, &entry.path);
         Self {
             method,
-            url: format!("http://{}/services/{service}{path}?{mark}", route.target),
+            url: format!("http://{}/services/{service}{path}?{marker}", route.target),
             headers,
             body,
             timeout: Duration::ZERO,
-            answer: Answer::Echo(mark),
+            expected: Expected::Echo(marker),
             identity: Identity::Key(route.name.to_owned()),
         }
     }
 
-    fn common_headers(&mut self, entry: &Entry, route: &Route<'_>) {
-        self.timeout = Duration::from_millis(entry.deadline_ms) + PATIENCE;
+    fn set_common_headers(&mut self, entry: &Entry, route: &Route<'_>) {
+        self.timeout = Duration::from_millis(entry.deadline_ms) + ANSWER_GRACE;
         let headers = &mut self.headers;
-        set(headers, "content-type", "application/json");
-        set(headers, "x-deadline-ms", &entry.deadline_ms.to_string());
-        set(headers, "x-priority", &entry.priority.to_string());
-        set(headers, "x-idempotent", &entry.idempotent.to_string());
+        set_header(headers, "content-type", "application/json");
+        set_header(headers, "x-deadline-ms", &entry.deadline_ms.to_string());
+        set_header(headers, "x-priority", &entry.priority.to_string());
+        set_header(headers, "x-idempotent", &entry.idempotent.to_string());
         if let Some(key) = &entry.idempotency_key {
-            set(headers, "idempotency-key", &format!("{}-{key}", route.run));
+            set_header(headers, "idempotency-key", &format!("{}-{key}", route.run));
         }
         if let Some(key) = route.bearer {
-            set(headers, "authorization", &format!("Bearer {key}"));
+            set_header(headers, "authorization", &format!("Bearer {key}"));
         } else {
-            set(headers, "x-attempt-id", route.name);
+            set_header(headers, "x-attempt-id", route.name);
         }
     }
 
-    /// By what a stand-in counts it.
+    /// Returns the key by which a stand-in counts the request.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 }
 
-/// Sets a header; a value that no header can hold is left out, for the system to complain about.
-fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
+/// Sets a header; a value that isn't valid in a header is omitted.
+fn set_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
 }
 
-/// An error body of the system.
+/// Error body of a response.
 #[derive(Debug, Deserialize)]
 struct Failure {
     error: Detail,
@@ -190,7 +190,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// How an answer ended, without its times.
+/// Outcome of an answer, without its latencies.
 #[derive(Debug)]
 struct End {
     outcome: Outcome,
@@ -207,7 +207,7 @@
         }
     }
 
-    fn found(outcome: Outcome, code: &str) -> Self {
+    fn with_code(outcome: Outcome, code: &str) -> Self {
         Self {
             outcome,
             code: Some(code.to_owned()),
@@ -215,8 +215,8 @@
         }
     }
 
-    /// An error without a class leaves open what became of the request.
-    fn told(detail: Detail) -> Self {
+    /// Classifies an error of the system; without a class the outcome is unknown.
+    fn from_detail(detail: Detail) -> Self {
         Self {
             outcome: detail.class.map_or(Outcome::Unknown, Outcome::from),
             code: detail.code,
@@ -224,12 +224,12 @@
         }
     }
 
-    /// A request whose connection failed before any of its answer came.
-    fn unanswered(error: &reqwest::Error) -> Self {
+    /// Classifies a connection failure before the response.
+    fn from_transport_error(error: &reqwest::Error) -> Self {
         match error {
-            error if error.is_connect() => Self::found(Outcome::NotRun, code::CONNECT),
-            error if error.is_timeout() => Self::found(Outcome::Unknown, code::NO_ANSWER),
-            _ => Self::found(Outcome::Unknown, code::BROKEN),
+            error if error.is_connect() => Self::with_code(Outcome::NotRun, code::CONNECT),
+            error if error.is_timeout() => Self::with_code(Outcome::Unknown, code::NO_ANSWER),
+            _ => Self::with_code(Outcome::Unknown, code::BROKEN),
         }
     }
 }
@@ -246,14 +246,14 @@
         .send()
         .await;
     let end = match sent {
-        Err(error) => End::unanswered(&error),
-        Ok(answer) if !answer.status().is_success() => refused(answer).await,
-        Ok(answer) => match &request.answer {
-            Answer::Echo(mark) => {
+        Err(error) => End::from_transport_error(&error),
+        Ok(answer) if !answer.status().is_success() => read_error(answer).await,
+        Ok(answer) => match &request.expected {
+            Expected::Echo(marker) => {
                 first_token = Some(start.elapsed());
-                echoed(answer, mark).await
+                read_echo(answer, marker).await
             }
-            Answer::Text(text) => {
+            Expected::Text(text) => {
                 let mut stream = Stream::new(text);
                 let end = stream.read(answer).await;
                 first_token = stream.first_token.map(|at| at - start);
@@ -270,18 +270,19 @@
     }
 }
 
-async fn refused(answer: Response) -> End {
+/// Reads a response with an error status.
+async fn read_error(answer: Response) -> End {
     let status = answer.status();
     let header = retry_after(&answer);
     let mut end = match answer.json::<Failure>().await {
-        Ok(failure) => End::told(failure.error),
-        Err(_) => End::found(Outcome::Unknown, &unexplained(status)),
+        Ok(failure) => End::from_detail(failure.error),
+        Err(_) => End::with_code(Outcome::Unknown, &status_code(status)),
     };
     end.retry_after = end.retry_after.or(header);
     end
 }
 
-fn unexplained(status: StatusCode) -> String {
+fn status_code(status: StatusCode) -> String {
     format!("client_status_{}", status.as_u16())
 }
 
@@ -291,20 +292,21 @@
     Some(Duration::from_secs(seconds))
 }
 
-async fn echoed(answer: Response, mark: &str) -> End {
+/// Reads the echo of a plain service.
+async fn read_echo(answer: Response, marker: &str) -> End {
     let echo: Value = match answer.json().await {
         Ok(echo) => echo,
-        Err(_) => return End::found(Outcome::Failed, code::BROKEN),
+        Err(_) => return End::with_code(Outcome::Failed, code::BROKEN),
     };
     let path = echo["path"].as_str().unwrap_or_default();
-    if path.ends_with(mark) {
+    if path.ends_with(marker) {
         End::finished()
     } else {
-        End::found(Outcome::Crossed, code::CROSSED)
+        End::with_code(Outcome::Crossed, code::CROSSED)
     }
 }
 
-/// The stream of one answer.
+/// Reads the stream of one answer.
 struct Stream<'a> {
     expected: &'a str,
     text: String,
@@ -326,28 +328,32 @@
         while let Some(bytes) = body.next().await {
             let bytes = match bytes {
                 Ok(bytes) => bytes,
-                Err(error) if error.is_timeout() => return self.partial(code::NO_ANSWER),
-                Err(_) => return self.partial(code::BROKEN),
+                Err(error) if error.is_timeout() => return self.incomplete(code::NO_ANSWER),
+                Err(_) => return self.incomplete(code::BROKEN),
             };
-            let ended = parser.push(&bytes).iter().find_map(|data| self.take(data));
-            if let Some(end) = ended {
+            let end = parser
+                .push(&bytes)
+                .iter()
+                .find_map(|data| self.handle_event(data));
+            if let Some(end) = end {
                 return end;
             }
         }
-        self.partial(code::CUT)
+        self.incomplete(code::CUT)
     }
 
-    /// Takes one event; the end of the answer where this is it.
-    fn take(&mut self, data: &str) -> Option<End> {
+    /// Handles the data of one event; returns the end of the answer if this event ends it.
+    fn handle_event(&mut self, data: &str) -> Option<End> {
         if data == END_MARKER {
-            return Some(self.whole());
+            return Some(self.complete());
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
         if event["error"].is_object() {
             let failure = serde_json::from_value::<Failure>(event).ok();
-            return Some(
-                failure.map_or_else(|| self.partial(code::CUT), |told| End::told(told.error)),
-            );
+            return Some(failure.map_or_else(
+                || self.incomplete(code::CUT),
+                |failure| End::from_detail(failure.error),
+            ));
         }
         let choice = &event["choices"][0];
         let text = choice["text"]
@@ -361,25 +367,26 @@
         None
     }
 
-    fn whole(&self) -> End {
+    /// Classifies a complete answer.
+    fn complete(&self) -> End {
         match self.text.as_str() {
             text if text == self.expected => End::finished(),
-            text if self.is_foreign(text) => End::found(Outcome::Crossed, code::CROSSED),
-            _ => End::found(Outcome::Crossed, code::WRONG_TEXT),
+            text if self.has_foreign_token(text) => End::with_code(Outcome::Crossed, code::CROSSED),
+            _ => End::with_code(Outcome::Crossed, code::WRONG_TEXT),
         }
     }
 
-    /// An answer that isn't whole: it failed, unless what came of it isn't this request's.
-    fn partial(&self, code: &str) -> End {
+    /// Classifies an incomplete answer, which failed unless it contains another request's text.
+    fn incomplete(&self, code: &str) -> End {
         if self.expected.starts_with(&self.text) {
-            End::found(Outcome::Failed, code)
+            End::with_code(Outcome::Failed, code)
         } else {
-            End::found(Outcome::Crossed, code::CROSSED)
+            End::with_code(Outcome::Crossed, code::CROSSED)
         }
     }
 
-    /// Whether some token bears another prompt's digest.
-    fn is_foreign(&self, text: &str) -> bool {
+    /// Whether a token contains the digest of another prompt.
+    fn has_foreign_token(&self, text: &str) -> bool {
         let digits = |token: &str| token.split_once(':').map(|(_, digits)| digits.to_owned());
         let own = self.expected.split_whitespace().next().and_then(digits);
         text.split_whitespace().any(|token| digits(token) != own)
--- a/crates/kumquatdrum_replay/src/counters.rs
+++ b/crates/kumquatdrum_replay/src/counters.rs
@@ -1,4 +1,4 @@
-//! What stand-ins say they ran, against what callers were told.
+//! Reads the run counts of stand-ins, to compare them with the answers.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use crate::client::Identity;
 
-/// The counts of one stand-in, as its control port answers them.
+/// Run counts, as the control port of a stand-in returns them.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Counts {
@@ -18,7 +18,7 @@
 }
 
 impl Counts {
-    /// Adds another stand-in's counts.
+    /// Adds the counts of another stand-in.
     pub fn add(&mut self, other: Self) {
         for (digest, runs) in other.runs_by_digest {
             *self.runs_by_digest.entry(digest).or_default() += runs;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// How often a request ran.
+    /// Returns how often a request ran.
     ///
     /// ```
     /// use kumquatdrum_replay::{client::Identity, counters::Counts};
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reads and adds up the counts of stand-ins by their control ports.
+/// Reads the counts from the control ports of stand-ins and returns their sum.
 pub async fn read(http: &reqwest::Client, controls: &[SocketAddr]) -> reqwest::Result<Counts> {
     let mut sum = Counts::default();
     for control in controls {
--- a/crates/kumquatdrum_replay/src/generator.rs
+++ b/crates/kumquatdrum_replay/src/generator.rs
@@ -1,4 +1,4 @@
-//! Generates traces of a user's mix from a seed; the same seed gives the same trace.
+//! Generates a trace of a request mix; the same seed gives the same trace.
 
 use std::ops::RangeInclusive;
 
@@ -8,34 +8,34 @@
 use crate::mix::{Kind, Mix};
 use crate::trace::{Entry, Expectation};
 
-/// Out of how many requests one is long.
-const LONG_ONE_IN: usize = 50;
-/// Arrivals come in bursts: in this share of each period the rate is `BURST_FACTOR` times higher.
+/// One of this many requests is long.
+const LONG_REQUEST_INTERVAL: usize = 50;
+/// Share of each burst period in which the arrival rate is `BURST_FACTOR` times higher.
 const BURST_SHARE: f64 = 0.2;
 const BURST_FACTOR: f64 = 4.0;
-/// Periods of bursts in a trace.
+/// Number of burst periods in a trace.
 const BURST_PERIODS: f64 = 8.0;
-/// Exponent of the workspaces' sizes: the first few ask for most.
+/// Exponent of the Zipf distribution of requests over workspaces.
 const WORKSPACE_EXPONENT: f64 = 1.2;
 
-/// What to generate.
+/// Parameters of a generated trace.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Whose requests.
+    /// The request mix.
     pub mix: Mix,
-    /// Where randomness begins.
+    /// Seed of the random generator.
     pub seed: u64,
-    /// How many requests.
+    /// Number of requests, without resent ones.
     pub requests: usize,
     /// Time between the first and the last request, in milliseconds.
     pub span_ms: u64,
-    /// How many workspaces.
+    /// Number of workspaces.
     pub workspaces: usize,
-    /// The longest prompt, in tokens.
-    pub longest: u64,
-    /// Out of how many requests with an idempotency key one is sent again; 0 for none.
+    /// Maximum length of a prompt, in tokens.
+    pub max_prompt_tokens: u64,
+    /// One of this many requests with an idempotency key is resent; 0 resends none.
     pub resend_one_in: usize,
-    /// The outcome stated for every request but resent ones.
+    /// Expected outcome of all requests except resent ones.
     pub expect: Expectation,
 }
 
@@ -47,7 +47,7 @@
             requests: 300,
             span_ms: 8_000,
             workspaces: 10,
-            longest: 1_000_000,
+            max_prompt_tokens: 1_000_000,
             resend_one_in: 0,
             expect: Expectation::Finished,
         }
@@ -66,17 +66,17 @@
     let mut random = Random(Pcg64::new(options.seed.into(), options.mix as u128));
     let kinds = options.mix.kinds();
     let long = options.mix.long_kind();
-    let times = arrivals(options, &mut random);
+    let times = arrival_times(options, &mut random);
     let mut entries = Vec::with_capacity(options.requests);
     for (index, at_ms) in times.into_iter().enumerate() {
-        // The long ones stand at fixed distances, so that small traces have their share too.
-        let kind = match index % LONG_ONE_IN {
-            place if place == LONG_ONE_IN / 2 => &long,
-            _ => pick(&kinds, &mut random),
+        // Fixed positions give small traces their share of long requests.
+        let kind = match index % LONG_REQUEST_INTERVAL {
+            position if position == LONG_REQUEST_INTERVAL / 2 => &long,
+            _ => pick_kind(&kinds, &mut random),
         };
-        entries.push(entry(options, kind, index, at_ms, &mut random));
+        entries.push(generate_entry(options, kind, index, at_ms, &mut random));
     }
-    let resends = resends(options, &entries, &mut random);
+    let resends = generate_resends(options, &entries, &mut random);
     entries.extend(resends);
     entries
 }
@@ -84,31 +84,33 @@
 struct Random(Pcg64);
 
 impl Random {
-    /// Between 0 and 1, 1 excluded.
-    fn unit(&mut self) -> f64 {
+    /// Returns a number in [0, 1).
+    fn uniform(&mut self) -> f64 {
         const BITS: u32 = 53;
         (self.0.next_u64() >> (u64::BITS - BITS)) as f64 / (1_u64 << BITS) as f64
     }
 
-    fn within(&mut self, range: &RangeInclusive<u64>) -> u64 {
+    /// Returns an integer of the range, uniformly distributed.
+    fn uniform_in(&mut self, range: &RangeInclusive<u64>) -> u64 {
         let width = range.end() - range.start() + 1;
-        range.start() + (self.unit() * width as f64) as u64
+        range.start() + (self.uniform() * width as f64) as u64
     }
 
-    /// Spreads the logarithm evenly.
-    fn log_within(&mut self, range: &RangeInclusive<u64>) -> u64 {
+    /// Returns an integer of the range whose logarithm is uniformly distributed.
+    fn log_uniform_in(&mut self, range: &RangeInclusive<u64>) -> u64 {
         let (low, high) = (*range.start() as f64, *range.end() as f64);
-        let value = low * (high / low).powf(self.unit());
+        let value = low * (high / low).powf(self.uniform());
         (value as u64).clamp(*range.start(), *range.end())
     }
 
+    /// Returns an exponentially distributed number with mean 1.
     fn exponential(&mut self) -> f64 {
-        -(1.0 - self.unit()).ln()
+        -(1.0 - self.uniform()).ln()
     }
 }
 
-/// Arrival times with bursts, stretched to the span.
-fn arrivals(options: &Options, random: &mut Random) -> Vec<u64> {
+/// Generates arrival times with bursts, scaled to the span of the trace.
+fn arrival_times(options: &Options, random: &mut Random) -> Vec<u64> {
     let period = options.requests as f64 / BURST_PERIODS;
     let mut times = Vec::with_capacity(options.requests);
     let mut now = 0.0;
@@ -123,45 +125,54 @@
         now += random.exponential() / rate;
     }
     let last = times.last().copied().unwrap_or(0.0).max(f64::MIN_POSITIVE);
-    let stretch = options.span_ms as f64 / last;
+    let scale = options.span_ms as f64 / last;
     times
         .into_iter()
-        .map(|time| (time * stretch) as u64)
+        .map(|time| (time * scale) as u64)
         .collect()
 }
 
-fn pick<'k>(kinds: &'k [Kind], random: &mut Random) -> &'k Kind {
+/// Picks a kind of request by share.
+fn pick_kind<'k>(kinds: &'k [Kind], random: &mut Random) -> &'k Kind {
     let total: u64 = kinds.iter().map(|kind| kind.share).sum();
-    let mut left = random.within(&(0..=total - 1));
+    let mut remaining = random.uniform_in(&(0..=total - 1));
     for kind in kinds {
-        if left < kind.share {
+        if remaining < kind.share {
             return kind;
         }
-        left -= kind.share;
+        remaining -= kind.share;
     }
     &kinds[0]
 }
 
-/// The number of a workspace; low ones are large.
-fn workspace(count: usize, random: &mut Random) -> usize {
+/// Picks the number of a workspace; low numbers are more frequent.
+fn pick_workspace(count: usize, random: &mut Random) -> usize {
     let weight = |number: usize| (number as f64).powf(-WORKSPACE_EXPONENT);
     let total: f64 = (1..=count).map(weight).sum();
-    let mut left = random.unit() * total;
+    let mut remaining = random.uniform() * total;
     for number in 1..count {
-        left -= weight(number);
-        if left < 0.0 {
+        remaining -= weight(number);
+        if remaining < 0.0 {
             return number;
         }
     }
     count
 }
 
-fn entry(options: &Options, kind: &Kind, index: usize, at_ms: u64, random: &mut Random) -> Entry {
-    let number = workspace(options.workspaces.max(1), random);
+fn generate_entry(
+    options: &Options,
+    kind: &Kind,
+    index: usize,
+    at_ms: u64,
+    random: &mut Random,
+) -> Entry {
+    let number = pick_workspace(options.workspaces.max(1), random);
     let workspace = format!("{}-{number:02}", options.mix.workspace_prefix());
     let prompt_tokens = match kind.prompt_tokens.end() {
         0 => 0,
-        _ => random.log_within(&kind.prompt_tokens).min(options.longest),
+        _ => random
+            .log_uniform_in(&kind.prompt_tokens)
+            .min(options.max_prompt_tokens),
     };
     let prefix_tokens = prompt_tokens * kind.prefix_percent / 100;
     let key = format!("{}-{}-{index}", options.mix.name(), options.seed);
@@ -172,7 +183,7 @@
         method: kind.method.to_owned(),
         path: kind.path.to_owned(),
         prompt_tokens,
-        max_tokens: random.within(&kind.max_tokens) as u32,
+        max_tokens: random.uniform_in(&kind.max_tokens) as u32,
         priority: kind.priority,
         deadline_ms: kind.deadline_ms,
         idempotent: kind.idempotent,
@@ -185,8 +196,8 @@
     }
 }
 
-/// Some keyed requests again, a while later, as callers do that lost the answer.
-fn resends(options: &Options, entries: &[Entry], random: &mut Random) -> Vec<Entry> {
+/// Resends some requests with an idempotency key, as callers that lost the answer do.
+fn generate_resends(options: &Options, entries: &[Entry], random: &mut Random) -> Vec<Entry> {
     const DELAY_MS: RangeInclusive<u64> = 1..=500;
     if options.resend_one_in == 0 {
         return Vec::new();
@@ -198,7 +209,7 @@
     keyed
         .step_by(options.resend_one_in)
         .map(|(index, entry)| Entry {
-            at_ms: entry.at_ms + random.within(&DELAY_MS),
+            at_ms: entry.at_ms + random.uniform_in(&DELAY_MS),
             resend_of: Some(index),
             expect: Expectation::Any,
             ..entry.clone()
--- a/crates/kumquatdrum_replay/src/latency.rs
+++ b/crates/kumquatdrum_replay/src/latency.rs
@@ -6,55 +6,55 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// The longest latency that is told apart: an hour, in microseconds.
-const LONGEST_MICROS: u64 = 3_600_000_000;
+/// Maximum recorded latency: one hour.
+const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Latencies as they are recorded.
+/// A histogram of latencies.
 #[derive(Debug, Clone)]
 pub struct Recorder(Histogram<u64>);
 
-/// The quantiles of some latencies, in microseconds.
+/// Quantiles of a set of latencies, in microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// How many latencies.
+    /// Number of latencies.
     pub count: u64,
-    /// Half are at or below it.
+    /// The 50th percentile.
     pub p50_us: u64,
-    /// 95 of a hundred are at or below it.
+    /// The 95th percentile.
     pub p95_us: u64,
-    /// 99 of a hundred are at or below it.
+    /// The 99th percentile.
     pub p99_us: u64,
 }
 
-/// Quantiles of one set of latencies over those of another, to three decimals.
+/// Quantiles of one set of latencies divided by those of another.
 ///
-/// Short decimals come back from JSON as they were; all digits of a quotient needn't.
+/// Ratios are rounded to three decimals so that they survive a round trip through JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Ratio {
-    /// Of the 50th percentiles.
+    /// Ratio of the 50th percentiles.
     pub p50: f64,
-    /// Of the 95th percentiles.
+    /// Ratio of the 95th percentiles.
     pub p95: f64,
-    /// Of the 99th percentiles.
+    /// Ratio of the 99th percentiles.
     pub p99: f64,
 }
 
 impl Default for Recorder {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_MICROS, SIGNIFICANT_DIGITS);
+        let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
         Self(histogram.expect("the bounds are valid"))
     }
 }
 
 impl Recorder {
-    /// Records a latency; one beyond an hour counts as an hour.
+    /// Records a latency, capped at one hour.
     pub fn record(&mut self, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         self.0.saturating_record(micros.max(1));
     }
 
-    /// The quantiles so far.
+    /// Returns the quantiles of the recorded latencies.
     ///
     /// ```
     /// use kumquatdrum_replay::latency::Recorder;
@@ -73,15 +73,15 @@
 }
 
 impl Quantiles {
-    /// These over others; `None` where either set is empty.
+    /// Divides by the quantiles of `base`; `None` if either set is empty.
     ///
     /// ```
     /// use kumquatdrum_replay::latency::Quantiles;
     /// let slow = Quantiles { count: 1, p50_us: 30, p95_us: 30, p99_us: 30 };
     /// let fast = Quantiles { count: 1, p50_us: 10, p95_us: 15, p99_us: 30 };
-    /// assert!((slow.over(&fast).unwrap().p95 - 2.0).abs() < 1e-9);
+    /// assert!((slow.ratio_to(&fast).unwrap().p95 - 2.0).abs() < 1e-9);
     /// ```
-    pub fn over(&self, base: &Self) -> Option<Ratio> {
+    pub fn ratio_to(&self, base: &Self) -> Option<Ratio> {
         let ratio = |top: u64, bottom: u64| round(top as f64 / bottom.max(1) as f64);
         (self.count > 0 && base.count > 0).then(|| Ratio {
             p50: ratio(self.p50_us, base.p50_us),
--- a/crates/kumquatdrum_replay/src/lib.rs
+++ b/crates/kumquatdrum_replay/src/lib.rs
@@ -1,7 +1,7 @@
-//! Recorded traces: generation, replay against a running system, judgement and report.
+//! Request traces: generation, replay against a running system, checks and report.
 //!
-//! A trace is a JSON Lines file of requests with their stated outcomes. [`replay`] sends it to a
-//! running system and judges each answer; [`load`] compares a path through a daemon with the
+//! A trace is a JSON Lines file of requests with their expected outcomes. [`replay`] sends it to a
+//! running system and checks each answer; [`load`] compares the path through a daemon with the
 //! straight path to an engine.
 
 pub mod client;
--- a/crates/kumquatdrum_replay/src/load.rs
+++ b/crates/kumquatdrum_replay/src/load.rs
@@ -1,8 +1,8 @@
-//! Load at a fixed rate, through a daemon and straight to an engine in one run.
+//! Sends load at a fixed rate through a daemon and straight to an engine in one run.
 //!
-//! Both paths get the same requests at the same rate, each half a period after the other's, so that
-//! whatever else the machine does weighs on both. Load goes to loopback addresses only, and is
-//! bounded in rate, count and time.
+//! Both paths get the same requests at the same rate, interleaved, so that other activity of the
+//! machine affects both. Load is sent to loopback addresses only, and bounded in rate, count and
+//! duration.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -21,110 +21,110 @@
 use crate::trace::{Entry, Expectation};
 use crate::usage::Usage;
 
-/// The highest rate of one path, in requests a second.
-pub const RATE_LIMIT: f64 = 5_000.0;
-/// The most requests of one path.
-pub const COUNT_LIMIT: usize = 100_000;
-/// The longest time for which requests are sent.
-pub const TIME_LIMIT: Duration = Duration::from_secs(120);
+/// Maximum rate of one path, in requests per second.
+pub const MAX_RATE: f64 = 5_000.0;
+/// Maximum number of requests on one path.
+pub const MAX_COUNT: usize = 100_000;
+/// Maximum time for which requests are sent.
+pub const MAX_DURATION: Duration = Duration::from_secs(120);
 
-/// What to send, and where.
+/// Parameters of a load run.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The path through the system.
+    /// The path through the daemon.
     pub through: Path,
-    /// The straight path.
+    /// The path straight to an engine.
     pub straight: Path,
-    /// Requests a second on each path.
+    /// Requests per second on each path.
     pub rate: f64,
-    /// Requests on each path.
+    /// Number of requests on each path.
     pub count: usize,
-    /// Requests at the beginning that aren't measured, as connections are being opened.
+    /// Number of first requests that aren't measured, as they open the connections.
     pub warm_up: usize,
-    /// Length of the prompts, in tokens.
+    /// Length of each prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Length of the answers, in tokens.
+    /// Length of each answer, in tokens.
     pub max_tokens: u32,
-    /// Bytes of text for each token.
+    /// Bytes of prompt text per token.
     pub bytes_per_token: f64,
-    /// Time that a request may take.
+    /// Deadline of each request.
     pub deadline: Duration,
-    /// The daemon, whose CPU time and memory are measured.
+    /// Process id of the daemon, to measure its CPU time and memory.
     pub pid: Option<u32>,
 }
 
 /// One path to an engine.
 #[derive(Debug, Clone)]
 pub struct Path {
-    /// Where it begins.
+    /// The address to send to.
     pub address: SocketAddr,
-    /// The service asked for.
+    /// The requested service.
     pub service: String,
-    /// The workspace's key; none straight to an engine.
+    /// The workspace's key; `None` for the path straight to an engine.
     pub key: Option<String>,
 }
 
-/// A load that isn't sent.
+/// Reason why a load run fails.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The address isn't a loopback one.
-    #[error("load goes to loopback addresses only, not to {0}")]
+    /// The address isn't a loopback address.
+    #[error("load is sent to loopback addresses only, not to {0}")]
     NotLoopback(SocketAddr),
     /// The rate is out of bounds.
-    #[error("the rate must be above 0 and at most {RATE_LIMIT} requests a second")]
-    Rate,
+    #[error("the rate must be above 0 and at most {MAX_RATE} requests per second")]
+    InvalidRate,
     /// The count is out of bounds.
-    #[error("the count must exceed the warm-up and be at most {COUNT_LIMIT} requests")]
-    Count,
-    /// It would take too long.
-    #[error("the load would take longer than {} s", TIME_LIMIT.as_secs())]
-    Time,
-    /// The HTTP client can't be made.
-    #[error("the HTTP client can't be made: {0}")]
+    #[error("the count must exceed the warm-up and be at most {MAX_COUNT} requests")]
+    InvalidCount,
+    /// The run would take too long.
+    #[error("the load would take longer than {} s", MAX_DURATION.as_secs())]
+    TooLong,
+    /// The HTTP client can't be created.
+    #[error("cannot create the HTTP client: {0}")]
     Client(#[from] reqwest::Error),
-    /// The daemon's usage can't be read.
-    #[error("the daemon's usage can't be read: {0}")]
+    /// The daemon's CPU time or memory can't be read.
+    #[error("cannot read the CPU time and memory of the daemon: {0}")]
     Usage(#[from] std::io::Error),
 }
 
-/// Both paths side by side.
+/// Results of both paths.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// Requests a second on each path.
+    /// Requests per second on each path.
     pub rate: f64,
-    /// Tokens a second on each path.
+    /// Tokens per second on each path.
     pub tokens_per_second: f64,
-    /// The path through the system.
+    /// The path through the daemon.
     pub through: Summary,
-    /// The straight path.
+    /// The path straight to an engine.
     pub straight: Summary,
-    /// First-token times of the former over those of the latter.
+    /// First-token times through the daemon divided by those of the straight path.
     pub first_token_ratio: Option<Ratio>,
-    /// Times of whole answers of the former over those of the latter.
+    /// Times of complete answers through the daemon divided by those of the straight path.
     pub total_ratio: Option<Ratio>,
-    /// What the daemon used, where its process was named.
+    /// CPU and memory of the daemon, if its process id was given.
     pub daemon: Option<Daemon>,
 }
 
-/// One path.
+/// Results of one path.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Whole answers.
+    /// Complete answers.
     pub finished: u64,
-    /// All other ends.
+    /// All other outcomes.
     pub others: u64,
     /// Errors by code.
     pub codes: IndexMap<String, u64>,
-    /// First-token times of whole answers.
+    /// First-token times of complete answers.
     pub first_token: Quantiles,
-    /// Times of whole answers.
+    /// Times of complete answers.
     pub total: Quantiles,
 }
 
-/// What the daemon used under the load.
+/// CPU and memory of the daemon under load.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Daemon {
-    /// The share of one core.
+    /// CPU time as a share of one core.
     pub core_share: f64,
     /// Resident memory at the end, in bytes.
     pub resident_bytes: u64,
@@ -132,20 +132,20 @@
 
 /// Sends the load and compares the paths.
 pub async fn run(options: &Options) -> Result<Comparison, Error> {
-    check(options)?;
+    validate(options)?;
     let through = reqwest::Client::builder().tcp_nodelay(true).build()?;
     let straight = reqwest::Client::builder().tcp_nodelay(true).build()?;
-    let before = options.pid.map(Usage::of).transpose()?;
+    let before = options.pid.map(Usage::read).transpose()?;
     let start = Instant::now();
     let (through, straight) = send(options, &through, &straight).await;
     let elapsed = start.elapsed();
-    let after = options.pid.map(Usage::of).transpose()?;
+    let after = options.pid.map(Usage::read).transpose()?;
     Ok(Comparison {
         rate: options.rate,
         tokens_per_second: options.rate
             * (options.prompt_tokens as f64 + f64::from(options.max_tokens)),
-        first_token_ratio: through.first_token.over(&straight.first_token),
-        total_ratio: through.total.over(&straight.total),
+        first_token_ratio: through.first_token.ratio_to(&straight.first_token),
+        total_ratio: through.total.ratio_to(&straight.total),
         through,
         straight,
         daemon: before.zip(after).map(|(before, after)| Daemon {
@@ -155,19 +155,19 @@
     })
 }
 
-fn check(options: &Options) -> Result<(), Error> {
+fn validate(options: &Options) -> Result<(), Error> {
     let addresses = [options.through.address, options.straight.address];
-    let foreign = addresses
+    let remote = addresses
         .into_iter()
         .find(|address| !address.ip().is_loopback());
     let seconds = options.count as f64 / options.rate;
-    match foreign {
+    match remote {
         Some(address) => Err(Error::NotLoopback(address)),
-        None if !(options.rate > 0.0 && options.rate <= RATE_LIMIT) => Err(Error::Rate),
-        None if options.count <= options.warm_up || options.count > COUNT_LIMIT => {
-            Err(Error::Count)
+        None if !(options.rate > 0.0 && options.rate <= MAX_RATE) => Err(Error::InvalidRate),
+        None if options.count <= options.warm_up || options.count > MAX_COUNT => {
+            Err(Error::InvalidCount)
         }
-        None if seconds > TIME_LIMIT.as_secs_f64() => Err(Error::Time),
+        None if seconds > MAX_DURATION.as_secs_f64() => Err(Error::TooLong),
         None => Ok(()),
     }
 }
@@ -177,12 +177,12 @@
     through: &reqwest::Client,
     straight: &reqwest::Client,
 ) -> (Summary, Summary) {
-    let run = run_name();
+    let run = unique_run_name();
     let period = Duration::from_secs_f64(1.0 / options.rate);
     let start = Instant::now();
     let mut paths = [
-        Running::new(&options.through, through, "through"),
-        Running::new(&options.straight, straight, "straight"),
+        Sender::new(&options.through, through, "through"),
+        Sender::new(&options.straight, straight, "straight"),
     ];
     for index in 0..options.count {
         for (half, path) in paths.iter_mut().enumerate() {
@@ -195,20 +195,20 @@
     (through.join().await, straight.join().await)
 }
 
-fn run_name() -> String {
+fn unique_run_name() -> String {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     format!("load-{:x}", since.map_or(0, |elapsed| elapsed.as_micros()))
 }
 
-/// One path under load.
-struct Running<'a> {
+/// Sends the requests of one path.
+struct Sender<'a> {
     path: &'a Path,
     http: &'a reqwest::Client,
     name: &'static str,
     tasks: JoinSet<Option<Observation>>,
 }
 
-impl<'a> Running<'a> {
+impl<'a> Sender<'a> {
     fn new(path: &'a Path, http: &'a reqwest::Client, name: &'static str) -> Self {
         Self {
             path,
@@ -234,8 +234,8 @@
         let http = self.http.clone();
         let is_measured = index >= options.warm_up;
         self.tasks.spawn(async move {
-            let seen = client::send(&http, &request).await;
-            is_measured.then_some(seen)
+            let observation = client::send(&http, &request).await;
+            is_measured.then_some(observation)
         });
     }
 
@@ -246,13 +246,15 @@
         let mut others = 0;
         while let Some(ended) = self.tasks.join_next().await {
             match ended.ok().flatten() {
-                Some(seen) if seen.outcome == Outcome::Finished => {
-                    first_token.record(seen.first_token.unwrap_or(seen.total));
-                    total.record(seen.total);
+                Some(observation) if observation.outcome == Outcome::Finished => {
+                    first_token.record(observation.first_token.unwrap_or(observation.total));
+                    total.record(observation.total);
                 }
-                Some(seen) => {
+                Some(observation) => {
                     others += 1;
-                    *codes.entry(seen.code.unwrap_or_default()).or_default() += 1;
+                    *codes
+                        .entry(observation.code.unwrap_or_default())
+                        .or_default() += 1;
                 }
                 None => {}
             }
--- a/crates/kumquatdrum_replay/src/mix.rs
+++ b/crates/kumquatdrum_replay/src/mix.rs
@@ -1,46 +1,46 @@
-//! What the two users ask, and how often.
+//! Request mixes of the two users.
 
 use std::ops::RangeInclusive;
 
-/// A user's mix of requests.
+/// The request mix of a user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
-    /// Salons: many short cards, plain stock checks and reorders, few long histories.
+    /// Salons: many short prompts, some calls to plain services, few long prompts.
     Toonikaart,
-    /// The Treasury Desk: term sheets, confirmations, schedules and counterparty packs.
+    /// The treasury desk: mostly medium prompts, some calls to plain services, few long prompts.
     Treasury,
 }
 
 /// One kind of request of a mix.
 #[derive(Debug, Clone)]
 pub struct Kind {
-    /// How many of a hundred requests are of this kind, long ones apart.
+    /// Share of this kind among the requests that aren't long, in percent.
     pub share: u64,
-    /// The service that is asked.
+    /// The requested service.
     pub service: &'static str,
     /// The HTTP method.
     pub method: &'static str,
-    /// The path.
+    /// The HTTP path.
     pub path: &'static str,
-    /// Length of the prompt, in tokens; the logarithm is spread evenly.
+    /// Length of the prompt, in tokens, log-uniformly distributed.
     pub prompt_tokens: RangeInclusive<u64>,
     /// Length of the answer, in tokens.
     pub max_tokens: RangeInclusive<u64>,
-    /// Lower goes first.
+    /// Priority; lower values are served first.
     pub priority: u32,
-    /// Time that the request may take.
+    /// Deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether it may be repeated; what may not be carries an idempotency key.
+    /// Whether the request may be repeated; otherwise it has an idempotency key.
     pub idempotent: bool,
-    /// The share of the prompt that a workspace's requests of this kind have in common, in percent.
+    /// Share of the prompt that a workspace's requests of this kind have in common, in percent.
     pub prefix_percent: u64,
 }
 
-const TEXT: &str = "/v1/completions";
-const CHAT: &str = "/v1/chat/completions";
+const TEXT_PATH: &str = "/v1/completions";
+const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// A request to a model.
-const fn completion(
+/// Describes requests to a model.
+const fn completion_kind(
     share: u64,
     service: &'static str,
     path: &'static str,
@@ -62,8 +62,8 @@
     }
 }
 
-/// A call of a plain service.
-const fn call(
+/// Describes calls to a plain service.
+const fn call_kind(
     share: u64,
     service: &'static str,
     method: &'static str,
@@ -85,7 +85,7 @@
 }
 
 impl Mix {
-    /// The name of the mix, also the beginning of its idempotency keys.
+    /// Returns the name of the mix, which also prefixes its idempotency keys.
     ///
     /// ```
     /// assert_eq!(kumquatdrum_replay::Mix::Treasury.name(), "treasury");
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The beginning of the names of its workspaces, which end in a number from 01.
+    /// Returns the prefix of the workspace names, which end in a number from 01.
     pub const fn workspace_prefix(self) -> &'static str {
         match self {
             Self::Toonikaart => "salon",
@@ -105,36 +105,36 @@
         }
     }
 
-    /// The kinds of requests below 100,000 tokens; their shares add up to a hundred.
+    /// Returns the kinds of requests below 100,000 tokens, whose shares add up to 100.
     pub fn kinds(self) -> Vec<Kind> {
         match self {
             Self::Toonikaart => vec![
-                // Shade-match cards and stock checks return at once; histories may wait.
-                completion(58, "formula-llm", TEXT, 1_000..=2_500, 0, 10_000),
-                completion(20, "formula-llm", CHAT, 2_000..=8_000, 1, 20_000),
-                completion(8, "formula-llm", TEXT, 10_000..=90_000, 4, 60_000),
-                call(8, "salon-api", "GET", "/stock/developer", true),
-                call(6, "salon-api", "POST", "/orders", false),
+                // Short prompts have the highest priority, long ones the lowest.
+                completion_kind(58, "formula-llm", TEXT_PATH, 1_000..=2_500, 0, 10_000),
+                completion_kind(20, "formula-llm", CHAT_PATH, 2_000..=8_000, 1, 20_000),
+                completion_kind(8, "formula-llm", TEXT_PATH, 10_000..=90_000, 4, 60_000),
+                call_kind(8, "salon-api", "GET", "/stock/developer", true),
+                call_kind(6, "salon-api", "POST", "/orders", false),
             ],
             Self::Treasury => vec![
-                completion(38, "confdraft-llm", CHAT, 1_000..=6_000, 1, 20_000),
+                completion_kind(38, "confdraft-llm", CHAT_PATH, 1_000..=6_000, 1, 20_000),
                 Kind {
                     idempotent: false,
-                    ..completion(22, "confdraft-llm", TEXT, 4_000..=20_000, 2, 30_000)
+                    ..completion_kind(22, "confdraft-llm", TEXT_PATH, 4_000..=20_000, 2, 30_000)
                 },
-                completion(20, "confdraft-llm", TEXT, 20_000..=99_000, 2, 60_000),
-                call(12, "treasury-portal", "GET", "/trades/open", true),
-                call(8, "treasury-portal", "POST", "/confirmations", false),
+                completion_kind(20, "confdraft-llm", TEXT_PATH, 20_000..=99_000, 2, 60_000),
+                call_kind(12, "treasury-portal", "GET", "/trades/open", true),
+                call_kind(8, "treasury-portal", "POST", "/confirmations", false),
             ],
         }
     }
 
-    /// The requests of 100,000 tokens and more.
+    /// Returns the kind of the requests of 100,000 tokens and more.
     pub fn long_kind(self) -> Kind {
         const LONG: RangeInclusive<u64> = 100_000..=1_000_000;
         match self {
-            Self::Toonikaart => completion(0, "formula-llm", TEXT, LONG, 6, 300_000),
-            Self::Treasury => completion(0, "confdraft-llm", TEXT, LONG, 1, 120_000),
+            Self::Toonikaart => completion_kind(0, "formula-llm", TEXT_PATH, LONG, 6, 300_000),
+            Self::Treasury => completion_kind(0, "confdraft-llm", TEXT_PATH, LONG, 1, 120_000),
         }
     }
 }
--- a/crates/kumquatdrum_replay/src/outcome.rs
+++ b/crates/kumquatdrum_replay/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request of a trace ended, and whether that meets its stated outcome.
+//! Outcomes of requests, and checks against the expected outcome.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 
 use crate::trace::{Entry, Expectation};
 
-/// How a request ended, as its caller saw it.
+/// Outcome of a request, as observed by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The whole answer came, and it is the answer to this request.
+    /// The complete and correct answer was received.
     Finished,
-    /// The request ran and did not finish.
+    /// The request ran and didn't finish.
     Failed,
     /// The caller was told that nothing ran.
     NotRun,
-    /// What became of it could not be learnt.
+    /// It is unknown whether the request ran.
     Unknown,
-    /// An answer came that isn't the answer to this request.
+    /// The answer belongs to another request or is wrong.
     Crossed,
 }
 
@@ -33,40 +33,42 @@
     }
 }
 
-/// What a caller saw of one request.
+/// Observation of one request by its caller.
 #[derive(Debug, Clone)]
 pub struct Observation {
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The error's code, the system's own or one of this client's.
+    /// Error code, of the system or of this client.
     pub code: Option<String>,
-    /// When to come back, where the answer said so.
+    /// Time to wait before a retry, if the answer states one.
     pub retry_after: Option<Duration>,
     /// Time to the first token, or to the answer of a plain service.
     pub first_token: Option<Duration>,
-    /// Time to the answer's end.
+    /// Time to the end of the answer.
     pub total: Duration,
 }
 
-/// What is wrong with an observation.
+/// Violation of an expectation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Violation {
-    /// Another outcome than the stated one.
+    /// The outcome isn't the expected one.
     Outcome,
-    /// The answer came after the deadline.
+    /// The answer ended after the deadline.
     Late,
-    /// Another request's answer.
+    /// The answer belongs to another request or is wrong.
     Crossed,
-    /// A refusal that is worth a retry doesn't say when to come back.
+    /// A retryable refusal states no time to wait before a retry.
     NoRetryAfter,
 }
 
-/// Judges an observation; `slack` is added to the deadline for the way back to the caller.
+/// Returns the violations of an observation.
+///
+/// `slack` is added to the deadline to allow for the transport of the answer.
 ///
 /// ```
 /// use std::time::Duration;
-/// use kumquatdrum_replay::outcome::{Observation, Outcome, Violation, judge};
+/// use kumquatdrum_replay::outcome::{Observation, Outcome, Violation, find_violations};
 ///
 /// let entry = &kumquatdrum_replay::generate(&Default::default())[0];
 /// let late = Observation {
@@ -76,20 +78,24 @@
 ///     first_token: Some(Duration::from_millis(3)),
 ///     total: Duration::from_millis(entry.deadline_ms + 1),
 /// };
-/// assert_eq!(judge(entry, &late, Duration::ZERO), [Violation::Late]);
+/// assert_eq!(find_violations(entry, &late, Duration::ZERO), [Violation::Late]);
 /// ```
-pub fn judge(entry: &Entry, seen: &Observation, slack: Duration) -> Vec<Violation> {
+pub fn find_violations(
+    entry: &Entry,
+    observation: &Observation,
+    slack: Duration,
+) -> Vec<Violation> {
     let deadline = Duration::from_millis(entry.deadline_ms) + slack;
     let found = [
-        (seen.outcome == Outcome::Crossed).then_some(Violation::Crossed),
-        (!meets(entry.expect, seen.outcome)).then_some(Violation::Outcome),
-        (seen.total > deadline).then_some(Violation::Late),
-        lacks_retry_after(seen).then_some(Violation::NoRetryAfter),
+        (observation.outcome == Outcome::Crossed).then_some(Violation::Crossed),
+        (!is_expected(entry.expect, observation.outcome)).then_some(Violation::Outcome),
+        (observation.total > deadline).then_some(Violation::Late),
+        lacks_retry_after(observation).then_some(Violation::NoRetryAfter),
     ];
     found.into_iter().flatten().collect()
 }
 
-const fn meets(expect: Expectation, outcome: Outcome) -> bool {
+const fn is_expected(expect: Expectation, outcome: Outcome) -> bool {
     match expect {
         Expectation::Finished => matches!(outcome, Outcome::Finished),
         Expectation::NotRun => matches!(outcome, Outcome::NotRun),
@@ -99,10 +105,10 @@
     }
 }
 
-fn lacks_retry_after(seen: &Observation) -> bool {
-    let code = seen.code.as_deref().unwrap_or_default();
+fn lacks_retry_after(observation: &Observation) -> bool {
+    let code = observation.code.as_deref().unwrap_or_default();
     let refusal: Option<Refusal> = serde_json::from_value(code.into()).ok();
-    seen.outcome == Outcome::NotRun
+    observation.outcome == Outcome::NotRun
         && refusal.is_some_and(Refusal::is_retryable)
-        && seen.retry_after.is_none()
+        && observation.retry_after.is_none()
 }
--- a/crates/kumquatdrum_replay/src/prompt.rs
+++ b/crates/kumquatdrum_replay/src/prompt.rs
@@ -1,11 +1,11 @@
-//! Prompts generated from their length, and the answers that stand-in engines give to them.
+//! Generates prompts of a given length, and the answers that stand-in engines give to them.
 
 use kumquatdrum_types::digest;
 
 use crate::trace::Entry;
 
-/// Hexadecimal digits of the prompt's digest that stand in each token of an answer.
-const ANSWER_DIGITS: usize = 8;
+/// Hexadecimal digits of the prompt's digest in each token of an answer.
+const TOKEN_DIGEST_DIGITS: usize = 8;
 
 const WORDS: [&str; 16] = [
     "level",
@@ -26,12 +26,12 @@
     "cutoff",
 ];
 
-/// How long generated prompts are.
+/// Scale of generated prompts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Size {
-    /// Factor on the trace's prompt lengths, so that small stand-ins run quickly.
+    /// Factor on the prompt lengths of the trace.
     pub scale: f64,
-    /// Bytes of text for each token sent; a small number keeps long prompts cheap to send.
+    /// Bytes of text per token; a small number makes long prompts cheap to send.
     pub bytes_per_token: f64,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Size {
-    /// Tokens that are sent in place of a trace's tokens, at least one.
+    /// Returns the scaled number of tokens, at least one.
     ///
     /// ```
     /// use kumquatdrum_replay::prompt::Size;
@@ -61,8 +61,8 @@
     }
 }
 
-/// The prompt of an entry: its shared beginning, a line with `name`, which makes it unlike any
-/// other, and words up to its length.
+/// Returns the prompt of an entry: its shared prefix, a line with the unique `name`, and words up
+/// to its length.
 ///
 /// ```
 /// use kumquatdrum_replay::{generator, prompt};
@@ -85,37 +85,39 @@
     text
 }
 
+/// Hashes a name to the index of the first word.
 fn seed(name: &str) -> usize {
     name.bytes().fold(0, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
     })
 }
 
+/// Appends words until the text has the given length.
 fn fill(text: &mut String, seed: usize, length: usize) {
     let mut word = seed;
     while text.len() < length {
         text.push_str(WORDS[word % WORDS.len()]);
         text.push(' ');
-        // An odd step visits every word.
+        // An odd step reaches every word, as their number is a power of two.
         word = word.wrapping_add(seed | 1);
     }
 }
 
-/// The answer that a stand-in engine gives to a prompt with this SHA-256 digest.
+/// Returns the answer of a stand-in engine to a prompt with this SHA-256 digest.
 ///
 /// ```
 /// let digest = kumquatdrum_types::digest::hex(b"shade card");
 /// assert!(kumquatdrum_replay::prompt::answer(&digest, 2).starts_with("t0:"));
 /// ```
 pub fn answer(prompt_digest: &str, tokens: u32) -> String {
-    let digits = &prompt_digest[..ANSWER_DIGITS];
+    let digits = &prompt_digest[..TOKEN_DIGEST_DIGITS];
     let tokens: Vec<String> = (0..tokens)
         .map(|index| format!("t{index}:{digits} "))
         .collect();
     tokens.concat()
 }
 
-/// The digest of a prompt's text.
+/// Returns the SHA-256 digest of a prompt's text.
 pub fn digest(text: &str) -> String {
     digest::hex(text.as_bytes())
 }
--- a/crates/kumquatdrum_replay/src/replay.rs
+++ b/crates/kumquatdrum_replay/src/replay.rs
@@ -1,4 +1,4 @@
-//! Sends a trace to a running system and judges each answer.
+//! Sends a trace to a running system and checks each answer.
 
 use std::io::{IsTerminal, Write, stderr};
 use std::net::SocketAddr;
@@ -17,45 +17,45 @@
 use crate::report::{Record, Report};
 use crate::trace::{Entry, key_names};
 
-/// Requests are made this long before they are sent, as long prompts take a while to make.
-const PREPARATION: Duration = Duration::from_millis(300);
-/// Time between two lines of progress.
+/// Time before sending at which a request is built, as long prompts take a while to generate.
+const PREPARATION_TIME: Duration = Duration::from_millis(300);
+/// Time between two updates of the progress line.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// To whom and how a trace is replayed.
+/// Targets and parameters of a replay.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The callers' listeners of entry hosts, taken in turn.
+    /// Caller listeners of entry hosts, used in turn.
     pub targets: Vec<SocketAddr>,
-    /// Endpoints by service, taken in turn: where there are any, requests go straight to them, past
-    /// the system, for a comparison.
+    /// Endpoints by service, used in turn. If any are given, requests are sent straight to them
+    /// instead of to the system.
     pub endpoints: IndexMap<String, Vec<SocketAddr>>,
-    /// Workspace keys by the names that the trace uses.
+    /// Workspace keys by their names in the trace.
     pub keys: IndexMap<String, String>,
-    /// How long prompts are.
+    /// Scale of the prompts.
     pub size: Size,
-    /// What tells this replay from every other one against the same system.
+    /// Name of the replay, unique among all replays against the same system.
     pub run: String,
-    /// Added to deadlines for the way back to the caller.
+    /// Time added to deadlines to allow for the transport of answers.
     pub slack: Duration,
-    /// Control ports of stand-ins, whose counts are compared with the answers.
+    /// Control ports of stand-ins whose counts are compared with the answers.
     pub controls: Vec<SocketAddr>,
-    /// What the short requests' first-token times are compared with.
+    /// Baseline for the first-token times of short requests.
     pub baseline: Baseline,
-    /// The longest prompt of a short request, in the trace's tokens.
+    /// Maximum prompt length of a short request, in unscaled tokens.
     pub short_limit: u64,
 }
 
-/// What the short requests' first-token times are compared with.
+/// Baseline for the first-token times of short requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Baseline {
-    /// Nothing.
+    /// No baseline.
     #[default]
     None,
-    /// A replay, before the main one, of the trace without its longer requests.
+    /// A preceding replay of the short requests alone.
     ShortAlone,
-    /// This many short requests, one after the other, sent to the idle system before the replay;
-    /// the trace's percentiles are then taken over the probes' median.
+    /// This many short requests, sent one after the other to the idle system before the replay.
+    /// All percentiles of the replay are divided by the median of these probes.
     IdleProbe(u32),
 }
 
@@ -77,38 +77,38 @@
     }
 }
 
-/// A replay that can't be made.
+/// Reason why a replay fails.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The trace has no requests.
+    /// The trace is empty.
     #[error("the trace is empty")]
     Empty,
-    /// No target.
+    /// No target is given.
     #[error("no target is given")]
     NoTarget,
-    /// Services that the trace asks have no endpoint to go straight to.
+    /// Services of the trace have no endpoint.
     #[error("no endpoint is given for {}", .0.join(", "))]
     MissingEndpoints(Vec<String>),
-    /// Keys that the trace uses aren't given.
+    /// Keys of the trace are missing.
     #[error("no key is given for {}", .0.join(", "))]
     MissingKeys(Vec<String>),
-    /// A stand-in's counts can't be read.
-    #[error("the counts of a stand-in can't be read: {0}")]
+    /// The counts of a stand-in can't be read.
+    #[error("cannot read the counts of a stand-in: {0}")]
     Counters(reqwest::Error),
-    /// The HTTP client can't be made.
-    #[error("the HTTP client can't be made: {0}")]
+    /// The HTTP client can't be created.
+    #[error("cannot create the HTTP client: {0}")]
     Client(reqwest::Error),
 }
 
 /// Replays a trace.
 pub async fn run(trace: &[Entry], options: &Options) -> Result<Report, Error> {
-    check(trace, options)?;
+    validate(trace, options)?;
     let http = reqwest::Client::builder()
         .tcp_nodelay(true)
         .pool_max_idle_per_host(usize::MAX)
         .build()
         .map_err(Error::Client)?;
-    let baseline = baseline(&http, trace, options).await;
+    let baseline = measure_baseline(&http, trace, options).await;
     let started = Instant::now();
     let mut records = send_all(&http, trace, options, &options.run, |_| true).await;
     let elapsed = started.elapsed();
@@ -131,38 +131,38 @@
     ))
 }
 
-fn check(trace: &[Entry], options: &Options) -> Result<(), Error> {
+fn validate(trace: &[Entry], options: &Options) -> Result<(), Error> {
     match () {
         () if trace.is_empty() => Err(Error::Empty),
-        () if !options.endpoints.is_empty() => check_endpoints(trace, options),
+        () if !options.endpoints.is_empty() => validate_endpoints(trace, options),
         () if options.targets.is_empty() => Err(Error::NoTarget),
-        () => check_keys(trace, options),
+        () => validate_keys(trace, options),
     }
 }
 
-fn check_endpoints(trace: &[Entry], options: &Options) -> Result<(), Error> {
-    let has_some = |service: &str| {
+fn validate_endpoints(trace: &[Entry], options: &Options) -> Result<(), Error> {
+    let has_endpoint = |service: &str| {
         let endpoints = options.endpoints.get(service);
         endpoints.is_some_and(|endpoints| !endpoints.is_empty())
     };
     let missing: IndexSet<&str> = trace
         .iter()
         .map(|entry| entry.service.as_str())
-        .filter(|service| !has_some(service))
+        .filter(|service| !has_endpoint(service))
         .collect();
     if missing.is_empty() {
         Ok(())
     } else {
-        Err(Error::MissingEndpoints(owned(missing)))
+        Err(Error::MissingEndpoints(to_owned_names(missing)))
     }
 }
 
-fn owned<'n>(names: impl IntoIterator<Item = &'n str>) -> Vec<String> {
+fn to_owned_names<'n>(names: impl IntoIterator<Item = &'n str>) -> Vec<String> {
     names.into_iter().map(str::to_owned).collect()
 }
 
-fn check_keys(trace: &[Entry], options: &Options) -> Result<(), Error> {
-    let missing = owned(
+fn validate_keys(trace: &[Entry], options: &Options) -> Result<(), Error> {
+    let missing = to_owned_names(
         key_names(trace)
             .into_iter()
             .filter(|name| !options.keys.contains_key(*name)),
@@ -174,8 +174,8 @@
     }
 }
 
-/// First-token times of short requests without long ones present.
-async fn baseline(
+/// Sends the short requests of the baseline.
+async fn measure_baseline(
     http: &reqwest::Client,
     trace: &[Entry],
     options: &Options,
@@ -192,11 +192,11 @@
                 .filter(|(_, entry)| is_short(entry))
                 .collect();
             let mut records = Vec::new();
-            // Spread over all of them, as their lengths differ.
+            // Probes are spread over all short requests, as prompt lengths differ.
             let step = (short.len() / count.max(1) as usize).max(1);
-            let probed = short.iter().cycle().step_by(step);
-            for (number, &(index, entry)) in (0..count).zip(probed) {
-                let probe = Probe {
+            let entries = short.iter().cycle().step_by(step);
+            for (number, &(index, entry)) in (0..count).zip(entries) {
+                let job = Job {
                     index,
                     entry: Entry {
                         idempotent: true,
@@ -205,8 +205,8 @@
                     },
                     name: format!("{run}-{number}"),
                 };
-                let request = probe.request(options, &run);
-                records.push(probe.record(http, request).await);
+                let request = job.request(options, &run);
+                records.push(job.record(http, request).await);
             }
             Some(records)
         }
@@ -218,21 +218,22 @@
     !entry.is_plain() && entry.prompt_tokens <= short_limit
 }
 
-/// One request about to be sent.
-struct Probe {
+/// One request to be sent.
+struct Job {
     index: usize,
     entry: Entry,
     name: String,
 }
 
-impl Probe {
+impl Job {
+    /// Returns the address to send to.
     fn target(&self, options: &Options) -> SocketAddr {
         let endpoints = options.endpoints.get(&self.entry.service);
-        let choice = endpoints.unwrap_or(&options.targets);
-        choice[self.index % choice.len()]
+        let targets = endpoints.unwrap_or(&options.targets);
+        targets[self.index % targets.len()]
     }
 
-    /// The workspace's key; none for a request straight to an endpoint.
+    /// Returns the workspace's key; `None` for a request straight to an endpoint.
     fn bearer<'o>(&self, options: &'o Options) -> Option<&'o str> {
         let key = options.keys.get(&self.entry.key);
         key.filter(|_| options.endpoints.is_empty())
@@ -250,44 +251,45 @@
         Request::new(&self.entry, &route)
     }
 
+    /// Sends the request and records the observation.
     async fn record(&self, http: &reqwest::Client, request: Request) -> Record {
-        let seen: Observation = client::send(http, &request).await;
+        let observation: Observation = client::send(http, &request).await;
         let identity: Identity = request.identity().clone();
         Record {
             index: self.index,
             identity,
-            seen,
+            observation,
         }
     }
 }
 
-/// Sends the entries that `keep` keeps, each at its time, and waits for all answers.
+/// Sends the entries for which `is_included` holds, each at its time, and waits for all answers.
 async fn send_all(
     http: &reqwest::Client,
     trace: &[Entry],
     options: &Options,
     run: &str,
-    keep: impl Fn(&Entry) -> bool,
+    is_included: impl Fn(&Entry) -> bool,
 ) -> Vec<Record> {
     let shared = Arc::new((options.clone(), run.to_owned()));
-    let mut order: Vec<usize> = (0..trace.len())
-        .filter(|index| keep(&trace[*index]))
+    let mut indices: Vec<usize> = (0..trace.len())
+        .filter(|index| is_included(&trace[*index]))
         .collect();
-    order.sort_by_key(|index| trace[*index].at_ms);
-    let zero = Instant::now() + PREPARATION;
-    let mut progress = Progress::new(order.len());
+    indices.sort_by_key(|index| trace[*index].at_ms);
+    let started_at = Instant::now() + PREPARATION_TIME;
+    let mut progress = Progress::new(indices.len());
     let mut tasks = JoinSet::new();
-    let mut records = Vec::with_capacity(order.len());
-    for index in order {
-        let at = zero + Duration::from_millis(trace[index].at_ms);
-        sleep_until(at - PREPARATION).await;
-        let named = trace[index].resend_of.unwrap_or(index);
-        let probe = Probe {
+    let mut records = Vec::with_capacity(indices.len());
+    for index in indices {
+        let at = started_at + Duration::from_millis(trace[index].at_ms);
+        sleep_until(at - PREPARATION_TIME).await;
+        let original = trace[index].resend_of.unwrap_or(index);
+        let job = Job {
             index,
             entry: trace[index].clone(),
-            name: format!("{run}-{named}"),
+            name: format!("{run}-{original}"),
         };
-        tasks.spawn(send_at(http.clone(), probe, Arc::clone(&shared), at));
+        tasks.spawn(send_at(http.clone(), job, Arc::clone(&shared), at));
         while let Some(ended) = tasks.try_join_next() {
             records.extend(ended);
         }
@@ -297,27 +299,28 @@
         records.extend(ended);
         progress.show(records.len());
     }
-    progress.end();
+    progress.finish();
     records
 }
 
+/// Builds a request ahead of time and sends it at `at`.
 async fn send_at(
     http: reqwest::Client,
-    probe: Probe,
+    job: Job,
     shared: Arc<(Options, String)>,
     at: Instant,
 ) -> Record {
-    let probe = Arc::new(probe);
-    let made = Arc::clone(&probe);
+    let job = Arc::new(job);
+    let builder = Arc::clone(&job);
     let (options, run) = (Arc::clone(&shared), shared);
-    let request = tokio::task::spawn_blocking(move || made.request(&options.0, &run.1))
+    let request = tokio::task::spawn_blocking(move || builder.request(&options.0, &run.1))
         .await
-        .expect("making a request doesn't panic");
+        .expect("building a request doesn't panic");
     sleep_until(at).await;
-    probe.record(&http, request).await
+    job.record(&http, request).await
 }
 
-/// Progress on a terminal, and nowhere else.
+/// Shows the progress of a replay if standard error is a terminal.
 struct Progress {
     total: usize,
     shown_at: Option<Instant>,
@@ -333,17 +336,17 @@
         }
     }
 
-    fn show(&mut self, done: usize) {
+    fn show(&mut self, answered: usize) {
         let is_due = self
             .shown_at
             .is_none_or(|at| at.elapsed() >= PROGRESS_INTERVAL);
         if self.is_terminal && is_due {
             self.shown_at = Some(Instant::now());
-            let _ = write!(stderr(), "\r{done} of {} answered", self.total);
+            let _ = write!(stderr(), "\r{answered} of {} answered", self.total);
         }
     }
 
-    fn end(&self) {
+    fn finish(&self) {
         if self.is_terminal {
             let _ = writeln!(stderr(), "\r{0} of {0} answered", self.total);
         }
--- a/crates/kumquatdrum_replay/src/report.rs
+++ b/crates/kumquatdrum_replay/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a replay: counts, violations, first-token times by prompt length, slowdown.
+//! The report of a replay: counts, violations, latencies by prompt length, and slowdown.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,109 +9,109 @@
 use crate::client::Identity;
 use crate::counters::Counts;
 use crate::latency::{Quantiles, Ratio, Recorder};
-use crate::outcome::{Observation, Outcome, Violation, judge};
+use crate::outcome::{Observation, Outcome, Violation, find_violations};
 use crate::replay::{Baseline, Options, is_short};
 use crate::trace::{Entry, Expectation};
 
-/// Lower ends of the bands of prompt length, in tokens.
-const BANDS: [u64; 6] = [0, 2_000, 8_000, 32_000, 100_000, 400_000];
-/// Violations that are listed one by one; beyond it they are only counted.
-const LISTED: usize = 20;
+/// Lower bounds of the prompt length bands.
+const BAND_STARTS_TOKENS: [u64; 6] = [0, 2_000, 8_000, 32_000, 100_000, 400_000];
+/// Maximum number of violations that are listed; further ones are only counted.
+const MAX_LISTED_VIOLATIONS: usize = 20;
 
-/// One answer of a replay.
+/// The observation of one request of a replay.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// The line of the trace, from 0.
+    /// Line of the trace, counted from 0.
     pub index: usize,
-    /// By what stand-ins count the request.
+    /// Key by which stand-ins count the request.
     pub identity: Identity,
-    /// What its caller saw.
-    pub seen: Observation,
+    /// What the caller observed.
+    pub observation: Observation,
 }
 
-/// What a replay showed.
+/// Results of a replay.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Requests that weren't refused.
+    /// Requests that weren't reported as not run.
     pub admitted: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub finished: u64,
-    /// Requests that ran and did not finish.
+    /// Requests that ran and didn't finish.
     pub failed: u64,
-    /// Requests whose caller was told that nothing ran.
+    /// Requests reported as not run.
     pub not_run: u64,
-    /// Requests whose fate their caller couldn't learn.
+    /// Requests with an unknown outcome.
     pub unknown: u64,
-    /// Answers to another request.
+    /// Answers that belong to another request or are wrong.
     pub crossed: u64,
-    /// Answers after their deadline.
+    /// Answers that ended after the deadline.
     pub late: u64,
-    /// What stand-ins counted, where their counts were read.
+    /// Comparison with the stand-ins' counts, if they were read.
     pub counted: Option<Counted>,
     /// Errors by code.
     pub codes: IndexMap<String, u64>,
-    /// Answers that violate their stated outcome or their time.
+    /// Number of violations.
     pub violations: u64,
     /// The first violations.
     pub listed: Vec<Finding>,
-    /// First-token times of completions by prompt length.
+    /// First-token times of completions, by prompt length.
     pub first_token: Vec<Band>,
-    /// What short requests suffer, where a baseline was taken.
+    /// Slowdown of short requests, if a baseline was measured.
     pub slowdown: Option<Slowdown>,
-    /// How long the replay took.
+    /// Duration of the replay.
     pub elapsed_ms: u64,
 }
 
-/// What stand-ins counted.
+/// Discrepancies between the stand-ins' counts and the answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counted {
-    /// Requests not to be repeated that ran more than once.
+    /// Non-idempotent requests that ran more than once.
     pub run_twice: u64,
-    /// Requests that may be repeated and ran more than once.
+    /// Idempotent requests that ran more than once.
     pub repeated: u64,
-    /// Requests that ran though their caller was told that nothing ran.
+    /// Requests that ran although they were reported as not run.
     pub ran_though_not_run: u64,
 }
 
-/// One violation, with its place in the trace.
+/// A violation and its line of the trace.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// The line of the trace, from 0.
+    /// Line of the trace, counted from 0.
     pub line: usize,
-    /// What is wrong.
+    /// The violation.
     pub violation: Violation,
-    /// The stated outcome.
+    /// The expected outcome.
     pub expected: Expectation,
-    /// How it ended.
+    /// The observed outcome.
     pub outcome: Outcome,
-    /// The error's code.
+    /// Error code, if any.
     pub code: Option<String>,
 }
 
-/// First-token times of one band of prompt lengths.
+/// First-token times of the requests in one range of prompt lengths.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Band {
-    /// The shortest prompt, in the trace's tokens.
+    /// Lower bound of the range, inclusive, in unscaled tokens.
     pub from_tokens: u64,
-    /// The shortest prompt that is too long for it; none for the last band.
+    /// Upper bound of the range, exclusive; `None` for the last one.
     pub to_tokens: Option<u64>,
-    /// First-token times of whole answers.
+    /// First-token times of complete answers.
     #[serde(flatten)]
     pub quantiles: Quantiles,
 }
 
-/// First-token times of short requests with and without long ones present.
+/// First-token times of short requests, with and without concurrent long requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Slowdown {
-    /// The longest prompt of a short request, in the trace's tokens.
+    /// Maximum prompt length of a short request, in unscaled tokens.
     pub short_limit: u64,
-    /// With the whole trace.
+    /// First-token times during the replay of the whole trace.
     pub with_long: Quantiles,
-    /// Without longer requests, or on the idle system.
+    /// First-token times of the baseline.
     pub baseline: Quantiles,
-    /// The former over the latter.
+    /// `with_long` divided by `baseline`.
     pub ratio: Option<Ratio>,
 }
 
@@ -125,12 +125,12 @@
         elapsed: Duration,
     ) -> Self {
         let count = |outcome: Outcome| {
-            let same = records
+            let matching = records
                 .iter()
-                .filter(|record| record.seen.outcome == outcome);
-            same.count() as u64
+                .filter(|record| record.observation.outcome == outcome);
+            matching.count() as u64
         };
-        let findings = findings(trace, records, options.slack);
+        let findings = collect_findings(trace, records, options.slack);
         let is_late = |finding: &&Finding| finding.violation == Violation::Late;
         Self {
             requests: records.len() as u64,
@@ -141,55 +141,58 @@
             unknown: count(Outcome::Unknown),
             crossed: count(Outcome::Crossed),
             late: findings.iter().filter(is_late).count() as u64,
-            counted: counts.map(|counts| counted(trace, records, counts)),
-            codes: codes(records),
+            counted: counts.map(|counts| compare_counts(trace, records, counts)),
+            codes: count_codes(records),
             violations: findings.len() as u64,
-            listed: findings.into_iter().take(LISTED).collect(),
-            first_token: bands(trace, records),
-            slowdown: baseline.map(|baseline| slowdown(trace, records, baseline, options)),
+            listed: findings.into_iter().take(MAX_LISTED_VIOLATIONS).collect(),
+            first_token: first_token_bands(trace, records),
+            slowdown: baseline.map(|baseline| measure_slowdown(trace, records, baseline, options)),
             elapsed_ms: elapsed.as_millis() as u64,
         }
     }
 
-    /// Whether every stated outcome was met, nothing ran twice, and no "not run" had run.
+    /// Whether there is no violation and no discrepancy except repeated idempotent requests.
     pub fn passed(&self) -> bool {
         let counted = self.counted.unwrap_or_default();
         self.violations == 0 && counted.run_twice == 0 && counted.ran_though_not_run == 0
     }
 }
 
-fn findings(trace: &[Entry], records: &[Record], slack: Duration) -> Vec<Finding> {
+fn collect_findings(trace: &[Entry], records: &[Record], slack: Duration) -> Vec<Finding> {
     let mut findings = Vec::new();
     for record in records {
         let entry = &trace[record.index];
-        let found = judge(entry, &record.seen, slack);
+        let found = find_violations(entry, &record.observation, slack);
         findings.extend(found.into_iter().map(|violation| Finding {
             line: record.index,
             violation,
             expected: entry.expect,
-            outcome: record.seen.outcome,
-            code: record.seen.code.clone(),
+            outcome: record.observation.outcome,
+            code: record.observation.code.clone(),
         }));
     }
     findings
 }
 
-fn codes(records: &[Record]) -> IndexMap<String, u64> {
+fn count_codes(records: &[Record]) -> IndexMap<String, u64> {
     let mut codes = IndexMap::new();
-    for code in records.iter().filter_map(|record| record.seen.code.clone()) {
+    for code in records
+        .iter()
+        .filter_map(|record| record.observation.code.clone())
+    {
         *codes.entry(code).or_default() += 1;
     }
     codes.sort_unstable_keys();
     codes
 }
 
-/// A request and its resends count as one request.
-fn counted(trace: &[Entry], records: &[Record], counts: &Counts) -> Counted {
-    let mut told_otherwise: IndexMap<usize, bool> = IndexMap::new();
+/// Compares the stand-ins' counts with the answers; a request and its resends count as one.
+fn compare_counts(trace: &[Entry], records: &[Record], counts: &Counts) -> Counted {
+    let mut may_have_run: IndexMap<usize, bool> = IndexMap::new();
     for record in records {
         let original = trace[record.index].resend_of.unwrap_or(record.index);
-        let other = record.seen.outcome != Outcome::NotRun;
-        *told_otherwise.entry(original).or_default() |= other;
+        let is_other = record.observation.outcome != Outcome::NotRun;
+        *may_have_run.entry(original).or_default() |= is_other;
     }
     let mut counted = Counted::default();
     for record in records {
@@ -197,7 +200,7 @@
         match counts.runs(&record.identity) {
             _ if entry.resend_of.is_some() => {}
             0 => {}
-            _ if !told_otherwise[&record.index] => counted.ran_though_not_run += 1,
+            _ if !may_have_run[&record.index] => counted.ran_though_not_run += 1,
             1 => {}
             _ if entry.idempotent => counted.repeated += 1,
             _ => counted.run_twice += 1,
@@ -206,20 +209,26 @@
     counted
 }
 
-fn bands(trace: &[Entry], records: &[Record]) -> Vec<Band> {
-    let mut recorders = vec![Recorder::default(); BANDS.len()];
+fn first_token_bands(trace: &[Entry], records: &[Record]) -> Vec<Band> {
+    let mut recorders = vec![Recorder::default(); BAND_STARTS_TOKENS.len()];
     for record in records {
         let entry = &trace[record.index];
-        let band = BANDS.partition_point(|from| *from <= entry.prompt_tokens) - 1;
-        match record.seen.first_token {
-            Some(latency) if !entry.is_plain() && record.seen.outcome == Outcome::Finished => {
+        let band = BAND_STARTS_TOKENS.partition_point(|from| *from <= entry.prompt_tokens) - 1;
+        match record.observation.first_token {
+            Some(latency)
+                if !entry.is_plain() && record.observation.outcome == Outcome::Finished =>
+            {
                 recorders[band].record(latency);
             }
             _ => {}
         }
     }
-    let ends = BANDS.iter().skip(1).map(|end| Some(*end)).chain([None]);
-    BANDS
+    let ends = BAND_STARTS_TOKENS
+        .iter()
+        .skip(1)
+        .map(|end| Some(*end))
+        .chain([None]);
+    BAND_STARTS_TOKENS
         .iter()
         .zip(ends)
         .zip(recorders)
@@ -231,7 +240,7 @@
         .collect()
 }
 
-fn slowdown(
+fn measure_slowdown(
     trace: &[Entry],
     records: &[Record],
     baseline: &[Record],
@@ -241,10 +250,10 @@
         let mut recorder = Recorder::default();
         let short = records.iter().filter(|record| {
             is_short(&trace[record.index], options.short_limit)
-                && record.seen.outcome == Outcome::Finished
+                && record.observation.outcome == Outcome::Finished
         });
         short
-            .filter_map(|record| record.seen.first_token)
+            .filter_map(|record| record.observation.first_token)
             .for_each(|latency| recorder.record(latency));
         recorder.quantiles()
     };
@@ -256,7 +265,7 @@
     }
     Slowdown {
         short_limit: options.short_limit,
-        ratio: with_long.over(&baseline),
+        ratio: with_long.ratio_to(&baseline),
         with_long,
         baseline,
     }
--- a/crates/kumquatdrum_replay/src/sse.rs
+++ b/crates/kumquatdrum_replay/src/sse.rs
@@ -1,9 +1,9 @@
-//! Server-sent events, as far as completion streams use them: their `data` lines.
+//! Parses the `data` lines of server-sent events in completion streams.
 
-/// The data of the last event of a whole answer.
+/// Data of the last event of a complete answer.
 pub const END_MARKER: &str = "[DONE]";
 
-/// Takes a stream apart, in whatever pieces it comes.
+/// An incremental parser of a stream of events.
 ///
 /// ```
 /// let mut parser = kumquatdrum_replay::sse::Parser::default();
@@ -16,12 +16,12 @@
 }
 
 impl Parser {
-    /// The data lines that are whole after these bytes.
+    /// Adds bytes and returns the data of the lines that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<String> {
         let mut data = Vec::new();
-        for part in bytes.split_inclusive(|byte| *byte == b'\n') {
-            self.line.extend_from_slice(part);
-            if part.ends_with(b"\n") {
+        for chunk in bytes.split_inclusive(|byte| *byte == b'\n') {
+            self.line.extend_from_slice(chunk);
+            if chunk.ends_with(b"\n") {
                 data.extend(self.take_line());
             }
         }
--- a/crates/kumquatdrum_replay/src/trace.rs
+++ b/crates/kumquatdrum_replay/src/trace.rs
@@ -1,26 +1,26 @@
-//! Traces: JSON Lines, one request a line, each with its stated outcome.
+//! Reads and writes traces: JSON Lines with one request and its expected outcome per line.
 
 use indexmap::IndexSet;
 use kumquatdrum_types::Finding;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The longest prompt that a trace may state, in tokens.
-const PROMPT_LIMIT: u64 = 16_000_000;
-/// The longest answer that a trace may state, in tokens.
-const ANSWER_LIMIT: u32 = 1_000_000;
+/// Maximum prompt length of an entry.
+const MAX_PROMPT_TOKENS: u64 = 16_000_000;
+/// Maximum answer length of an entry.
+const MAX_ANSWER_TOKENS: u32 = 1_000_000;
 
 /// One request of a trace.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// When it is sent, in milliseconds after the trace's start.
+    /// Time to send, in milliseconds after the start of the trace.
     pub at_ms: u64,
-    /// The workspace that asks.
+    /// The workspace that sends the request.
     pub workspace: String,
-    /// The name of the workspace's key; the key itself is handed to the replay.
+    /// Name of the workspace's key; the replay is given the key itself.
     pub key: String,
-    /// The service that is asked.
+    /// The requested service.
     pub service: String,
     /// The HTTP method.
     #[serde(default = "post", skip_serializing_if = "is_post")]
@@ -33,57 +33,57 @@
     /// Length of the answer, in tokens; 0 for plain services.
     #[serde(default)]
     pub max_tokens: u32,
-    /// Lower goes first.
+    /// Priority; lower values are served first.
     #[serde(default)]
     pub priority: u32,
-    /// Time that the request may take.
+    /// Deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether it may be repeated.
+    /// Whether the request may be repeated.
     pub idempotent: bool,
     /// The caller's idempotency key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub idempotency_key: Option<String>,
-    /// The line, from 0, of the earlier request that this one sends again.
+    /// Line, counted from 0, of the earlier request that this entry resends.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resend_of: Option<usize>,
-    /// The name of the text with which the prompt begins, shared by all prompts that name it.
+    /// Name of the prefix that the prompt shares with all prompts of the same prefix name.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prefix: Option<String>,
-    /// Length of the shared beginning, in tokens.
+    /// Length of the shared prefix, in tokens.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub prefix_tokens: u64,
-    /// The stated outcome.
+    /// The expected outcome.
     #[serde(default)]
     pub expect: Expectation,
 }
 
-/// What a request's outcome may be. A crossed or late answer meets no expectation.
+/// The outcomes that an entry permits. Crossed and late answers are always violations.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expectation {
-    /// The whole answer.
+    /// The complete answer.
     #[default]
     Finished,
-    /// A refusal, with nothing run.
+    /// A refusal without a run.
     NotRun,
-    /// Either of these two.
+    /// The complete answer, or a refusal without a run.
     FinishedOrNotRun,
-    /// A failure, for instance where the trace kills what serves it.
+    /// A failure after a partial run.
     Failed,
-    /// Any answer, as long as it comes in time.
+    /// Any outcome within the deadline.
     Any,
 }
 
-/// A trace that can't be read.
+/// The errors in an invalid trace.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("the trace has {} findings", findings.len())]
 pub struct Error {
-    /// Each line that is wrong, and what is wrong there.
+    /// Invalid lines and their errors.
     pub findings: Vec<Finding>,
 }
 
 impl Entry {
-    /// Whether a plain service is asked.
+    /// Whether the request goes to a plain service.
     ///
     /// ```
     /// let line = r#"{"at_ms":0,"workspace":"salon-01","key":"salon-01","service":"salon-api",
@@ -99,13 +99,13 @@
         self.path == "/v1/completions" || self.is_chat()
     }
 
-    /// Whether the chat interface is used.
+    /// Whether the request uses the chat interface.
     pub fn is_chat(&self) -> bool {
         self.path == "/v1/chat/completions"
     }
 }
 
-/// Reads a trace; all that is wrong is reported at once, each with its line.
+/// Reads a trace, and reports the errors of all lines at once.
 ///
 /// ```
 /// let error = kumquatdrum_replay::trace::read("{}\n[]\n").unwrap_err();
@@ -117,7 +117,7 @@
     for (index, line) in text.lines().enumerate() {
         match serde_json::from_str::<Entry>(line) {
             Ok(entry) => {
-                check(index, &entry, &mut findings);
+                validate(index, &entry, &mut findings);
                 entries.push(entry);
             }
             Err(error) => findings.push(Finding::new(format!("/{index}"), error.to_string())),
@@ -130,37 +130,37 @@
     }
 }
 
-fn check(index: usize, entry: &Entry, findings: &mut Vec<Finding>) {
-    let mut find = |field: &str, message: &str| {
+fn validate(index: usize, entry: &Entry, findings: &mut Vec<Finding>) {
+    let mut report = |field: &str, message: &str| {
         findings.push(Finding::new(format!("/{index}/{field}"), message));
     };
     if !entry.path.starts_with('/') {
-        find("path", "must begin with a slash");
+        report("path", "must begin with a slash");
     }
     if entry.is_completion() && entry.prompt_tokens == 0 {
-        find("prompt_tokens", "must be at least 1");
+        report("prompt_tokens", "must be at least 1");
     }
-    if entry.prompt_tokens > PROMPT_LIMIT {
-        find("prompt_tokens", "must be at most 16000000");
+    if entry.prompt_tokens > MAX_PROMPT_TOKENS {
+        report("prompt_tokens", "must be at most 16000000");
     }
     if entry.is_completion() && entry.max_tokens == 0 {
-        find("max_tokens", "must be at least 1");
+        report("max_tokens", "must be at least 1");
     }
-    if entry.max_tokens > ANSWER_LIMIT {
-        find("max_tokens", "must be at most 1000000");
+    if entry.max_tokens > MAX_ANSWER_TOKENS {
+        report("max_tokens", "must be at most 1000000");
     }
     if entry.deadline_ms == 0 {
-        find("deadline_ms", "must be at least 1");
+        report("deadline_ms", "must be at least 1");
     }
     if entry.prefix_tokens > entry.prompt_tokens {
-        find("prefix_tokens", "must be at most prompt_tokens");
+        report("prefix_tokens", "must be at most prompt_tokens");
     }
     if entry.resend_of.is_some_and(|earlier| earlier >= index) {
-        find("resend_of", "must name an earlier line");
+        report("resend_of", "must name an earlier line");
     }
 }
 
-/// Writes a trace.
+/// Formats a trace as JSON Lines.
 ///
 /// ```
 /// use kumquatdrum_replay::{generator, trace};
@@ -169,13 +169,13 @@
 /// ```
 pub fn write(entries: &[Entry]) -> String {
     entries.iter().fold(String::new(), |mut text, entry| {
-        text.push_str(&serde_json::to_string(entry).expect("an entry is always JSON"));
+        text.push_str(&serde_json::to_string(entry).expect("an entry can be serialised"));
         text.push('\n');
         text
     })
 }
 
-/// The names of the keys that a trace uses, in the order of their first use.
+/// Returns the names of the keys that a trace uses, in order of first use.
 pub fn key_names(entries: &[Entry]) -> IndexSet<&str> {
     entries.iter().map(|entry| entry.key.as_str()).collect()
 }
--- a/crates/kumquatdrum_replay/tests/load.rs
+++ b/crates/kumquatdrum_replay/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool against stand-in engines, and its bounds.
+//! Load runs against stand-in engines, and their bounds.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// The engine's and the caller's rule for the text of an answer agree, else none would finish.
+/// Guards against a client that expects another text than stand-in engines send.
 #[tokio::test]
 async fn both_paths_are_measured_in_one_run() {
     let (one, two) = (start("e1").await, start("e2").await);
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn failures_are_counted_apart() {
+async fn failures_are_counted_by_code() {
     let (one, two) = (start("e1").await, start("e2").await);
     one.inject(&Fault::Fail);
     two.inject(&Fault::Cross {
@@ -71,25 +71,25 @@
 #[tokio::test]
 async fn load_out_of_bounds_is_refused() {
     let loopback = "127.0.0.1:9".parse().unwrap();
-    let foreign = "192.0.2.1:9".parse().unwrap();
+    let remote = "192.0.2.1:9".parse().unwrap();
     let base = options(loopback, loopback);
     let refused = async |options: Options| load::run(&options).await.unwrap_err();
-    let away = refused(options(loopback, foreign)).await;
-    assert!(matches!(away, Error::NotLoopback(address) if address == foreign));
-    for rate in [0.0, -1.0, f64::NAN, load::RATE_LIMIT * 2.0] {
+    let not_loopback = refused(options(loopback, remote)).await;
+    assert!(matches!(not_loopback, Error::NotLoopback(address) if address == remote));
+    for rate in [0.0, -1.0, f64::NAN, load::MAX_RATE * 2.0] {
         let error = refused(Options {
             rate,
             ..base.clone()
         });
-        assert!(matches!(error.await, Error::Rate), "{rate}");
+        assert!(matches!(error.await, Error::InvalidRate), "{rate}");
     }
-    for count in [0, 10, load::COUNT_LIMIT + 1] {
+    for count in [0, 10, load::MAX_COUNT + 1] {
         let error = refused(Options {
             count,
             ..base.clone()
         });
-        assert!(matches!(error.await, Error::Count), "{count}");
+        assert!(matches!(error.await, Error::InvalidCount), "{count}");
     }
     let slow = Options { rate: 0.1, ..base };
-    assert!(matches!(refused(slow).await, Error::Time));
+    assert!(matches!(refused(slow).await, Error::TooLong));
 }
--- a/crates/kumquatdrum_replay/tests/replay.rs
+++ b/crates/kumquatdrum_replay/tests/replay.rs
@@ -1,4 +1,4 @@
-//! The replay against a small fake of the callers' interface that answers in every way.
+//! The replay against a fake of the callers' interface that sends each kind of answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use tokio::net::TcpSocket;
 
 /// A deadline that the slow fake always misses.
-const HASTY_DEADLINE: Duration = Duration::from_millis(20);
+const SHORT_DEADLINE: Duration = Duration::from_millis(20);
 
-/// How the fake answers.
+/// Kind of answer that the fake sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Manner {
-    Whole,
-    WholeButSlow,
+enum Behaviour {
+    Complete,
+    CompleteButSlow,
     WithoutEndMarker,
     TokenMissing,
     AnotherAnswer,
@@ -40,28 +40,28 @@
 }
 
 #[post("/v1/completions", data = "<body>")]
-async fn completions(body: Json<Value>, manner: &State<Manner>) -> Reply {
+async fn completions(body: Json<Value>, behaviour: &State<Behaviour>) -> Reply {
     let digest = prompt::digest(body["prompt"].as_str().unwrap());
     let tokens = body["max_tokens"].as_u64().unwrap() as u32;
     let own = prompt::answer(&digest, tokens);
     let other = prompt::answer(&prompt::digest("another"), tokens);
     let end = "data: [DONE]\n\n";
     let failure = json!({"error": {"code": "engine_died", "class": "failed"}});
-    let text = match **manner {
-        Manner::Whole => event(&own) + end,
-        Manner::WholeButSlow => {
-            tokio::time::sleep(2 * HASTY_DEADLINE).await;
+    let text = match **behaviour {
+        Behaviour::Complete => event(&own) + end,
+        Behaviour::CompleteButSlow => {
+            tokio::time::sleep(2 * SHORT_DEADLINE).await;
             event(&own) + end
         }
-        Manner::WithoutEndMarker => event(&own),
-        Manner::TokenMissing => event(&prompt::answer(&digest, tokens - 1)) + end,
-        Manner::AnotherAnswer => event(&other) + end,
-        Manner::PartOfAnotherAnswer => event(&other),
-        Manner::FailedInStream => event("") + &format!("data: {failure}\n\n"),
-        Manner::Refused => return refusal(&json!({"retry_after_ms": 40})),
-        Manner::RefusedWithoutRetryAfter => return refusal(&json!({})),
-        Manner::UnknownClass => return refusal(&json!({"class": null})),
-        Manner::NoJson => return Reply::Plain((Status::BadGateway, "oops".to_owned())),
+        Behaviour::WithoutEndMarker => event(&own),
+        Behaviour::TokenMissing => event(&prompt::answer(&digest, tokens - 1)) + end,
+        Behaviour::AnotherAnswer => event(&other) + end,
+        Behaviour::PartOfAnotherAnswer => event(&other),
+        Behaviour::FailedInStream => event("") + &format!("data: {failure}\n\n"),
+        Behaviour::Refused => return refusal(&json!({"retry_after_ms": 40})),
+        Behaviour::RefusedWithoutRetryAfter => return refusal(&json!({})),
+        Behaviour::UnknownClass => return refusal(&json!({"class": null})),
+        Behaviour::NoJson => return Reply::Plain((Status::BadGateway, "oops".to_owned())),
     };
     Reply::Stream((ContentType::EventStream, text))
 }
@@ -80,18 +80,18 @@
 }
 
 #[get("/services/salon-api/stock?<request>")]
-fn stock(request: &str, manner: &State<Manner>) -> Json<Value> {
-    let request = match **manner {
-        Manner::AnotherAnswer => "other",
+fn stock(request: &str, behaviour: &State<Behaviour>) -> Json<Value> {
+    let request = match **behaviour {
+        Behaviour::AnotherAnswer => "other",
         _ => request,
     };
     Json(json!({"path": format!("/stock?request={request}")}))
 }
 
-async fn fake(manner: Manner) -> Server {
+async fn start_fake(behaviour: Behaviour) -> Server {
     let server = Server::start(loopback(), |rocket| {
         rocket
-            .manage(manner)
+            .manage(behaviour)
             .mount("/", routes![completions, stock])
     });
     server.await.unwrap()
@@ -110,8 +110,8 @@
     }
 }
 
-async fn replayed(manner: Manner, trace: &[Entry]) -> Report {
-    let server = fake(manner).await;
+async fn replay_one(behaviour: Behaviour, trace: &[Entry]) -> Report {
+    let server = start_fake(behaviour).await;
     let report = replay::run(trace, &options(server.address)).await.unwrap();
     server.stop().await;
     report
@@ -129,66 +129,86 @@
 }
 
 #[tokio::test]
-async fn each_answer_is_classed() {
+async fn each_answer_is_classified() {
     let cases = [
-        (Manner::Whole, Outcome::Finished, None),
+        (Behaviour::Complete, Outcome::Finished, None),
         (
-            Manner::WithoutEndMarker,
+            Behaviour::WithoutEndMarker,
             Outcome::Failed,
             Some("client_no_end_marker"),
         ),
         (
-            Manner::TokenMissing,
+            Behaviour::TokenMissing,
             Outcome::Crossed,
             Some("client_wrong_text"),
         ),
         (
-            Manner::AnotherAnswer,
+            Behaviour::AnotherAnswer,
             Outcome::Crossed,
             Some("client_crossed_answer"),
         ),
         (
-            Manner::PartOfAnotherAnswer,
+            Behaviour::PartOfAnotherAnswer,
             Outcome::Crossed,
             Some("client_crossed_answer"),
         ),
-        (Manner::Refused, Outcome::NotRun, Some("overloaded")),
-        (Manner::FailedInStream, Outcome::Failed, Some("engine_died")),
-        (Manner::UnknownClass, Outcome::Unknown, Some("overloaded")),
-        (Manner::NoJson, Outcome::Unknown, Some("client_status_502")),
+        (Behaviour::Refused, Outcome::NotRun, Some("overloaded")),
+        (
+            Behaviour::FailedInStream,
+            Outcome::Failed,
+            Some("engine_died"),
+        ),
+        (
+            Behaviour::UnknownClass,
+            Outcome::Unknown,
+            Some("overloaded"),
+        ),
+        (
+            Behaviour::NoJson,
+            Outcome::Unknown,
+            Some("client_status_502"),
+        ),
     ];
-    for (manner, expected, code) in cases {
-        let report = replayed(manner, &[entry()]).await;
-        assert_eq!(outcome(&report), expected, "{manner:?}");
-        assert_eq!(report.passed(), manner == Manner::Whole, "{manner:?}");
+    for (behaviour, expected, code) in cases {
+        let report = replay_one(behaviour, &[entry()]).await;
+        assert_eq!(outcome(&report), expected, "{behaviour:?}");
+        assert_eq!(
+            report.passed(),
+            behaviour == Behaviour::Complete,
+            "{behaviour:?}"
+        );
         let found = report.codes.keys().next().map(String::as_str);
-        assert_eq!(found, code, "{manner:?}");
+        assert_eq!(found, code, "{behaviour:?}");
     }
 }
 
 #[tokio::test]
-async fn stated_outcomes_are_met_or_not() {
+async fn outcomes_are_checked_against_the_expectation() {
     let cases = [
-        (Manner::Refused, Expectation::NotRun, true),
-        (Manner::Refused, Expectation::FinishedOrNotRun, true),
-        (Manner::Refused, Expectation::Failed, false),
-        (Manner::RefusedWithoutRetryAfter, Expectation::NotRun, false),
-        (Manner::Whole, Expectation::FinishedOrNotRun, true),
-        (Manner::Whole, Expectation::NotRun, false),
-        (Manner::FailedInStream, Expectation::Failed, true),
-        (Manner::NoJson, Expectation::Any, true),
-        (Manner::AnotherAnswer, Expectation::Any, false),
+        (Behaviour::Refused, Expectation::NotRun, true),
+        (Behaviour::Refused, Expectation::FinishedOrNotRun, true),
+        (Behaviour::Refused, Expectation::Failed, false),
+        (
+            Behaviour::RefusedWithoutRetryAfter,
+            Expectation::NotRun,
+            false,
+        ),
+        (Behaviour::Complete, Expectation::FinishedOrNotRun, true),
+        (Behaviour::Complete, Expectation::NotRun, false),
+        (Behaviour::FailedInStream, Expectation::Failed, true),
+        (Behaviour::NoJson, Expectation::Any, true),
+        (Behaviour::AnotherAnswer, Expectation::Any, false),
     ];
-    for (manner, expect, passes) in cases {
-        let stated = Entry { expect, ..entry() };
-        let report = replayed(manner, &[stated]).await;
-        assert_eq!(report.passed(), passes, "{manner:?} {expect:?}");
+    for (behaviour, expect, passes) in cases {
+        let entry = Entry { expect, ..entry() };
+        let report = replay_one(behaviour, &[entry]).await;
+        assert_eq!(report.passed(), passes, "{behaviour:?} {expect:?}");
     }
 }
 
 #[tokio::test]
-async fn nobody_there_is_not_run() {
-    // Bound without listening: refused, and no other test can be given the port meanwhile.
+async fn a_refused_connection_counts_as_not_run() {
+    // A bound port without a listener refuses connections and can't be taken by another test.
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind(loopback()).unwrap();
     let address = socket.local_addr().unwrap();
@@ -199,22 +219,22 @@
 }
 
 #[tokio::test]
-async fn calls_of_plain_services_are_judged_by_their_echo() {
+async fn calls_to_plain_services_are_checked_by_their_echo() {
     let call = Entry {
         service: "salon-api".to_owned(),
         method: "GET".to_owned(),
         path: "/stock".to_owned(),
         ..entry()
     };
-    let straight = replayed(Manner::Whole, std::slice::from_ref(&call)).await;
+    let straight = replay_one(Behaviour::Complete, std::slice::from_ref(&call)).await;
     assert_eq!(straight.finished, 1);
-    let crossed = replayed(Manner::AnotherAnswer, &[call]).await;
+    let crossed = replay_one(Behaviour::AnotherAnswer, &[call]).await;
     assert_eq!(crossed.crossed, 1);
 }
 
 #[tokio::test]
-async fn the_slowdown_is_taken_over_the_baseline() {
-    let server = fake(Manner::Whole).await;
+async fn the_slowdown_is_relative_to_the_baseline() {
+    let server = start_fake(Behaviour::Complete).await;
     let long = Entry {
         prompt_tokens: 100_000,
         ..entry()
@@ -243,8 +263,8 @@
 }
 
 #[tokio::test]
-async fn counts_of_stand_ins_are_set_against_the_answers() {
-    // The fake's counts: each prompt of this run ran twice, whatever callers were told.
+async fn counts_of_stand_ins_are_compared_with_the_answers() {
+    // The fake counts two runs of each prompt, regardless of its answer.
     #[get("/counters")]
     fn counters(digests: &State<Vec<String>>) -> Json<Value> {
         let runs: serde_json::Map<String, Value> = digests
@@ -253,14 +273,17 @@
             .collect();
         Json(json!({"runs_by_digest": runs, "received": 4}))
     }
-    let once = Entry {
+    let non_idempotent = Entry {
         idempotent: false,
         idempotency_key: Some("k".to_owned()),
         ..entry()
     };
-    let trace = [entry(), once];
-    for (manner, expected) in [(Manner::Whole, (1, 1, 0)), (Manner::Refused, (0, 0, 2))] {
-        let server = fake(manner).await;
+    let trace = [entry(), non_idempotent];
+    for (behaviour, expected) in [
+        (Behaviour::Complete, (1, 1, 0)),
+        (Behaviour::Refused, (0, 0, 2)),
+    ] {
+        let server = start_fake(behaviour).await;
         let mut options = options(server.address);
         options.run = "r".to_owned();
         let digests: Vec<String> = (0..2)
@@ -288,28 +311,28 @@
 
 #[tokio::test]
 async fn a_late_answer_is_a_violation() {
-    let server = fake(Manner::WholeButSlow).await;
-    let hasty = Entry {
-        deadline_ms: HASTY_DEADLINE.as_millis() as u64,
+    let server = start_fake(Behaviour::CompleteButSlow).await;
+    let late = Entry {
+        deadline_ms: SHORT_DEADLINE.as_millis() as u64,
         ..entry()
     };
     let options = Options {
         slack: Duration::ZERO,
         ..options(server.address)
     };
-    let report = replay::run(&[hasty], &options).await.unwrap();
+    let report = replay::run(&[late], &options).await.unwrap();
     assert_eq!(report.late, 1);
     server.stop().await;
 }
 
 #[tokio::test]
-async fn what_cannot_be_replayed_is_refused() {
+async fn invalid_replays_are_refused() {
     let address = loopback();
-    let missing = Options {
+    let without_keys = Options {
         keys: [].into(),
         ..options(address)
     };
-    let nowhere = Options {
+    let without_targets = Options {
         targets: Vec::new(),
         ..options(address)
     };
@@ -319,15 +342,15 @@
         Err(Error::Empty)
     ));
     assert!(matches!(
-        run(&[entry()], &nowhere).await,
+        run(&[entry()], &without_targets).await,
         Err(Error::NoTarget)
     ));
-    let error = run(&[entry()], &missing).await.unwrap_err();
+    let error = run(&[entry()], &without_keys).await.unwrap_err();
     assert_eq!(error.to_string(), "no key is given for w");
-    let elsewhere = Options {
+    let without_engines = Options {
         endpoints: [("salon-api".to_owned(), vec![address])].into(),
         ..options(address)
     };
-    let error = run(&[entry()], &elsewhere).await.unwrap_err();
+    let error = run(&[entry()], &without_engines).await.unwrap_err();
     assert_eq!(error.to_string(), "no endpoint is given for formula-llm");
 }
--- a/crates/kumquatdrum_replay/tests/straight.rs
+++ b/crates/kumquatdrum_replay/tests/straight.rs
@@ -1,40 +1,39 @@
-//! Both mixes replayed straight to stand-ins: the callers' rules and the stand-ins' agree, for text,
-//! chat and plain calls, and the counts match the answers.
+//! Replays of both mixes straight to stand-ins, which cover text, chat and plain calls.
 
 use kumquatdrum_replay::generator::{self, generate};
 use kumquatdrum_replay::replay::{self, Baseline, Options};
 use kumquatdrum_replay::{Mix, prompt};
 use kumquatdrum_testing::{Engine, Fault, Service, engine, service};
 
-/// Two engines and a plain service, as one data centre of a user would have them.
+/// Two engines and a plain service of one data centre.
 struct Fleet {
     engines: Vec<Engine>,
     service: Service,
-    names: (&'static str, &'static str),
+    service_names: (&'static str, &'static str),
 }
 
 impl Fleet {
     async fn start(mix: Mix) -> Self {
-        let names = match mix {
+        let service_names = match mix {
             Mix::Toonikaart => ("formula-llm", "salon-api"),
             Mix::Treasury => ("confdraft-llm", "treasury-portal"),
         };
         let mut engines = Vec::new();
         for name in ["e1", "e2"] {
-            let options = engine::Options::new(name, names.0, "model", "hall-raatuse");
+            let options = engine::Options::new(name, service_names.0, "model", "hall-raatuse");
             engines.push(Engine::start(options).await.unwrap());
         }
-        let options = service::Options::new("p1", names.1, "hall-raatuse");
+        let options = service::Options::new("p1", service_names.1, "hall-raatuse");
         Self {
             engines,
             service: Service::start(options).await.unwrap(),
-            names,
+            service_names,
         }
     }
 
     fn options(&self) -> Options {
         let engines = self.engines.iter();
-        let (model, plain) = self.names;
+        let (model, plain) = self.service_names;
         Options {
             endpoints: [
                 (
@@ -65,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn both_mixes_pass_on_healthy_stand_ins() {
+async fn both_mixes_pass_without_faults() {
     for mix in [Mix::Toonikaart, Mix::Treasury] {
         let fleet = Fleet::start(mix).await;
         let trace = generate(&generator::Options {
@@ -95,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn faults_of_stand_ins_fail_the_replay() {
+async fn injected_faults_fail_the_replay() {
     let faults = [
         Fault::Cross {
             count: 1,
--- a/crates/kumquatdrum_replay/tests/trace.rs
+++ b/crates/kumquatdrum_replay/tests/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: what the generator makes, what the reader refuses, and the shipped ones.
+//! Generated traces, validation of traces, and the traces in `examples/traces`.
 
 use indexmap::IndexMap;
 use kumquatdrum_replay::generator::Options;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn shipped_traces_are_what_the_generator_makes() {
+fn shipped_traces_equal_generated_ones() {
     for (mix, text) in SHIPPED {
         let options = Options {
             mix,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn mixes_have_their_shape() {
+fn mixes_have_the_configured_distribution() {
     for mix in [Mix::Toonikaart, Mix::Treasury] {
         let entries = generate(&Options {
             mix,
@@ -49,13 +49,13 @@
         assert_eq!(outside.to_bits(), 0_f64.to_bits());
         assert!(entries.is_sorted_by_key(|entry| entry.at_ms));
         assert_eq!(entries.last().unwrap().at_ms, 100_000);
-        let keyed = |entry: &Entry| entry.idempotency_key.is_some() != entry.idempotent;
-        assert!(entries.iter().all(keyed));
+        let has_key_if_needed = |entry: &Entry| entry.idempotency_key.is_some() != entry.idempotent;
+        assert!(entries.iter().all(has_key_if_needed));
     }
 }
 
 #[test]
-fn few_workspaces_are_large_and_all_ask() {
+fn a_few_workspaces_send_most_requests() {
     let entries = generate(&Options {
         requests: 5_000,
         ..Options::default()
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn all_findings_come_at_once_with_their_place() {
+fn all_findings_are_reported_with_their_place() {
     let good = r#"{"at_ms":0,"workspace":"w","key":"w","service":"s","path":"/v1/completions","prompt_tokens":9,"max_tokens":1,"deadline_ms":9,"idempotent":true}"#;
     let cases = [
         ("\"deadline_ms\":9", "\"deadline_ms\":0", "/1/deadline_ms"),
@@ -149,8 +149,8 @@
         arbtest::arbtest(|entropy| {
             let line = SHIPPED[0].1.lines().next().unwrap();
             let at = entropy.choose_index(line.len())?;
-            let noise: String = entropy.arbitrary()?;
-            let text = format!("{}{noise}{}", &line[..at], &line[at..]);
+            let inserted: String = entropy.arbitrary()?;
+            let text = format!("{}{inserted}{}", &line[..at], &line[at..]);
             let _ = trace::read(&text);
             Ok(())
         })
@@ -158,9 +158,9 @@
     }
 }
 
-/// A ratio with all its digits came back from JSON with another last digit.
+/// Guards against ratios with more digits than JSON preserves.
 #[test]
-fn ratios_come_back_from_json_as_they_were() {
+fn ratios_survive_a_round_trip_through_json() {
     let quantiles = |micros: u64| Quantiles {
         count: 1,
         p50_us: micros,
@@ -168,7 +168,7 @@
         p99_us: micros,
     };
     for top in 1..2_000 {
-        let ratio = quantiles(top).over(&quantiles(1_777)).unwrap();
+        let ratio = quantiles(top).ratio_to(&quantiles(1_777)).unwrap();
         let json = serde_json::to_string(&ratio).unwrap();
         assert_eq!(serde_json::from_str::<Ratio>(&json).unwrap(), ratio);
     }
