--- a/crates/kumquatdrum_testing/src/engine/http.rs
+++ b/crates/kumquatdrum_testing/src/engine/http.rs
@@ -139,7 +139,7 @@
         Err(rejection) => return rejection_reply(rejection),
     };
     if fails {
-        let message = "injected failure";
+        let message = "failed by order";
         return Reply::Json(
             Status::InternalServerError,
             error("internal", true, message),
@@ -258,7 +258,7 @@
             cut: engine.faults.take_cut(),
             connection: Connection::new(headers.remote, engine),
         },
-        None => not_found("the attempt is unknown or has been discarded"),
+        None => not_found("the attempt is unknown or no longer kept"),
     }
 }
 
@@ -275,7 +275,7 @@
                 engine.cancel(&id);
             }
             engine.switch.gate().wait_until_dead().await;
-            not_found("injected loss of the cancel")
+            not_found("lost by order")
         }
     }
 }
@@ -315,7 +315,7 @@
 fn export_kv(id: &str, engine: &Engine) -> Reply {
     match engine.with_model(|model| model.export_kv(&AttemptId::new(id))) {
         Ok(hold) => hold_reply(Ok(()), &hold),
-        Err(HoldError::Unknown) => not_found("the attempt is unknown or has been discarded"),
+        Err(HoldError::Unknown) => not_found("the attempt is unknown or no longer kept"),
         Err(error) => hold_error_reply(error),
     }
 }
--- a/crates/kumquatdrum_testing/src/engine/orders.rs
+++ b/crates/kumquatdrum_testing/src/engine/orders.rs
@@ -154,7 +154,7 @@
 }
 
 fn unsupported() -> (Status, Json<Value>) {
-    let body = error("not_found", false, "this engine supports no orders");
+    let body = error("not_found", false, "this engine takes no orders");
     (Status::NotFound, Json(body))
 }
 
--- a/crates/kumquatdrum_testing/src/engine/request.rs
+++ b/crates/kumquatdrum_testing/src/engine/request.rs
@@ -55,13 +55,13 @@
 /// Reason why a request is malformed.
 #[derive(Debug, Error)]
 pub(super) enum Error {
-    #[error("header {0} is not a number in range")]
+    #[error("the header {0} is not a number in range")]
     InvalidNumber(&'static str),
-    #[error("header x-attempt-id is missing")]
+    #[error("the header x-attempt-id is missing")]
     MissingAttemptId,
-    #[error("the body is incomplete or exceeds the size limit")]
+    #[error("the body is broken off or exceeds the limit")]
     IncompleteBody,
-    #[error("the body is not a JSON object with `prompt` or `messages`")]
+    #[error("the body is not JSON with a prompt or messages")]
     MissingPrompt,
 }
 
--- a/crates/kumquatdrum_testing/src/engine/wire.rs
+++ b/crates/kumquatdrum_testing/src/engine/wire.rs
@@ -49,7 +49,7 @@
         _ => "deadline",
     };
     let error =
-        json!({"code": code, "message": "the attempt ended before its answer was complete"});
+        json!({"code": code, "message": "the attempt has ended before its answer was whole"});
     event(None, &json!({"id": id, "error": error}))
 }
 
--- a/crates/kumquatdrum_testing/src/model/ledger.rs
+++ b/crates/kumquatdrum_testing/src/model/ledger.rs
@@ -22,13 +22,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum HoldError {
     /// Too little free memory.
-    #[error("not enough free memory")]
+    #[error("not enough memory is free")]
     Full,
     /// The name already holds memory of another size or owner.
-    #[error("the name already holds memory of another size or owner")]
+    #[error("the name is taken")]
     Taken,
     /// Unknown attempt or name.
-    #[error("unknown attempt or name")]
+    #[error("no such attempt or name")]
     Unknown,
 }
 
--- a/crates/kumquatdrum_testing/src/model/scheduler.rs
+++ b/crates/kumquatdrum_testing/src/model/scheduler.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Rejection {
     /// An attempt with this identifier exists.
-    #[error("the attempt identifier was used before")]
+    #[error("the attempt is known")]
     Known(Summary),
     /// Too many requests are waiting.
     #[error("the queue is full")]
