--- a/crates/kumquatdrum_replay/src/client.rs
+++ b/crates/kumquatdrum_replay/src/client.rs
@@ -276,13 +276,14 @@
     let header = retry_after(&answer);
     let mut end = match answer.json::<Failure>().await {
         Ok(failure) => End::from_detail(failure.error),
-        Err(_) => End::with_code(Outcome::Unknown, &status_code(status)),
+        Err(_) => End::with_code(Outcome::Unknown, &error_code(status)),
     };
     end.retry_after = end.retry_after.or(header);
     end
 }
 
-fn status_code(status: StatusCode) -> String {
+/// Returns the error code of a response whose body isn't an error of the system.
+fn error_code(status: StatusCode) -> String {
     format!("client_status_{}", status.as_u16())
 }
 
@@ -328,8 +329,10 @@
         while let Some(bytes) = body.next().await {
             let bytes = match bytes {
                 Ok(bytes) => bytes,
-                Err(error) if error.is_timeout() => return self.incomplete(code::NO_ANSWER),
-                Err(_) => return self.incomplete(code::BROKEN),
+                Err(error) if error.is_timeout() => {
+                    return self.classify_incomplete(code::NO_ANSWER);
+                }
+                Err(_) => return self.classify_incomplete(code::BROKEN),
             };
             let end = parser
                 .push(&bytes)
@@ -339,19 +342,19 @@
                 return end;
             }
         }
-        self.incomplete(code::CUT)
+        self.classify_incomplete(code::CUT)
     }
 
     /// Handles the data of one event; returns the end of the answer if this event ends it.
     fn handle_event(&mut self, data: &str) -> Option<End> {
         if data == END_MARKER {
-            return Some(self.complete());
+            return Some(self.classify_complete());
         }
         let event: Value = serde_json::from_str(data).unwrap_or_default();
         if event["error"].is_object() {
             let failure = serde_json::from_value::<Failure>(event).ok();
             return Some(failure.map_or_else(
-                || self.incomplete(code::CUT),
+                || self.classify_incomplete(code::CUT),
                 |failure| End::from_detail(failure.error),
             ));
         }
@@ -368,7 +371,7 @@
     }
 
     /// Classifies a complete answer.
-    fn complete(&self) -> End {
+    fn classify_complete(&self) -> End {
         match self.text.as_str() {
             text if text == self.expected => End::finished(),
             text if self.has_foreign_token(text) => End::with_code(Outcome::Crossed, code::CROSSED),
@@ -377,7 +380,7 @@
     }
 
     /// Classifies an incomplete answer, which failed unless it contains another request's text.
-    fn incomplete(&self, code: &str) -> End {
+    fn classify_incomplete(&self, code: &str) -> End {
         if self.expected.starts_with(&self.text) {
             End::with_code(Outcome::Failed, code)
         } else {
--- a/crates/kumquatdrum_replay/src/load.rs
+++ b/crates/kumquatdrum_replay/src/load.rs
@@ -185,8 +185,8 @@
         Sender::new(&options.straight, straight, "straight"),
     ];
     for index in 0..options.count {
-        for (half, path) in paths.iter_mut().enumerate() {
-            let at = start + period * index as u32 + period / 2 * half as u32;
+        for (path_index, path) in paths.iter_mut().enumerate() {
+            let at = start + period * index as u32 + period / 2 * path_index as u32;
             sleep_until(at).await;
             path.send(options, &run, index);
         }
@@ -230,7 +230,7 @@
                 bytes_per_token: options.bytes_per_token,
             },
         };
-        let request = Request::new(&entry(options, self.path), &route);
+        let request = Request::new(&build_entry(options, self.path), &route);
         let http = self.http.clone();
         let is_measured = index >= options.warm_up;
         self.tasks.spawn(async move {
@@ -269,7 +269,8 @@
     }
 }
 
-fn entry(options: &Options, path: &Path) -> Entry {
+/// Builds the trace entry of the requests on a path.
+fn build_entry(options: &Options, path: &Path) -> Entry {
     Entry {
         at_ms: 0,
         workspace: String::new(),
--- a/crates/kumquatdrum_testing/src/engine/answer.rs
+++ b/crates/kumquatdrum_testing/src/engine/answer.rs
@@ -11,7 +11,7 @@
 use futures::stream::{self, Stream};
 
 /// Time without events after which a comment is sent, so that a closed connection is noticed.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The bytes of one or more events.
 pub(super) type Chunk = Cursor<Bytes>;
@@ -51,9 +51,12 @@
     async fn next_chunk(&mut self) -> Chunk {
         let sent = self.tokens_sent;
         let has_changed = |status: &Status| status.tokens > sent || status.state.has_ended();
-        let result = tokio::time::timeout(KEEP_ALIVE, self.source.status.wait_for(has_changed))
-            .await
-            .map(|status| status.map(|status| *status));
+        let result = tokio::time::timeout(
+            KEEP_ALIVE_INTERVAL,
+            self.source.status.wait_for(has_changed),
+        )
+        .await
+        .map(|status| status.map(|status| *status));
         let status = match result {
             Ok(Ok(status)) => status,
             Ok(Err(_)) => return self.finish(),
