--- a/crates/kumquatdrum_host/src/problem.rs
+++ b/crates/kumquatdrum_host/src/problem.rs
@@ -1,14 +1,14 @@
-//! Endings in the words of the callers' interface.
+//! Conversion of request endings to replies for callers.
 
 use kumquatdrum_caller::Reply;
 use kumquatdrum_caller::admission::Problem;
-use kumquatdrum_daemon::flight::{Cause, Ending};
+use kumquatdrum_daemon::lifecycle::{Cause, Ending};
 use kumquatdrum_types::{FailureClass, RequestId};
 
 const BAD_GATEWAY: u16 = 502;
 const GATEWAY_TIMEOUT: u16 = 504;
 
-/// The name of an ending in metrics and logs.
+/// Returns the name of an ending in metrics and logs.
 pub const fn ending_name(ending: &Ending) -> &'static str {
     match ending {
         Ending::Finished => "finished",
@@ -19,7 +19,7 @@
     }
 }
 
-/// The last reply of a request that ended so; a caller that has left gets none.
+/// Returns the last reply of a request, or `None` if the caller has disconnected.
 pub fn last_reply(ending: Ending, request: &RequestId) -> Option<Reply> {
     match ending {
         Ending::Finished => Some(Reply::Finished),
@@ -31,12 +31,12 @@
             let problem = Problem::refused(refusal, retry_after, Some(request.clone()));
             Some(Reply::Problem(problem))
         }
-        Ending::Failed(cause) => Some(Reply::Problem(dispatched(
+        Ending::Failed(cause) => Some(Reply::Problem(build_failure_problem(
             FailureClass::Failed,
             cause,
             request,
         ))),
-        Ending::Unknown(cause) => Some(Reply::Problem(dispatched(
+        Ending::Unknown(cause) => Some(Reply::Problem(build_failure_problem(
             FailureClass::Unknown,
             cause,
             request,
@@ -44,7 +44,7 @@
     }
 }
 
-fn dispatched(class: FailureClass, cause: Cause, request: &RequestId) -> Problem {
+fn build_failure_problem(class: FailureClass, cause: Cause, request: &RequestId) -> Problem {
     let (code, status, message, relayed) = match cause {
         Cause::Deadline => (
             "deadline",
