--- a/crates/kumquatdrum_host/tests/faults.rs
+++ b/crates/kumquatdrum_host/tests/faults.rs
@@ -69,7 +69,7 @@
     let response = tokio::spawn(send(request));
     let index = wait_until_busy(engines).await;
     tokio::time::sleep(4 * SLOW_STEP).await;
-    engines[index].order(&fault);
+    engines[index].inject(&fault);
     let _ = system;
     response.await.expect("the caller finishes")
 }
@@ -168,7 +168,7 @@
     let (system, engines) = start_slow(1).await;
     let first = send(build_request(&system, false, false)).await;
     assert_eq!(first.status, 200, "{first:?}");
-    engines[0].order(&Fault::SilenceOpen);
+    engines[0].inject(&Fault::SilenceOpen);
     let second = send(build_request(&system, false, false)).await;
     assert_eq!(
         (second.status, second.text()),
@@ -183,7 +183,7 @@
 async fn a_truncated_answer_is_resumed() {
     for broken in [true, false] {
         let (system, engines) = start_slow(1).await;
-        engines[0].order(&Fault::Cut {
+        engines[0].inject(&Fault::Cut {
             after_tokens: 3,
             count: 1,
             broken,
@@ -209,7 +209,7 @@
         );
         let other = tokio::spawn(send(other));
         wait_until_busy(&engines).await;
-        engines[0].order(&Fault::Cross { count: 1, header });
+        engines[0].inject(&Fault::Cross { count: 1, header });
         let response = send(build_request(&system, true, false)).await;
         assert_eq!(
             streamed_text(&response.body),
@@ -226,7 +226,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_answer_is_waited_for() {
     let (system, engines) = start_slow(1).await;
-    engines[0].order(&Fault::Late {
+    engines[0].inject(&Fault::Late {
         ms: 3_000,
         count: 1,
     });
@@ -244,7 +244,7 @@
 async fn a_request_refused_by_a_full_engine_is_retried() {
     let (system, engines) = start_slow(2).await;
     for engine in &engines {
-        engine.order(&Fault::Refuse { count: 1 });
+        engine.inject(&Fault::Refuse { count: 1 });
     }
     // Each request adds a fifth of a retry to the budget.
     for _ in 0..8 {
@@ -261,7 +261,7 @@
     const REQUESTS: u64 = 60;
     let (system, engines) = start_slow(2).await;
     for engine in &engines {
-        engine.order(&Fault::Fail);
+        engine.inject(&Fault::Fail);
     }
     let pending: Vec<_> = (0..REQUESTS)
         .map(|_| tokio::spawn(send(build_request(&system, false, true))))
@@ -295,7 +295,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_is_cancelled_when_its_caller_leaves() {
     let (system, engines) = start_slow(1).await;
-    engines[0].order(&Fault::LoseCancel {
+    engines[0].inject(&Fault::LoseCancel {
         count: 2,
         done: false,
     });
@@ -349,7 +349,7 @@
             .header("x-test-key", key)
     };
     assert_eq!(send(order("k1")).await.status, 200);
-    service.order(&Fault::SilenceOpen);
+    service.inject(&Fault::SilenceOpen);
     let second = send(order("k2")).await;
     assert_eq!(second.status, 200, "{second:?}");
     let counts = service.counts();
--- a/crates/kumquatdrum_host/tests/long.rs
+++ b/crates/kumquatdrum_host/tests/long.rs
@@ -94,7 +94,7 @@
 async fn the_death_of_one_of_several_engines_returns_the_others_memory() {
     let (system, mut engines) = start(3).await;
     for engine in &engines {
-        engine.order(&Fault::Late {
+        engine.inject(&Fault::Late {
             ms: 1_000,
             count: 1,
         });
@@ -109,7 +109,7 @@
     {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    engines[1].order(&Fault::Die);
+    engines[1].inject(&Fault::Die);
     let response = pending.await.expect("the caller finishes");
     assert!(
         [200, 502, 503, 504].contains(&response.status),
--- a/crates/kumquatdrum_host/tests/orders.rs
+++ b/crates/kumquatdrum_host/tests/orders.rs
@@ -133,7 +133,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_to_a_frozen_engine_times_out() {
     let (engine, target, client) = start_checking_engine().await;
-    engine.order(&Fault::Freeze);
+    engine.inject(&Fault::Freeze);
     let answer = client.order(&target, &load_order(&target, 7), Box::new(|| true));
     let answer = tokio::time::timeout(TIMEOUT, answer).await;
     assert!(matches!(answer, Ok(Answer::Lost { .. })), "{answer:?}");
