--- a/crates/kumquatdrum_disk/src/lib.rs
+++ b/crates/kumquatdrum_disk/src/lib.rs
@@ -22,4 +22,4 @@
 pub use identity::Identity;
 pub use memory::Memory;
 pub use store::Store;
-pub use writer::{Report, Writer};
+pub use writer::{Callback, Writer};
--- a/crates/kumquatdrum_disk/src/writer.rs
+++ b/crates/kumquatdrum_disk/src/writer.rs
@@ -9,7 +9,7 @@
 
 /// Is told of each batch: its sequence number, or why it could not be written. Returns whether
 /// somebody still listens.
-pub type Report = Box<dyn Fn(Result<u64, Error>) -> bool + Send>;
+pub type Callback = Box<dyn Fn(Result<u64, Error>) -> bool + Send>;
 
 /// Writes batches in their order and reports each. It ends after a failure.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
 
 impl Writer {
     /// Starts the thread.
-    pub fn start(store: Box<dyn Store>, report: Report) -> std::io::Result<Self> {
+    pub fn start(store: Box<dyn Store>, report: Callback) -> std::io::Result<Self> {
         let (batches, received) = channel();
         let thread = std::thread::Builder::new()
             .name("disk".to_owned())
@@ -40,7 +40,7 @@
     }
 }
 
-fn write(store: &dyn Store, batches: &Receiver<Batch>, report: &Report) {
+fn write(store: &dyn Store, batches: &Receiver<Batch>, report: &Callback) {
     for batch in batches {
         let sequence = batch.sequence;
         let written = store.write(&[batch]).map(|()| sequence);
--- a/crates/kumquatdrum_gateway/src/replica.rs
+++ b/crates/kumquatdrum_gateway/src/replica.rs
@@ -8,7 +8,7 @@
 use kumquatdrum_consensus::{
     Incarnation, Input, LogIndex, Member, Message, Node, Output, ReplicaId, StoredState, Token,
 };
-use kumquatdrum_disk::{Folder, Report, Store as _, Writer};
+use kumquatdrum_disk::{Callback, Folder, Store as _, Writer};
 use kumquatdrum_peer::{Channel, Client};
 use kumquatdrum_process::clock::Clock;
 use kumquatdrum_process::random;
@@ -200,7 +200,7 @@
         "snapshot" => snapshot,
         "cluster" => stored.hard_state.cluster.map(|cluster| cluster.0));
     let events = handle.events.clone();
-    let report: Report = Box::new(move |written| {
+    let report: Callback = Box::new(move |written| {
         let written = written.map_err(|error| error.to_string());
         events.send(Event::Written(life, written)).is_ok()
     });
--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -7,7 +7,7 @@
 
 use kumquatdrum_consensus::{Incarnation, Node};
 use kumquatdrum_daemon::body::Budget;
-use kumquatdrum_disk::{Report, Store as _, Writer};
+use kumquatdrum_disk::{Callback, Store as _, Writer};
 use kumquatdrum_membership::Member;
 use kumquatdrum_operator::{Context, Operators};
 use kumquatdrum_peer::{Client, Counters, LocalDaemon};
@@ -435,7 +435,7 @@
     let mut node = kumquatdrum_consensus::Settings::new(member);
     node.initial_hosts.clone_from(&settings.replicas);
     let (handle, events, received) = Handle::new();
-    let report: Report = Box::new(move |written| events.send(Event::from(written)).is_ok());
+    let report: Callback = Box::new(move |written| events.send(Event::from(written)).is_ok());
     let parts = Parts {
         node: Node::new(node, stored, clock.now(), random::number()),
         writer: Writer::start(Box::new(store), report).map_err(|error| disk(&error))?,
