--- a/crates/kumquatdrum_disk/benches/log.rs
+++ b/crates/kumquatdrum_disk/benches/log.rs
@@ -1,7 +1,7 @@
-//! Cost of a commit by entries per batch, and of a restart by length of the log.
+//! Measures commit latency by entries per batch, and restart time by log length.
 //!
-//! `cargo bench -p kumquatdrum_disk --bench log -- FOLDER`; the folder decides which disk is
-//! measured.
+//! Usage: `cargo bench -p kumquatdrum_disk --bench log -- FOLDER`, with a folder on the disk to
+//! measure.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -18,7 +18,8 @@
 const SNAPSHOT_BYTES: usize = 100_000;
 const COMMITS: u64 = 200;
 const RESTARTS: usize = 5;
-const SNAPSHOT_TAIL: u64 = 200;
+/// Entries kept in the log after a snapshot.
+const SNAPSHOT_TAIL_ENTRIES: u64 = 200;
 
 fn entry(index: u64) -> Entry {
     Entry {
@@ -28,7 +29,7 @@
     }
 }
 
-fn fill(first: u64, count: u64) -> Batch {
+fn batch(first: u64, count: u64) -> Batch {
     Batch {
         hard_state: Some(HardState {
             cluster: Some(ClusterId(1)),
@@ -58,7 +59,7 @@
 }
 
 fn write(folder: &Folder, batch: Batch) {
-    folder.write(&[batch]).expect("the disk takes it");
+    folder.write(&[batch]).expect("the batch is written");
 }
 
 fn median(mut times: Vec<Duration>) -> Duration {
@@ -72,22 +73,22 @@
         let folder = open(path);
         let mut times = Vec::new();
         for commit in 0..COMMITS {
-            let batch = fill(1 + commit * entries, entries);
+            let batch = batch(1 + commit * entries, entries);
             let started = Instant::now();
             write(&folder, batch);
             times.push(started.elapsed());
         }
         let median = median(times);
-        let each = median / entries as u32;
-        println!("commit entries={entries} median={median:?} per_entry={each:?}");
+        let per_entry = median / entries as u32;
+        println!("commit entries={entries} median={median:?} per_entry={per_entry:?}");
     }
 }
 
-/// From opening the folder to a node that is ready.
+/// Returns the time from opening the folder until its node is created.
 fn restart(path: &Path) -> Duration {
     let started = Instant::now();
     let folder = open(path);
-    let stored = folder.load().expect("it is whole");
+    let stored = folder.load().expect("the stored state loads");
     let settings = Settings::new(Member::new("host", 1, "ikeja"));
     let node = Node::new(settings, stored, Moment::ZERO, 1);
     let elapsed = started.elapsed();
@@ -100,9 +101,9 @@
         let _ = std::fs::remove_dir_all(path);
         let folder = open(path);
         for first in (1..=length).step_by(500) {
-            write(&folder, fill(first, 500));
+            write(&folder, batch(first, 500));
             if with_snapshots {
-                write(&folder, snapshot(first + 499 - SNAPSHOT_TAIL));
+                write(&folder, snapshot(first + 499 - SNAPSHOT_TAIL_ENTRIES));
             }
         }
         drop(folder);
--- a/crates/kumquatdrum_disk/src/blob.rs
+++ b/crates/kumquatdrum_disk/src/blob.rs
@@ -1,4 +1,4 @@
-//! A small file that is replaced as a whole.
+//! Small files that are replaced atomically.
 
 use std::fs::{self, File};
 use std::io::{self, Read as _, Write as _};
@@ -6,11 +6,11 @@
 
 use kumquatdrum_types::hash;
 
-/// Bytes of the hash that a file ends with.
+/// Size of the hash at the end of the file.
 const HASH_BYTES: usize = 8;
 
-/// A small file that is replaced as a whole: after a crash it holds what was written last, or what
-/// was written before that.
+/// A small file that is replaced atomically: after a crash it holds either its new or its previous
+/// contents.
 #[derive(Debug, Clone)]
 pub struct Blob {
     folder: PathBuf,
@@ -19,7 +19,7 @@
 }
 
 impl Blob {
-    /// The file of this name in a folder; neither has to be there yet.
+    /// Returns a handle to the file `name` in `folder`. Neither has to exist.
     pub fn new(folder: impl AsRef<Path>, name: &str) -> Self {
         let folder = folder.as_ref();
         Self {
@@ -29,12 +29,12 @@
         }
     }
 
-    /// What the file holds; nothing where there is none.
+    /// Returns the contents of the file, or `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// The disk's own, and [`io::ErrorKind::InvalidData`] where the bytes are not those that were
-    /// written.
+    /// Fails if the file can't be read, and with [`io::ErrorKind::InvalidData`] if its hash does not
+    /// match its contents.
     pub fn read(&self) -> io::Result<Option<Vec<u8>>> {
         let mut bytes = Vec::new();
         match File::open(&self.path) {
@@ -42,17 +42,17 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             Err(error) => return Err(error),
         };
-        let damaged = || io::Error::new(io::ErrorKind::InvalidData, "the file is damaged");
-        let length = bytes.len().checked_sub(HASH_BYTES).ok_or_else(damaged)?;
+        let corrupt = || io::Error::new(io::ErrorKind::InvalidData, "file hash mismatch");
+        let length = bytes.len().checked_sub(HASH_BYTES).ok_or_else(corrupt)?;
         let written = bytes.split_off(length);
         if written == hash_of(&bytes) {
             Ok(Some(bytes))
         } else {
-            Err(damaged())
+            Err(corrupt())
         }
     }
 
-    /// Replaces what the file holds; it is synced when this returns.
+    /// Replaces the contents of the file and syncs them to disk.
     ///
     /// ```
     /// use kumquatdrum_disk::Blob;
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// The disk's own; the file holds what it held before.
+    /// Fails if the file can't be written; its previous contents stay.
     pub fn replace(&self, bytes: &[u8]) -> io::Result<()> {
         fs::create_dir_all(&self.folder)?;
         let mut file = File::create(&self.next)?;
@@ -75,7 +75,7 @@
         file.write_all(&hash_of(bytes))?;
         file.sync_all()?;
         fs::rename(&self.next, &self.path)?;
-        // The new name lasts only once its folder is synced.
+        // A rename survives a crash only after its folder is synced.
         File::open(&self.folder)?.sync_all()
     }
 }
--- a/crates/kumquatdrum_disk/src/error.rs
+++ b/crates/kumquatdrum_disk/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a data folder.
+//! Errors of the data folder.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,42 +6,42 @@
 use kumquatdrum_types::HostId;
 use thiserror::Error as ThisError;
 
-/// Why a data folder can't be used.
+/// An error on opening, reading or writing a data folder.
 #[derive(Debug, ThisError)]
 pub enum Error {
-    /// Another process has it open, or this one has it open twice.
+    /// The folder is already open, in this or in another process.
     #[error("{}: in use by another process", path.display())]
     Locked {
         /// The file.
         path: PathBuf,
     },
-    /// It was made by another host.
+    /// The folder was created by another host.
     #[error("{}: belongs to host {found}, not to {expected}", path.display())]
     OtherHost {
         /// The file.
         path: PathBuf,
-        /// The host of the settings.
+        /// The host named in the settings.
         expected: HostId,
-        /// The host that made it.
+        /// The host that created the folder.
         found: HostId,
     },
-    /// It was written by a version that this one does not understand.
+    /// The folder has a format that this version does not support.
     #[error("{}: format {found} is not supported", path.display())]
     Format {
         /// The file.
         path: PathBuf,
-        /// The format found.
+        /// The format number in the file.
         found: u64,
     },
-    /// Its contents are damaged. The replica must not start from it: moved away, the host comes
-    /// back as a new replica.
+    /// The contents are corrupt, so the replica must not start from them. Once the folder is moved
+    /// away, the host joins as a new replica.
     #[error("{}: {place}: {reason}", path.display())]
     Corrupt {
         /// The file.
         path: PathBuf,
-        /// Where in the file, such as `log entry 17`.
+        /// The damaged record, such as `log entry 17`.
         place: String,
-        /// What is wrong there.
+        /// Description of the damage.
         reason: String,
     },
     /// The disk is full.
@@ -50,15 +50,15 @@
         /// The file.
         path: PathBuf,
     },
-    /// The disk failed.
+    /// The operating system reported an error.
     #[error("{}: {source}", path.display())]
     Io {
         /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The underlying error.
         source: io::Error,
     },
-    /// An earlier write failed, so that nothing more is written.
+    /// An earlier write failed; the store rejects all further writes.
     #[error("{}: closed after a failed write", path.display())]
     Closed {
         /// The file.
--- a/crates/kumquatdrum_disk/src/fake.rs
+++ b/crates/kumquatdrum_disk/src/fake.rs
@@ -1,4 +1,4 @@
-//! A fake disk for tests: it forgets what was not synced, tears writes, fills up, or fails.
+//! An in-memory disk for tests that can lose unsynced data, tear writes, fill up and fail.
 
 use std::io;
 use std::sync::Arc;
@@ -6,10 +6,10 @@
 use parking_lot::Mutex;
 use redb::StorageBackend;
 
-/// The unit in which a crash keeps or loses unsynced writes.
-const SECTOR: usize = 512;
+/// Size of the unit in which a crash keeps or loses unsynced writes.
+const SECTOR_BYTES: usize = 512;
 
-/// A disk in memory. Clones are the same disk, so that it outlives the store on it.
+/// A disk in memory. Clones share their contents, so a test can reopen a store on the same disk.
 #[derive(Debug, Clone, Default)]
 pub struct Disk {
     state: Arc<Mutex<State>>,
@@ -20,13 +20,13 @@
     synced: Vec<u8>,
     current: Vec<u8>,
     syncs: u64,
-    /// Syncs that still work; none where all do.
+    /// Number of syncs before syncs fail; `None` if they never fail.
     working_syncs: Option<u64>,
-    capacity: Option<u64>,
+    capacity_bytes: Option<u64>,
 }
 
 impl Disk {
-    /// An empty disk.
+    /// Creates an empty disk.
     ///
     /// ```
     /// use kumquatdrum_consensus::Incarnation;
@@ -44,7 +44,7 @@
         Self::default()
     }
 
-    /// Loses what was not synced, but for the sectors that `keep` says had reached the disk.
+    /// Discards unsynced writes, except in sectors for which `keep` returns true.
     pub fn crash(&self, mut keep: impl FnMut(usize) -> bool) {
         let mut state = self.state.lock();
         let state = &mut *state;
@@ -53,8 +53,8 @@
         state.current.resize(length, 0);
         let sectors = state
             .synced
-            .chunks_mut(SECTOR)
-            .zip(state.current.chunks(SECTOR));
+            .chunks_mut(SECTOR_BYTES)
+            .zip(state.current.chunks(SECTOR_BYTES));
         for (number, (synced, current)) in sectors.enumerate() {
             if synced != current && keep(number) {
                 synced.copy_from_slice(current);
@@ -64,7 +64,7 @@
         state.working_syncs = None;
     }
 
-    /// A separate disk with the same contents.
+    /// Returns an independent disk with the same contents.
     #[must_use]
     pub fn copy(&self) -> Self {
         let state = self.state.lock();
@@ -78,27 +78,27 @@
         }
     }
 
-    /// All syncs after the next `count` fail.
+    /// Makes all syncs after the next `count` fail.
     pub fn fail_after_syncs(&self, count: u64) {
         self.state.lock().working_syncs = Some(count);
     }
 
-    /// Writes beyond this many bytes fail as on a full disk.
-    pub fn limit(&self, bytes: u64) {
-        self.state.lock().capacity = Some(bytes);
+    /// Makes writes beyond this size fail as on a full disk.
+    pub fn set_capacity(&self, bytes: u64) {
+        self.state.lock().capacity_bytes = Some(bytes);
     }
 
-    /// How often it was synced.
-    pub fn syncs(&self) -> u64 {
+    /// Returns the number of successful syncs.
+    pub fn sync_count(&self) -> u64 {
         self.state.lock().syncs
     }
 
-    /// The size in bytes.
+    /// Returns the size in bytes.
     pub fn size(&self) -> usize {
         self.state.lock().current.len()
     }
 
-    /// Damages one byte for good.
+    /// Flips the bits of `mask` in the byte at `position`, in synced data too.
     pub fn damage(&self, position: usize, mask: u8) {
         let state = &mut *self.state.lock();
         if let Some(byte) = state.current.get_mut(position) {
@@ -110,14 +110,14 @@
 
 impl State {
     fn check_capacity(&self, length: u64) -> io::Result<()> {
-        match self.capacity {
+        match self.capacity_bytes {
             Some(capacity) if length > capacity => Err(io::ErrorKind::StorageFull.into()),
             _ => Ok(()),
         }
     }
 }
 
-fn span(offset: u64, length: usize) -> io::Result<std::ops::Range<usize>> {
+fn byte_range(offset: u64, length: usize) -> io::Result<std::ops::Range<usize>> {
     let start = usize::try_from(offset).map_err(io::Error::other)?;
     Ok(start..start + length)
 }
@@ -129,7 +129,7 @@
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let state = self.state.lock();
-        let bytes = state.current.get(span(offset, out.len())?);
+        let bytes = state.current.get(byte_range(offset, out.len())?);
         let bytes = bytes.ok_or(io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(bytes);
         Ok(())
@@ -157,11 +157,11 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let mut state = self.state.lock();
-        let span = span(offset, data.len())?;
-        state.check_capacity(span.end as u64)?;
-        let length = state.current.len().max(span.end);
+        let range = byte_range(offset, data.len())?;
+        state.check_capacity(range.end as u64)?;
+        let length = state.current.len().max(range.end);
         state.current.resize(length, 0);
-        state.current[span].copy_from_slice(data);
+        state.current[range].copy_from_slice(data);
         Ok(())
     }
 }
--- a/crates/kumquatdrum_disk/src/folder.rs
+++ b/crates/kumquatdrum_disk/src/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder on a real disk.
+//! The data folder, stored in a redb database.
 
 use std::fs::{self, File};
 use std::io;
@@ -18,11 +18,11 @@
 
 use crate::{Error, Identity, Store};
 
-/// The file in the data folder that holds everything.
+/// The database file in the data folder.
 pub const FILE_NAME: &str = "replica.redb";
 
 const FORMAT: u64 = 1;
-/// All of the state is held by the node anyway.
+/// Small, as the node keeps the whole state in memory.
 const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
@@ -32,7 +32,7 @@
 const HARD_STATE_KEY: &str = "hard state";
 const SNAPSHOT_KEY: &str = "snapshot";
 
-/// An open data folder. Dropping it lets another process open it.
+/// An open data folder, locked against other processes until it is dropped.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -42,9 +42,9 @@
 }
 
 impl Folder {
-    /// Opens the data folder at `path`, or makes it, and checks its whole contents.
+    /// Opens or creates the data folder at `path` and verifies its contents.
     ///
-    /// `incarnation` must be random; it is used only where the folder is made.
+    /// `incarnation` must be random; it is used only when the folder is created.
     ///
     /// ```
     /// use kumquatdrum_consensus::Incarnation;
@@ -80,7 +80,7 @@
         Self::with_database(database, file, host, incarnation)
     }
 
-    /// The same on a storage backend of one's own.
+    /// Opens or creates a data folder on the given storage backend.
     pub fn open_backend(
         backend: impl StorageBackend,
         host: &HostId,
@@ -136,50 +136,58 @@
             }
         }
         let identity = self.read_meta(IDENTITY_KEY)?;
-        let missing = || self.corrupt(IDENTITY_KEY, "missing");
+        let missing = || self.corrupt_error(IDENTITY_KEY, "missing");
         identity.ok_or_else(missing).map(Some)
     }
 
     fn write_identity(&self, transaction: &WriteTransaction) -> Result<(), Error> {
         self.put_meta(transaction, FORMAT_KEY, &FORMAT)?;
         self.put_meta(transaction, IDENTITY_KEY, &self.identity)?;
-        transaction.open_table(LOG).map_err(|e| self.failure(e))?;
+        transaction
+            .open_table(LOG)
+            .map_err(|e| self.database_error(e))?;
         Ok(())
     }
 
-    /// One transaction: written, synced, and only then reported as done.
+    /// Runs one transaction and syncs it to disk.
     ///
-    /// In two phases: with one, a last commit that was damaged on the disk can't be told from one
-    /// that a crash has torn, and opening would silently go back to the one before.
+    /// Commits in two phases: with one phase, a corrupt last commit looks like one that a crash
+    /// interrupted, and opening would silently roll back to the commit before it.
     fn commit(
         &self,
         fill: impl FnOnce(&WriteTransaction) -> Result<(), Error>,
     ) -> Result<(), Error> {
-        let mut transaction = self.database.begin_write().map_err(|e| self.failure(e))?;
+        let mut transaction = self
+            .database
+            .begin_write()
+            .map_err(|e| self.database_error(e))?;
         transaction.set_two_phase_commit(true);
         fill(&transaction)?;
-        transaction.commit().map_err(|e| self.failure(e))
+        transaction.commit().map_err(|e| self.database_error(e))
     }
 
     fn apply(&self, transaction: &WriteTransaction, batch: &Batch) -> Result<(), Error> {
         if let Some(hard_state) = &batch.hard_state {
             self.put_meta(transaction, HARD_STATE_KEY, hard_state)?;
         }
-        let mut log = transaction.open_table(LOG).map_err(|e| self.failure(e))?;
+        let mut log = transaction
+            .open_table(LOG)
+            .map_err(|e| self.database_error(e))?;
         if let Some(from) = batch.truncate_from {
-            let gone = |_: u64, _: &[u8]| false;
-            log.retain_in(from.0.., gone).map_err(|e| self.failure(e))?;
+            let retain_none = |_: u64, _: &[u8]| false;
+            log.retain_in(from.0.., retain_none)
+                .map_err(|e| self.database_error(e))?;
         }
         if let Some(snapshot) = &batch.snapshot {
-            let gone = |_: u64, _: &[u8]| false;
-            log.retain_in(..=snapshot.index.0, gone)
-                .map_err(|e| self.failure(e))?;
+            let retain_none = |_: u64, _: &[u8]| false;
+            log.retain_in(..=snapshot.index.0, retain_none)
+                .map_err(|e| self.database_error(e))?;
             self.put_meta(transaction, SNAPSHOT_KEY, snapshot)?;
         }
         for entry in &batch.entries {
             let bytes = self.encode(entry)?;
             log.insert(entry.index.0, bytes.as_slice())
-                .map_err(|e| self.failure(e))?;
+                .map_err(|e| self.database_error(e))?;
         }
         Ok(())
     }
@@ -191,42 +199,52 @@
         value: &impl Serialize,
     ) -> Result<(), Error> {
         let bytes = self.encode(value)?;
-        let mut meta = transaction.open_table(META).map_err(|e| self.failure(e))?;
+        let mut meta = transaction
+            .open_table(META)
+            .map_err(|e| self.database_error(e))?;
         meta.insert(key, bytes.as_slice())
-            .map_err(|e| self.failure(e))?;
+            .map_err(|e| self.database_error(e))?;
         Ok(())
     }
 
     fn read_meta<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, Error> {
-        let transaction = self.database.begin_read().map_err(|e| self.failure(e))?;
+        let transaction = self
+            .database
+            .begin_read()
+            .map_err(|e| self.database_error(e))?;
         let meta = match transaction.open_table(META) {
             Ok(meta) => meta,
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
-            Err(error) => return Err(self.failure(error)),
+            Err(error) => return Err(self.database_error(error)),
         };
-        let Some(bytes) = meta.get(key).map_err(|e| self.failure(e))? else {
+        let Some(bytes) = meta.get(key).map_err(|e| self.database_error(e))? else {
             return Ok(None);
         };
         self.decode(key, bytes.value()).map(Some)
     }
 
     fn read_log(&self) -> Result<Vec<Entry>, Error> {
-        let transaction = self.database.begin_read().map_err(|e| self.failure(e))?;
-        let log = transaction.open_table(LOG).map_err(|e| self.failure(e))?;
+        let transaction = self
+            .database
+            .begin_read()
+            .map_err(|e| self.database_error(e))?;
+        let log = transaction
+            .open_table(LOG)
+            .map_err(|e| self.database_error(e))?;
         let mut entries = Vec::new();
-        for row in log.iter().map_err(|e| self.failure(e))? {
-            let (key, bytes) = row.map_err(|e| self.failure(e))?;
+        for row in log.iter().map_err(|e| self.database_error(e))? {
+            let (key, bytes) = row.map_err(|e| self.database_error(e))?;
             let place = format!("log entry {}", key.value());
             let entry: Entry = self.decode(&place, bytes.value())?;
             if entry.index != LogIndex(key.value()) {
-                return Err(self.corrupt(&place, "holds another entry"));
+                return Err(self.corrupt_error(&place, "the stored entry has a different index"));
             }
             entries.push(entry);
         }
         Ok(entries)
     }
 
-    /// Whether the parts fit together.
+    /// Checks that log, snapshot and hard state are consistent with each other.
     fn check(&self, stored: &StoredState) -> Result<(), Error> {
         let snapshot = stored.snapshot.as_ref();
         let mut index = snapshot.map_or(LogIndex(0), |snapshot| snapshot.index);
@@ -234,15 +252,20 @@
         for entry in &stored.entries {
             let place = format!("log entry {}", entry.index);
             if entry.index != index.next() {
-                return Err(self.corrupt(&place, &format!("follows entry {index}")));
+                return Err(self.corrupt_error(&place, &format!("follows entry {index}")));
             }
             if entry.term < term {
-                return Err(self.corrupt(&place, "its term is lower than the one before"));
+                return Err(
+                    self.corrupt_error(&place, "its term is lower than that of the entry before")
+                );
             }
             (index, term) = (entry.index, entry.term);
         }
         if stored.hard_state.term < term {
-            return Err(self.corrupt(HARD_STATE_KEY, "its term is lower than the log's"));
+            return Err(self.corrupt_error(
+                HARD_STATE_KEY,
+                "its term is lower than that of the last log entry",
+            ));
         }
         Ok(())
     }
@@ -255,10 +278,10 @@
     }
 
     fn decode<T: DeserializeOwned>(&self, place: &str, bytes: &[u8]) -> Result<T, Error> {
-        postcard::from_bytes(bytes).map_err(|error| self.corrupt(place, &error.to_string()))
+        postcard::from_bytes(bytes).map_err(|error| self.corrupt_error(place, &error.to_string()))
     }
 
-    fn corrupt(&self, place: &str, reason: &str) -> Error {
+    fn corrupt_error(&self, place: &str, reason: &str) -> Error {
         Error::Corrupt {
             path: self.path.clone(),
             place: place.to_owned(),
@@ -266,7 +289,7 @@
         }
     }
 
-    fn failure(&self, error: impl Into<redb::Error>) -> Error {
+    fn database_error(&self, error: impl Into<redb::Error>) -> Error {
         storage_error(&self.path, error.into())
     }
 }
--- a/crates/kumquatdrum_disk/src/identity.rs
+++ b/crates/kumquatdrum_disk/src/identity.rs
@@ -1,20 +1,20 @@
-//! Whose data folder it is.
+//! The replica that a data folder belongs to.
 
 use kumquatdrum_consensus::{Incarnation, ReplicaId};
 use kumquatdrum_types::HostId;
 use serde::{Deserialize, Serialize};
 
-/// Written once, when a data folder is made.
+/// The host and incarnation of a data folder, written once when it is created.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The host that made it.
+    /// The host that created the folder.
     pub host: HostId,
-    /// Chosen at random when it was made.
+    /// Random number that tells this folder from earlier ones of the same host.
     pub incarnation: Incarnation,
 }
 
 impl Identity {
-    /// The replica that speaks from this folder.
+    /// Returns the id of the replica whose state the folder holds.
     ///
     /// ```
     /// use kumquatdrum_consensus::Incarnation;
--- a/crates/kumquatdrum_disk/src/lib.rs
+++ b/crates/kumquatdrum_disk/src/lib.rs
@@ -1,11 +1,11 @@
 //! The data folder: log, vote and snapshot of a control replica.
 //!
-//! A [`Folder`] keeps everything in one file, of which one process at a time may be the owner.
-//! What [`Store::write`] was given is synced when it returns; several batches share one
-//! transaction and one sync. Opening checks the whole file, and tells where it is damaged. After
-//! a failed write the store takes no more, as nobody can tell what the disk holds then.
+//! A [`Folder`] keeps its state in one file, which one process at a time can open. Opening verifies
+//! the whole file and reports damaged records. [`Store::write`] applies its batches in one
+//! transaction with one sync. After a failed write the contents of the disk are unknown, so the
+//! store rejects further writes.
 //!
-//! A [`Blob`] keeps what a host would rather not learn anew, beside the folder's own file.
+//! A [`Blob`] holds cached data that lets a host restart faster, in a file of its own.
 
 mod blob;
 mod error;
--- a/crates/kumquatdrum_disk/src/memory.rs
+++ b/crates/kumquatdrum_disk/src/memory.rs
@@ -1,11 +1,11 @@
-//! A store in memory, for tests.
+//! An in-memory store for tests.
 
 use kumquatdrum_consensus::{Batch, StoredState};
 use parking_lot::Mutex;
 
 use crate::{Error, Identity, Store};
 
-/// Keeps everything in memory; nothing outlives it.
+/// A store whose contents are lost when it is dropped.
 #[derive(Debug)]
 pub struct Memory {
     identity: Identity,
@@ -13,7 +13,7 @@
 }
 
 impl Memory {
-    /// An empty store.
+    /// Creates an empty store.
     ///
     /// ```
     /// use kumquatdrum_consensus::{Batch, Content, Entry, Incarnation, LogIndex, Term};
--- a/crates/kumquatdrum_disk/src/store.rs
+++ b/crates/kumquatdrum_disk/src/store.rs
@@ -1,4 +1,4 @@
-//! The border between a replica's shell and its disk.
+//! Persistent storage of a replica's consensus state.
 
 use std::fmt::Debug;
 
@@ -6,17 +6,17 @@
 
 use crate::{Error, Identity};
 
-/// Where a replica keeps its state.
+/// Stores the consensus state of one replica.
 pub trait Store: Debug + Send + Sync {
-    /// Whose state it is.
+    /// Returns the host and incarnation whose state is stored.
     fn identity(&self) -> &Identity;
 
-    /// All that it holds, checked.
+    /// Reads and verifies the stored state.
     fn load(&self) -> Result<StoredState, Error>;
 
-    /// Applies batches in their order, all or none. They are synced when this returns.
+    /// Applies the batches in order, atomically, and syncs them to disk.
     ///
-    /// After an error nothing can be written any more: the replica has to be stopped, and the
-    /// store opened anew.
+    /// After an error the store rejects all writes: the replica has to be stopped and the store
+    /// reopened.
     fn write(&self, batches: &[Batch]) -> Result<(), Error>;
 }
--- a/crates/kumquatdrum_disk/src/writer.rs
+++ b/crates/kumquatdrum_disk/src/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes a replica's batches to its disk.
+//! A thread that writes a replica's batches to its store.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::JoinHandle;
@@ -7,11 +7,12 @@
 
 use crate::{Error, Store};
 
-/// Is told of each batch: its sequence number, or why it could not be written. Returns whether
-/// somebody still listens.
+/// Receives the sequence number of each written batch, or the error. Returns false to stop the
+/// writer.
 pub type Callback = Box<dyn Fn(Result<u64, Error>) -> bool + Send>;
 
-/// Writes batches in their order and reports each. It ends after a failure.
+/// Writes batches in order on its own thread, which ends after the first failed write or when the
+/// callback returns false.
 #[derive(Debug)]
 pub struct Writer {
     batches: Option<Sender<Batch>>,
@@ -19,33 +20,33 @@
 }
 
 impl Writer {
-    /// Starts the thread.
-    pub fn start(store: Box<dyn Store>, report: Callback) -> std::io::Result<Self> {
+    /// Starts the thread, which calls `callback` after each batch.
+    pub fn start(store: Box<dyn Store>, callback: Callback) -> std::io::Result<Self> {
         let (batches, received) = channel();
         let thread = std::thread::Builder::new()
             .name("disk".to_owned())
-            .spawn(move || write(store.as_ref(), &received, &report))?;
+            .spawn(move || write(store.as_ref(), &received, &callback))?;
         Ok(Self {
             batches: Some(batches),
             thread: Some(thread),
         })
     }
 
-    /// Hands a batch over.
+    /// Queues a batch for writing.
     pub fn write(&self, batch: Batch) {
         if let Some(batches) = &self.batches {
-            // The thread ends only after a failure, which it has reported.
+            // Fails only after the thread has ended, and so after its last call of the callback.
             let _ = batches.send(batch);
         }
     }
 }
 
-fn write(store: &dyn Store, batches: &Receiver<Batch>, report: &Callback) {
+fn write(store: &dyn Store, batches: &Receiver<Batch>, callback: &Callback) {
     for batch in batches {
         let sequence = batch.sequence;
         let written = store.write(&[batch]).map(|()| sequence);
         let failed = written.is_err();
-        if !report(written) || failed {
+        if !callback(written) || failed {
             return;
         }
     }
--- a/crates/kumquatdrum_disk/tests/blob.rs
+++ b/crates/kumquatdrum_disk/tests/blob.rs
@@ -1,4 +1,4 @@
-//! A file that is replaced as a whole.
+//! Reading and replacing of blobs, also after damage and interrupted writes.
 
 use std::path::PathBuf;
 use std::{fs, io};
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn nothing_is_read_where_nothing_was_written() {
+fn a_missing_file_reads_as_none() {
     let folder = folder("blob-none");
     assert_eq!(Blob::new(&folder, "known").read().unwrap(), None);
 }
 
 #[test]
-fn the_newest_bytes_are_read_whatever_an_unfinished_replacement_left() {
+fn an_interrupted_replacement_leaves_the_previous_contents() {
     let folder = folder("blob-newest");
     let blob = Blob::new(&folder, "known");
     blob.replace(b"one").unwrap();
@@ -31,19 +31,19 @@
 }
 
 #[test]
-fn every_damaged_byte_and_every_cut_is_told() {
+fn damaged_and_truncated_files_are_rejected() {
     let folder = folder("blob-damaged");
     let blob = Blob::new(&folder, "known");
     blob.replace(b"engines").unwrap();
     let path = folder.join("known");
-    let whole = fs::read(&path).unwrap();
-    for place in 0..whole.len() {
-        let mut damaged = whole.clone();
-        damaged[place] ^= 0x20;
-        for bytes in [&damaged[..], &whole[..place]] {
+    let intact = fs::read(&path).unwrap();
+    for position in 0..intact.len() {
+        let mut damaged = intact.clone();
+        damaged[position] ^= 0x20;
+        for bytes in [&damaged[..], &intact[..position]] {
             fs::write(&path, bytes).unwrap();
             let error = blob.read().unwrap_err();
-            assert_eq!(error.kind(), io::ErrorKind::InvalidData, "at {place}");
+            assert_eq!(error.kind(), io::ErrorKind::InvalidData, "at {position}");
         }
     }
     fs::remove_dir_all(folder).unwrap();
--- a/crates/kumquatdrum_disk/tests/common/mod.rs
+++ b/crates/kumquatdrum_disk/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Batches for the tests of the store. Each test file uses a part.
+//! Fixtures shared by the store's tests. No test file uses all of them.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -40,7 +40,7 @@
     }
 }
 
-/// Ten batches: entries and votes, a snapshot after the fifth, a truncation after the eighth.
+/// Returns ten batches with entries and hard states, one snapshot and one truncation.
 pub fn batches() -> Vec<Batch> {
     let batch = |number: u64| Batch {
         sequence: number,
--- a/crates/kumquatdrum_disk/tests/crash.rs
+++ b/crates/kumquatdrum_disk/tests/crash.rs
@@ -1,4 +1,4 @@
-//! What was acknowledged outlives a crash; what was not is there as a whole or not at all.
+//! Acknowledged writes survive a crash; other writes are applied whole or not at all.
 
 mod common;
 
@@ -8,14 +8,14 @@
 
 const SEEDS: u64 = 8;
 
-/// Whether a sector that was not synced reached the disk nonetheless.
-fn reached(seed: u64, sector: usize) -> bool {
+/// Decides by a hash whether an unsynced sector survives the crash.
+fn survives(seed: u64, sector: usize) -> bool {
     let mixed = (seed << 32 | sector as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed >> 63 == 1
 }
 
-/// Writes until the disk fails at its `syncs`th sync, crashes, and looks what is left.
-fn crash_at(syncs: u64, seed: u64) {
+/// Writes until syncs fail after the first `syncs`, crashes, and checks what the disk holds.
+fn check_crash_after(syncs: u64, seed: u64) {
     let disk = Disk::new();
     let folder = open(&disk).unwrap();
     disk.fail_after_syncs(syncs);
@@ -26,7 +26,7 @@
         .take_while(|batch| write(batch).is_ok())
         .count();
     drop(folder);
-    disk.crash(|sector| reached(seed, sector));
+    disk.crash(|sector| survives(seed, sector));
     let stored = open(&disk).unwrap().load().unwrap();
     let before = apply_all(&batches[..acknowledged]);
     let after = apply_all(&batches[..batches.len().min(acknowledged + 1)]);
@@ -37,16 +37,16 @@
 }
 
 #[test]
-fn acknowledged_writes_outlive_a_crash_at_any_sync() {
+fn acknowledged_writes_survive_a_crash_at_any_sync() {
     for syncs in 0..20 {
         for seed in 0..SEEDS {
-            crash_at(syncs, seed);
+            check_crash_after(syncs, seed);
         }
     }
 }
 
 #[test]
-fn a_failed_sync_is_told_and_nothing_is_written_after_it() {
+fn a_failed_sync_is_reported_and_later_writes_are_rejected() {
     let disk = Disk::new();
     let folder = open(&disk).unwrap();
     let batch = |index| Batch {
@@ -67,10 +67,10 @@
 }
 
 #[test]
-fn a_full_disk_is_told_and_loses_nothing() {
+fn a_full_disk_is_reported_and_keeps_acknowledged_writes() {
     let disk = Disk::new();
     let folder = open(&disk).unwrap();
-    disk.limit(disk.size() as u64 + 64 * 1024);
+    disk.set_capacity(disk.size() as u64 + 64 * 1024);
     let mut acknowledged = Vec::new();
     let error = loop {
         let index = acknowledged.len() as u64 + 1;
@@ -88,21 +88,21 @@
     assert!(!acknowledged.is_empty());
     drop(folder);
     disk.crash(|_| true);
-    disk.limit(u64::MAX);
+    disk.set_capacity(u64::MAX);
     assert_eq!(open(&disk).unwrap().load().unwrap().entries, acknowledged);
 }
 
 #[test]
-fn batches_of_one_write_share_their_syncs() {
+fn batches_of_one_write_share_one_commit() {
     let disk = Disk::new();
     let folder = open(&disk).unwrap();
-    let syncs_of = |batches: &[Batch]| {
-        let before = disk.syncs();
+    let count_syncs = |batches: &[Batch]| {
+        let before = disk.sync_count();
         folder.write(batches).unwrap();
-        disk.syncs() - before
+        disk.sync_count() - before
     };
     let batches = batches();
-    let one = syncs_of(&batches[..1]);
-    assert_eq!(syncs_of(&batches[1..]), one);
+    let syncs_of_one_batch = count_syncs(&batches[..1]);
+    assert_eq!(count_syncs(&batches[1..]), syncs_of_one_batch);
     assert_eq!(folder.load().unwrap(), apply_all(&batches));
 }
--- a/crates/kumquatdrum_disk/tests/damage.rs
+++ b/crates/kumquatdrum_disk/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Damaged contents are found and told with their place, and never taken for older ones.
+//! Damage is detected and located on opening, and never mistaken for an older state.
 
 mod common;
 
@@ -8,33 +8,33 @@
 use kumquatdrum_consensus::{Batch, StoredState};
 use kumquatdrum_disk::{Error, Folder, Store, fake::Disk};
 
-/// A prime, so that all places within a page and a sector come up.
-const STRIDE: usize = 331;
+/// Bytes between damaged positions: a prime, so that they differ within pages and sectors.
+const STRIDE_BYTES: usize = 331;
 
-/// What became of a store after one byte of its disk was damaged.
+/// Outcomes of opening a store with one damaged byte, by position.
 #[derive(Debug, Default)]
 struct Tally {
-    told: u32,
+    detected: u32,
     harmless: u32,
-    wrong: Vec<usize>,
+    misreported: Vec<usize>,
 }
 
-fn tally(disk: &Disk, expected: &StoredState) -> Tally {
+fn damage_each_position(disk: &Disk, expected: &StoredState) -> Tally {
     let mut tally = Tally::default();
-    for position in (0..disk.size()).step_by(STRIDE) {
+    for position in (0..disk.size()).step_by(STRIDE_BYTES) {
         let copy = disk.copy();
         copy.damage(position, 0x10);
         let load = || open(&copy).and_then(|folder| folder.load());
         match catch_unwind(AssertUnwindSafe(load)) {
             Ok(Ok(stored)) if stored == *expected => tally.harmless += 1,
-            Ok(Err(Error::Corrupt { .. })) => tally.told += 1,
-            _ => tally.wrong.push(position),
+            Ok(Err(Error::Corrupt { .. })) => tally.detected += 1,
+            _ => tally.misreported.push(position),
         }
     }
     tally
 }
 
-fn written(disk: &Disk) -> Folder {
+fn write_batches(disk: &Disk) -> Folder {
     let folder = open(disk).unwrap();
     for batch in batches() {
         folder.write(&[batch]).unwrap();
@@ -43,53 +43,53 @@
 }
 
 #[test]
-fn damage_after_a_clean_stop_is_told() {
+fn damage_after_a_clean_stop_is_detected() {
     let disk = Disk::new();
-    drop(written(&disk));
-    let tally = tally(&disk, &apply_all(&batches()));
-    assert!(tally.wrong.is_empty(), "{tally:?}");
-    assert!(tally.told > 40, "{tally:?}");
+    drop(write_batches(&disk));
+    let tally = damage_each_position(&disk, &apply_all(&batches()));
+    assert!(tally.misreported.is_empty(), "{tally:?}");
+    assert!(tally.detected > 40, "{tally:?}");
 }
 
-/// Without two-phase commits the store came back with the contents before the last write, as a
-/// damaged last commit can't be told from one that a crash has torn.
+/// Guards against a silent roll-back to the state before the last commit, which is what one-phase
+/// commits do.
 #[test]
-fn damage_after_a_crash_is_told() {
+fn damage_after_a_crash_is_detected() {
     let disk = Disk::new();
-    let folder = written(&disk);
+    let folder = write_batches(&disk);
     let crashed = disk.copy();
     crashed.crash(|_| false);
     drop(folder);
-    let tally = tally(&crashed, &apply_all(&batches()));
-    assert!(tally.wrong.is_empty(), "{tally:?}");
-    assert!(tally.told > 40, "{tally:?}");
+    let tally = damage_each_position(&crashed, &apply_all(&batches()));
+    assert!(tally.misreported.is_empty(), "{tally:?}");
+    assert!(tally.detected > 40, "{tally:?}");
 }
 
-fn place_of(batch: Batch) -> String {
+fn damaged_place(batch: Batch) -> String {
     let disk = Disk::new();
     open(&disk).unwrap().write(&[batch]).unwrap();
     match open(&disk) {
         Err(Error::Corrupt { place, .. }) => place,
-        other => panic!("taken as whole: {other:?}"),
+        other => panic!("not reported as corrupt: {other:?}"),
     }
 }
 
 #[test]
-fn a_gap_in_the_log_is_told_with_its_place() {
+fn a_gap_in_the_log_is_reported_with_its_place() {
     let gap = Batch {
         hard_state: Some(hard_state(2)),
         entries: vec![entry(1, 10), entry(3, 10)],
         ..Batch::default()
     };
-    assert_eq!(place_of(gap), "log entry 3");
+    assert_eq!(damaged_place(gap), "log entry 3");
 }
 
 #[test]
-fn a_term_that_went_back_is_told_with_its_place() {
+fn a_decreasing_term_is_reported_with_its_place() {
     let old_term = Batch {
         hard_state: Some(hard_state(1)),
         entries: vec![entry(1, 10)],
         ..Batch::default()
     };
-    assert_eq!(place_of(old_term), "hard state");
+    assert_eq!(damaged_place(old_term), "hard state");
 }
--- a/crates/kumquatdrum_disk/tests/folder.rs
+++ b/crates/kumquatdrum_disk/tests/folder.rs
@@ -1,18 +1,18 @@
-//! The data folder on a real file system: its owner, its identity, and what it holds.
+//! The data folder on a real file system: locking, identity and contents.
 
 mod common;
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use arbtest::arbitrary::{Result as Drawn, Unstructured};
+use arbtest::arbitrary::{Result as ArbitraryResult, Unstructured};
 use common::{INCARNATION, apply_all, batches, entry, hard_state, open, snapshot};
 use kumquatdrum_consensus::{Batch, Incarnation, LogIndex, StoredState};
 use kumquatdrum_disk::{Error, Folder, Identity, Memory, Store, fake::Disk};
 
 const CHILD_PATH: &str = "KUMQUATDRUM_TEST_FOLDER";
 
-/// A folder that is removed at the end.
+/// A temporary folder, removed on drop.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn contents_and_identity_outlive_a_restart() {
+fn contents_and_identity_survive_a_restart() {
     let scratch = Scratch::new("restart");
     let folder = scratch.open("host", 7).unwrap();
     folder.write(&batches()).unwrap();
@@ -56,25 +56,25 @@
 }
 
 #[test]
-fn another_hosts_folder_is_refused() {
+fn a_folder_of_another_host_is_rejected() {
     let scratch = Scratch::new("other-host");
     drop(scratch.open("host", 7).unwrap());
     let error = scratch.open("other", 8).unwrap_err();
     assert!(matches!(error, Error::OtherHost { .. }), "{error}");
 }
 
-/// Runs in the second process of the test below; does nothing otherwise.
+/// Helper of the test below, which runs it in a child process; does nothing otherwise.
 #[test]
 fn second_process() {
     if let Some(path) = std::env::var_os(CHILD_PATH) {
         let error = open_at(Path::new(&path), "host", 8).unwrap_err();
         assert!(matches!(error, Error::Locked { .. }), "{error}");
-        println!("refused");
+        println!("rejected");
     }
 }
 
 #[test]
-fn a_second_process_is_refused() {
+fn a_second_process_is_rejected() {
     let scratch = Scratch::new("locked");
     let folder = scratch.open("host", 7).unwrap();
     let child = Command::new(std::env::current_exe().unwrap())
@@ -84,14 +84,14 @@
         .unwrap();
     let printed = String::from_utf8_lossy(&child.stdout);
     assert!(
-        child.status.success() && printed.contains("refused"),
+        child.status.success() && printed.contains("rejected"),
         "{printed}"
     );
     folder.write(&batches()).unwrap();
 }
 
-/// A batch that a node could write to a store that holds `stored`.
-fn batch(u: &mut Unstructured<'_>, stored: &StoredState) -> Drawn<Batch> {
+/// Returns a batch that a node could write to a store with the given state.
+fn arbitrary_batch(u: &mut Unstructured<'_>, stored: &StoredState) -> ArbitraryResult<Batch> {
     let base = stored.snapshot.as_ref().map_or(0, |s| s.index.0);
     let mut last = stored.entries.last().map_or(base, |e| e.index.0);
     let mut batch = Batch::default();
@@ -114,9 +114,9 @@
     Ok(batch)
 }
 
-/// The stores agree with each other and with what a batch is documented to do.
+/// Both stores hold the state that [`StoredState::apply`] defines.
 #[test]
-fn all_stores_agree() {
+fn folder_and_memory_apply_batches_alike() {
     for seed in 0..40_u64 {
         let identity = Identity {
             host: "host".into(),
@@ -134,7 +134,7 @@
             folder.write(std::slice::from_ref(&first)).unwrap();
             memory.write(&[first]).unwrap();
             for _ in 0..12 {
-                let batch = batch(u, &expected)?;
+                let batch = arbitrary_batch(u, &expected)?;
                 expected.apply(&batch);
                 folder.write(std::slice::from_ref(&batch)).unwrap();
                 memory.write(&[batch]).unwrap();
