--- a/crates/kumquatdrum/src/gateway.rs
+++ b/crates/kumquatdrum/src/gateway.rs
@@ -42,7 +42,7 @@
 async fn serve(settings: Settings, file: &Path) -> Exit {
     let (logger, _guard) = logging::start(Level::Info, std::io::stdout());
     let stop = stopped(logger.clone());
-    let changed = match kumquatdrum_process::signal::reload() {
+    let changed = match kumquatdrum_process::signal::reload_signals() {
         Ok(changed) => changed,
         Err(reason) => {
             error!(logger, "no_signals"; "event" => "no_signals", "reason" => %reason);
@@ -63,7 +63,7 @@
 }
 
 async fn stopped(logger: Logger) {
-    if let Err(reason) = kumquatdrum_process::signal::stop().await {
+    if let Err(reason) = kumquatdrum_process::signal::wait_for_stop().await {
         error!(logger, "no_signals"; "event" => "no_signals", "reason" => %reason);
         std::future::pending::<()>().await;
     }
--- a/crates/kumquatdrum/src/serve.rs
+++ b/crates/kumquatdrum/src/serve.rs
@@ -59,7 +59,7 @@
             return Exit::Usage;
         }
     };
-    let stopped = kumquatdrum_process::signal::stop().await;
+    let stopped = kumquatdrum_process::signal::wait_for_stop().await;
     if let Err(reason) = stopped {
         error!(logger, ""; "event" => "no_signals", "reason" => %reason);
     }
--- a/crates/kumquatdrum_gateway/src/call.rs
+++ b/crates/kumquatdrum_gateway/src/call.rs
@@ -47,7 +47,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
     let arrived = gateway.clock.now();
-    let work = gateway.drain.work();
+    let work = gateway.drain.begin_work();
     let (head, body) = request.into_parts();
     let ask = gateway.protocol.ask(&head.headers);
     let name = ask.attempt.clone().unwrap_or_default();
--- a/crates/kumquatdrum_gateway/src/meters.rs
+++ b/crates/kumquatdrum_gateway/src/meters.rs
@@ -38,17 +38,17 @@
     pub fn new() -> prometheus::Result<Self> {
         let r = Registry::default();
         Ok(Self {
-            ended: r.counters(
+            ended: r.counter_vec(
                 "kumquatdrum_gateway_ended_total",
                 "Requests by their end.",
                 &["end"],
             )?,
-            attempts: r.counters(
+            attempts: r.counter_vec(
                 "kumquatdrum_gateway_attempts_total",
                 "Requests sent to endpoints, by outcome.",
                 &["outcome"],
             )?,
-            first: r.histograms(
+            first: r.histogram_vec(
                 "kumquatdrum_gateway_first_seconds",
                 "Seconds to the first event or the whole answer, by length of the prompt.",
                 &BOUNDS,
@@ -58,12 +58,12 @@
             revision: r.gauge("kumquatdrum_gateway_revision", "The revision in force.")?,
             leader: r.gauge("kumquatdrum_gateway_leader", "1 on the leading replica.")?,
             hosts: r.gauge("kumquatdrum_gateway_hosts", "Hosts heard lately.")?,
-            datagrams: r.counters(
+            datagrams: r.counter_vec(
                 "kumquatdrum_gateway_datagrams_total",
                 "Datagrams sent, of them relayed, received, and received but unreadable.",
                 &["direction"],
             )?,
-            peer_bytes: r.counters(
+            peer_bytes: r.counter_vec(
                 "kumquatdrum_gateway_peer_bytes_total",
                 "Bytes of frames to and from other hosts, by channel.",
                 &["channel", "direction"],
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -45,7 +45,7 @@
 
     /// The listener is open on this port.
     pub fn opened(&self, port: u16) {
-        let _ = self.connections.set(Connections::to(port));
+        let _ = self.connections.set(Connections::on_port(port));
     }
 
     fn current(&self, request: Option<&RequestId>) -> Result<Arc<Current>, Problem> {
@@ -103,7 +103,7 @@
             plan,
             key,
             hold: caller.hold,
-            work: self.shell.drain.work(),
+            work: self.shell.drain.begin_work(),
             permit,
             ask,
         })
@@ -232,7 +232,7 @@
 
     fn is_here(&self, caller: SocketAddr) -> bool {
         let connections = self.connections.get();
-        connections.is_none_or(|connections| connections.stands(caller))
+        connections.is_none_or(|connections| connections.is_open(caller))
     }
 
     fn key_state<'a>(
--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -11,7 +11,7 @@
 use kumquatdrum_membership::Member;
 use kumquatdrum_operator::{Context, Operators};
 use kumquatdrum_peer::{Client, Counters, LocalDaemon};
-use kumquatdrum_process::{Metrics, face};
+use kumquatdrum_process::{Metrics, monitoring};
 use kumquatdrum_setup::Control;
 use kumquatdrum_types::{BootId, HostId};
 use slog::{error, info};
@@ -267,7 +267,7 @@
         self.shell.drain.begin();
         tokio::time::sleep(Duration::from_millis(drain.notice_ms)).await;
         let longest = Duration::from_millis(drain.longest_ms);
-        let _ = tokio::time::timeout(longest, self.shell.drain.idle()).await;
+        let _ = tokio::time::timeout(longest, self.shell.drain.wait_until_idle()).await;
         if let Some(callers) = self.callers.take() {
             callers.stop().await;
         }
@@ -373,7 +373,7 @@
     let platform = web::build(listen.platform)
         .manage(shell.drain.clone())
         .manage(shell.metrics.clone())
-        .mount("/", face::all());
+        .mount("/", monitoring::routes());
     let frontend = Arc::new(Frontend::new(shell.clone()));
     let callers =
         web::build(listen.callers).mount("/", kumquatdrum_caller::routes::all(frontend.clone()));
--- a/crates/kumquatdrum_process/src/drain.rs
+++ b/crates/kumquatdrum_process/src/drain.rs
@@ -50,7 +50,7 @@
     }
 
     /// Counts a piece of work until the returned guard is dropped.
-    pub fn work(self: &Arc<Self>) -> Work {
+    pub fn begin_work(self: &Arc<Self>) -> Work {
         self.work.fetch_add(1, Ordering::Relaxed);
         Work(Arc::clone(self))
     }
@@ -61,7 +61,7 @@
     }
 
     /// Waits until no work is under way.
-    pub async fn idle(&self) {
+    pub async fn wait_until_idle(&self) {
         loop {
             let changed = self.changed.notified();
             if self.under_way() == 0 {
--- a/crates/kumquatdrum_process/src/lib.rs
+++ b/crates/kumquatdrum_process/src/lib.rs
@@ -2,8 +2,8 @@
 
 pub mod clock;
 pub mod drain;
-pub mod face;
 pub mod metrics;
+pub mod monitoring;
 pub mod random;
 pub mod registry;
 pub mod signal;
--- a/crates/kumquatdrum_process/src/metrics.rs
+++ b/crates/kumquatdrum_process/src/metrics.rs
@@ -57,12 +57,12 @@
         let r = Registry::default();
         Ok(Self {
             admitted: r.counter("kumquatdrum_requests_admitted_total", "Requests admitted.")?,
-            ended: r.counters(
+            ended: r.counter_vec(
                 "kumquatdrum_requests_ended_total",
                 "Requests by ending.",
                 &["ending"],
             )?,
-            refused: r.counters("kumquatdrum_refusals_total", "Refusals by code.", &["code"])?,
+            refused: r.counter_vec("kumquatdrum_refusals_total", "Refusals by code.", &["code"])?,
             attempts: r.counter("kumquatdrum_attempts_total", "Attempts sent to endpoints.")?,
             retries: r.counter(
                 "kumquatdrum_retries_total",
@@ -79,9 +79,9 @@
             )?,
             version: r.gauge("kumquatdrum_declaration_version", "Version in force here.")?,
             cut_off: r.gauge("kumquatdrum_cut_off", "1 without a majority of replicas.")?,
-            endpoints: r.gauges("kumquatdrum_endpoints", "Endpoints by state.", &["state"])?,
+            endpoints: r.gauge_vec("kumquatdrum_endpoints", "Endpoints by state.", &["state"])?,
             leader: r.gauge("kumquatdrum_control_leader", "1 on the control leader.")?,
-            peer_bytes: r.gauges(
+            peer_bytes: r.gauge_vec(
                 "kumquatdrum_peer_bytes",
                 "Bytes exchanged with other daemons since the start.",
                 &["channel", "direction"],
--- a/crates/kumquatdrum_process/src/face.rs
+++ b/crates/kumquatdrum_process/src/monitoring.rs
@@ -30,6 +30,6 @@
 
 /// The routes of the platform's listener; the state they need is an `Arc<Drain>` and an
 /// `Arc<Metrics>`, both managed by the rocket instance that mounts them.
-pub fn all() -> Vec<Route> {
+pub fn routes() -> Vec<Route> {
     routes![health, live, metrics]
 }
--- a/crates/kumquatdrum_process/src/registry.rs
+++ b/crates/kumquatdrum_process/src/registry.rs
@@ -24,7 +24,7 @@
     }
 
     /// Counters, one for each combination of labels.
-    pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntCounterVec> {
+    pub fn counter_vec(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntCounterVec> {
         self.add(IntCounterVec::new(Opts::new(name, help), labels)?)
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// Gauges, one for each combination of labels.
-    pub fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntGaugeVec> {
+    pub fn gauge_vec(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntGaugeVec> {
         self.add(IntGaugeVec::new(Opts::new(name, help), labels)?)
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Histograms, one for each combination of labels.
-    pub fn histograms(
+    pub fn histogram_vec(
         &self,
         name: &str,
         help: &str,
--- a/crates/kumquatdrum_process/src/signal.rs
+++ b/crates/kumquatdrum_process/src/signal.rs
@@ -5,7 +5,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// Waits for SIGTERM or SIGINT.
-pub async fn stop() -> io::Result<&'static str> {
+pub async fn wait_for_stop() -> io::Result<&'static str> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -16,6 +16,6 @@
 
 /// The signal that says that the settings file has changed. From here on it doesn't end the
 /// process.
-pub fn reload() -> io::Result<Signal> {
+pub fn reload_signals() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
--- a/crates/kumquatdrum_process/src/sockets.rs
+++ b/crates/kumquatdrum_process/src/sockets.rs
@@ -22,7 +22,7 @@
 
 impl Connections {
     /// The connections to a port of this machine.
-    pub const fn to(port: u16) -> Self {
+    pub const fn on_port(port: u16) -> Self {
         Self {
             port,
             seen: Mutex::new(None),
@@ -31,7 +31,7 @@
 
     /// Whether the connection from `remote` still stands. Where the kernel has no list, it is
     /// taken to.
-    pub fn stands(&self, remote: SocketAddr) -> bool {
+    pub fn is_open(&self, remote: SocketAddr) -> bool {
         let mut seen = self.seen.lock().expect("no holder panics");
         let is_fresh = seen.as_ref().is_some_and(|(at, _)| at.elapsed() < FRESH);
         if !is_fresh {
