--- a/crates/kumquatdrum_process/src/clock.rs
+++ b/crates/kumquatdrum_process/src/clock.rs
@@ -1,41 +1,41 @@
-//! The daemon's own monotonic clock.
+//! The daemon's monotonic clock.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use kumquatdrum_types::Moment;
 
-/// What a clock shows when it is made. What a host is told as it starts may be older than the host
-/// is: ages up to this one can be told from each other.
+/// Reading of a new clock. Above zero, so that a host can represent moments from before its start
+/// when it receives information that is older than itself.
 const START: Moment = Moment::from_millis(60_000);
 
-/// Counts from when it was made.
+/// A monotonic clock that counts from its creation.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    zero: Instant,
+    started: Instant,
 }
 
 impl Clock {
-    /// A clock that has just begun to count.
+    /// Creates a clock, which counts from now on.
     pub fn start() -> Self {
         Self {
-            zero: Instant::now(),
+            started: Instant::now(),
         }
     }
 
-    /// The time on it.
+    /// Returns the current reading.
     pub fn now(&self) -> Moment {
-        START + self.zero.elapsed()
+        START + self.started.elapsed()
     }
 
-    /// The same point for the runtime's timers; far moments are cut to a day ahead.
+    /// Converts a moment for the runtime's timers, at most a day ahead.
     pub fn instant(&self, moment: Moment) -> tokio::time::Instant {
-        const FAR: Duration = Duration::from_secs(86_400);
-        let ahead = (moment - self.now()).min(FAR);
+        const MAX_AHEAD: Duration = Duration::from_secs(86_400);
+        let ahead = (moment - self.now()).min(MAX_AHEAD);
         tokio::time::Instant::now() + ahead
     }
 }
 
-/// Wall-clock time, for records that people read; no decision goes by it.
+/// Returns the wall-clock time in milliseconds since the Unix epoch, for records and logs only.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/kumquatdrum_process/src/drain.rs
+++ b/crates/kumquatdrum_process/src/drain.rs
@@ -1,15 +1,16 @@
-//! Graceful shutdown: health turns red first, then work runs out, then listeners close.
+//! Graceful shutdown: the health check fails first, then work in flight finishes, then listeners
+//! close.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 
 use tokio::sync::Notify;
 
-/// What one process knows of its own shutdown.
+/// Readiness and shutdown state of the process.
 ///
 /// ```
 /// let drain = kumquatdrum_process::Drain::default();
-/// assert!(!drain.is_ready(), "not before the first declaration is known");
+/// assert!(!drain.is_ready(), "not ready before the first declaration");
 /// drain.set_ready(true);
 /// assert!(drain.is_ready());
 /// drain.begin();
@@ -23,39 +24,39 @@
     changed: Notify,
 }
 
-/// One piece of work that a shutdown waits for.
+/// A guard for a piece of work, which a shutdown waits for until the guard is dropped.
 #[derive(Debug)]
 pub struct Work(Arc<Drain>);
 
 impl Drain {
-    /// Whether the balancer should send callers here.
+    /// Returns whether the load balancer should route callers to this host.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed) && !self.is_draining()
     }
 
-    /// Whether the shutdown has begun.
+    /// Returns whether the shutdown has begun.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// The host can, or can't, serve callers.
+    /// Sets whether the host can serve callers.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Relaxed);
     }
 
-    /// Turns the health red. Requests that still arrive are served.
+    /// Begins the shutdown: the health check fails, while requests are still served.
     pub fn begin(&self) {
         self.draining.store(true, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
 
-    /// Counts a piece of work until the returned guard is dropped.
+    /// Counts a piece of work as under way until the returned guard is dropped.
     pub fn begin_work(self: &Arc<Self>) -> Work {
         self.work.fetch_add(1, Ordering::Relaxed);
         Work(Arc::clone(self))
     }
 
-    /// Pieces of work under way.
+    /// Returns the number of pieces of work under way.
     pub fn under_way(&self) -> i64 {
         self.work.load(Ordering::Relaxed)
     }
--- a/crates/kumquatdrum_process/src/lib.rs
+++ b/crates/kumquatdrum_process/src/lib.rs
@@ -1,4 +1,4 @@
-//! The process: clock, health, signals, metrics and draining.
+//! Services of a process: clock, randomness, signals, health checks, metrics and draining.
 
 pub mod clock;
 pub mod drain;
--- a/crates/kumquatdrum_process/src/metrics.rs
+++ b/crates/kumquatdrum_process/src/metrics.rs
@@ -1,52 +1,52 @@
-//! Metrics in the prometheus format. Names carry their units; docs/OPERATORS.md lists them.
+//! The daemon's metrics in the prometheus format; docs/OPERATORS.md lists them.
 
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge, IntGaugeVec};
 
 use crate::Registry;
 
-/// Bounds of the first-token histogram, in seconds.
-const FIRST_TOKEN_BOUNDS: [f64; 12] = [
+/// Bucket bounds of the first-token histogram.
+const FIRST_TOKEN_BOUNDS_SECONDS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 3.0, 10.0, 60.0,
 ];
 
-/// Everything that one daemon counts.
+/// The metrics of one daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests that got past authentication and checks.
+    /// Requests that passed authentication and validation.
     pub admitted: IntCounter,
-    /// Requests by how they ended: `finished`, `not_run`, `failed`, `unknown`, `caller_gone`.
+    /// Requests by outcome: `finished`, `not_run`, `failed`, `unknown`, `caller_gone`.
     pub ended: IntCounterVec,
-    /// Refusals by their code.
+    /// Refused requests by error code.
     pub refused: IntCounterVec,
     /// Attempts sent to endpoints.
     pub attempts: IntCounter,
-    /// Attempts after the first of a request.
+    /// Attempts after a request's first one.
     pub retries: IntCounter,
-    /// Answers followed further over a new connection.
+    /// Answers resumed over a new connection.
     pub resumes: IntCounter,
-    /// Cancels that await an engine's confirmation.
+    /// Cancellations that an engine has not confirmed yet.
     pub cancels_pending: IntGauge,
-    /// Requests under way.
+    /// Requests in flight.
     pub in_flight: IntGauge,
-    /// Bytes of request bodies held.
+    /// Bytes of request bodies held in memory.
     pub body_bytes: IntGauge,
-    /// From a request's arrival to its first token, in seconds.
+    /// Seconds from a request's arrival to its first token.
     pub first_token: Histogram,
-    /// The version of the declaration in force on this host.
+    /// Version of the declaration in force on this host.
     pub version: IntGauge,
-    /// 1 where this host can't hear from a majority of the control replicas.
+    /// 1 if this host can't reach a majority of the control replicas, else 0.
     pub cut_off: IntGauge,
-    /// Endpoints known, by state.
+    /// Known endpoints by state.
     pub endpoints: IntGaugeVec,
-    /// 1 where this host leads the control replicas.
+    /// 1 if this host is the leader of the control replicas, else 0.
     pub leader: IntGauge,
     /// Bytes sent to and received from other daemons, by channel and direction.
     pub peer_bytes: IntGaugeVec,
 }
 
 impl Metrics {
-    /// All metrics at zero.
+    /// Registers all metrics, at zero.
     ///
     /// ```
     /// let metrics = kumquatdrum_process::Metrics::new().unwrap();
@@ -75,7 +75,7 @@
             first_token: r.histogram(
                 "kumquatdrum_first_token_seconds",
                 "Seconds from arrival to the first token.",
-                &FIRST_TOKEN_BOUNDS,
+                &FIRST_TOKEN_BOUNDS_SECONDS,
             )?,
             version: r.gauge("kumquatdrum_declaration_version", "Version in force here.")?,
             cut_off: r.gauge("kumquatdrum_cut_off", "1 without a majority of replicas.")?,
@@ -90,7 +90,7 @@
         })
     }
 
-    /// The metrics as text for the platform.
+    /// Returns all metrics in the prometheus text format.
     pub fn text(&self) -> String {
         self.registry.text()
     }
--- a/crates/kumquatdrum_process/src/monitoring.rs
+++ b/crates/kumquatdrum_process/src/monitoring.rs
@@ -1,4 +1,4 @@
-//! The platform's listener: health for the balancer, liveness, metrics.
+//! The platform's listener: health and liveness checks, metrics.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::{Drain, Metrics};
 
-/// Whether the balancer should send callers here: 200 `ready` or 503 with why not.
+/// Tells the load balancer whether to route callers here: 200 `ready`, or 503 with the reason.
 #[get("/health")]
 fn health(drain: &State<Arc<Drain>>) -> (Status, &'static str) {
     match (drain.is_ready(), drain.is_draining()) {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Whether the process runs at all.
+/// Answers as long as the process runs.
 #[get("/live")]
 fn live() -> &'static str {
     "live\n"
@@ -28,8 +28,8 @@
     (ContentType::Plain, metrics.text())
 }
 
-/// The routes of the platform's listener; the state they need is an `Arc<Drain>` and an
-/// `Arc<Metrics>`, both managed by the rocket instance that mounts them.
+/// Returns the routes of the platform's listener. The rocket instance that mounts them must manage
+/// an `Arc<Drain>` and an `Arc<Metrics>`.
 pub fn routes() -> Vec<Route> {
     routes![health, live, metrics]
 }
--- a/crates/kumquatdrum_process/src/random.rs
+++ b/crates/kumquatdrum_process/src/random.rs
@@ -1,8 +1,8 @@
-//! Numbers that differ from host to host, also where all start in the same moment.
+//! Random numbers that differ between hosts that start at the same moment.
 
 use std::hash::{BuildHasher, RandomState};
 
-/// A number drawn from the operating system's randomness.
+/// Returns a number drawn from the operating system's random source.
 ///
 /// ```
 /// use kumquatdrum_process::random;
--- a/crates/kumquatdrum_process/src/registry.rs
+++ b/crates/kumquatdrum_process/src/registry.rs
@@ -1,4 +1,4 @@
-//! Meters under their names, and all of them as text in the prometheus format.
+//! A registry of prometheus metrics.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -6,7 +6,7 @@
     IntGaugeVec, Opts, Result, TextEncoder,
 };
 
-/// Meters under their names. Each is made, registered and handed out, at zero.
+/// Creates metrics at zero, registers them by name and encodes them as text.
 ///
 /// ```
 /// let registry = kumquatdrum_process::Registry::default();
@@ -18,32 +18,32 @@
 pub struct Registry(prometheus::Registry);
 
 impl Registry {
-    /// A counter.
+    /// Registers a counter.
     pub fn counter(&self, name: &str, help: &str) -> Result<IntCounter> {
-        self.add(IntCounter::new(name, help)?)
+        self.register(IntCounter::new(name, help)?)
     }
 
-    /// Counters, one for each combination of labels.
+    /// Registers a counter for each combination of label values.
     pub fn counter_vec(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntCounterVec> {
-        self.add(IntCounterVec::new(Opts::new(name, help), labels)?)
+        self.register(IntCounterVec::new(Opts::new(name, help), labels)?)
     }
 
-    /// A gauge.
+    /// Registers a gauge.
     pub fn gauge(&self, name: &str, help: &str) -> Result<IntGauge> {
-        self.add(IntGauge::new(name, help)?)
+        self.register(IntGauge::new(name, help)?)
     }
 
-    /// Gauges, one for each combination of labels.
+    /// Registers a gauge for each combination of label values.
     pub fn gauge_vec(&self, name: &str, help: &str, labels: &[&str]) -> Result<IntGaugeVec> {
-        self.add(IntGaugeVec::new(Opts::new(name, help), labels)?)
+        self.register(IntGaugeVec::new(Opts::new(name, help), labels)?)
     }
 
-    /// A histogram with the given upper bounds.
+    /// Registers a histogram with the given upper bucket bounds.
     pub fn histogram(&self, name: &str, help: &str, bounds: &[f64]) -> Result<Histogram> {
-        self.add(Histogram::with_opts(options(name, help, bounds))?)
+        self.register(Histogram::with_opts(options(name, help, bounds))?)
     }
 
-    /// Histograms, one for each combination of labels.
+    /// Registers a histogram for each combination of label values.
     pub fn histogram_vec(
         &self,
         name: &str,
@@ -51,10 +51,10 @@
         bounds: &[f64],
         labels: &[&str],
     ) -> Result<HistogramVec> {
-        self.add(HistogramVec::new(options(name, help, bounds), labels)?)
+        self.register(HistogramVec::new(options(name, help, bounds), labels)?)
     }
 
-    /// All meters as text.
+    /// Returns all metrics in the prometheus text format.
     pub fn text(&self) -> String {
         let mut buffer = Vec::new();
         let encoded = TextEncoder::new().encode(&self.0.gather(), &mut buffer);
@@ -64,9 +64,9 @@
         }
     }
 
-    fn add<C: Collector + Clone + 'static>(&self, meter: C) -> Result<C> {
-        self.0.register(Box::new(meter.clone()))?;
-        Ok(meter)
+    fn register<C: Collector + Clone + 'static>(&self, metric: C) -> Result<C> {
+        self.0.register(Box::new(metric.clone()))?;
+        Ok(metric)
     }
 }
 
--- a/crates/kumquatdrum_process/src/signal.rs
+++ b/crates/kumquatdrum_process/src/signal.rs
@@ -1,10 +1,10 @@
-//! The signals that ask a process to stop.
+//! Signals that stop the process or reload its settings.
 
 use std::io;
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Waits for SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT and returns the signal's name.
 pub async fn wait_for_stop() -> io::Result<&'static str> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -14,8 +14,8 @@
     }
 }
 
-/// The signal that says that the settings file has changed. From here on it doesn't end the
-/// process.
+/// Returns the stream of SIGHUP signals, which ask for a reload of the settings file. Once called,
+/// SIGHUP does not terminate the process.
 pub fn reload_signals() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
