--- a/crates/kumquatdrum/src/cli.rs
+++ b/crates/kumquatdrum/src/cli.rs
@@ -9,8 +9,8 @@
 
 use crate::{demo, explain, losses, replay};
 
-/// How long one host may take to answer an operator.
-const ANSWER: Duration = Duration::from_secs(10);
+/// Limit on the time that one host takes to answer an operator's request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A serving layer for prompts of very unlike lengths
 ///
@@ -53,20 +53,20 @@
     /// Prints the JSON Schema of declarations
     #[bpaf(command)]
     Schema,
-    /// Puts a whole declaration in force over the version that it was made from
+    /// Replaces the declaration in force, if that is still the version given by --base
     ///
     /// Example: kumquatdrum apply toonikaart.json --base 4 --wait 10
     #[bpaf(command)]
     Apply {
         #[bpaf(external)]
-        asked: Asked,
+        target: Target,
         /// The version in force that the file was made from; 0 for the first
         #[bpaf(argument("VERSION"))]
         base: u64,
-        /// An id to know a resend by; derived from operator, base and content if absent
+        /// Id that identifies resends; derived from operator, base and content if absent
         #[bpaf(argument("ID"), optional)]
         apply_id: Option<String>,
-        /// Wait up to so many seconds until it is in force everywhere, host by host
+        /// Wait up to this many seconds until it is in force on every host, and report each host
         #[bpaf(argument("SECONDS"), optional)]
         wait: Option<u64>,
         #[bpaf(external)]
@@ -75,17 +75,17 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Prints the declaration in force, or one that was, byte for byte
+    /// Prints the declaration in force, or an earlier one, byte for byte
     ///
     /// Example: kumquatdrum show --at 2026-12-02T21:30:00Z
     #[bpaf(command)]
     Show {
         #[bpaf(external)]
-        asked: Asked,
-        /// This version
+        target: Target,
+        /// Print this version
         #[bpaf(argument("VERSION"), optional)]
         version: Option<u64>,
-        /// The one in force at this time
+        /// Print the version in force at this time
         #[bpaf(argument("TIME"), optional)]
         at: Option<String>,
         #[bpaf(external)]
@@ -95,8 +95,8 @@
     #[bpaf(command)]
     Audit {
         #[bpaf(external)]
-        asked: Asked,
-        /// The first entry
+        target: Target,
+        /// Number of the first entry to list
         #[bpaf(argument("NUMBER"), fallback(1))]
         from: u64,
         #[bpaf(external)]
@@ -106,7 +106,7 @@
     #[bpaf(command)]
     Status {
         #[bpaf(external)]
-        asked: Asked,
+        target: Target,
         #[bpaf(external)]
         json: bool,
     },
@@ -115,17 +115,17 @@
     /// Example: kumquatdrum replay trace.jsonl --target 127.0.0.1:7101 --keys keys.json
     #[bpaf(command)]
     Replay(#[bpaf(external(replay::arguments))] replay::Arguments),
-    /// Tells what became of one request, and why, from the logs of gateway hosts
+    /// Explains the outcome of one request from the logs of gateway hosts
     ///
     /// Example: kumquatdrum explain 9c41d07be2a35f68 front-1.log front-2.log
     #[bpaf(command)]
     Explain(#[bpaf(external(explain::arguments))] explain::Arguments),
-    /// Counts requests that were late, refused or cut, by reason and length of the prompt
+    /// Counts requests that were late, refused or cut, by cause and prompt length
     ///
     /// Example: kumquatdrum losses --every 10 front-1.log front-2.log
     #[bpaf(command)]
     Losses(#[bpaf(external(losses::arguments))] losses::Arguments),
-    /// Runs three hosts and small stand-in endpoints in this process, replays a trace and reports
+    /// Runs three hosts and stand-in endpoints in this process, replays a trace and prints a report
     ///
     /// Example: kumquatdrum demo --mix treasury --json
     #[bpaf(command)]
@@ -136,41 +136,41 @@
     bpaf::long("json").help("Print JSON").switch()
 }
 
-/// Whom to ask.
+/// Hosts to connect to, and the operator's key:
 #[derive(Debug, Clone, Bpaf)]
-pub struct Asked {
+pub struct Target {
     /// An operators' listener, such as `http://10.0.0.1:7402`; several are tried in turn
     #[bpaf(argument("URL"), some("at least one --host is required"))]
     host: Vec<String>,
-    /// The operator's key; better in the environment, as `KUMQUATDRUM_OPERATOR_KEY`
+    /// The operator's key; prefer the environment variable `KUMQUATDRUM_OPERATOR_KEY`
     #[bpaf(argument("KEY"), fallback_with(key_from_environment))]
     operator_key: String,
 }
 
-/// Read here, as the help would print the value of a variable that it knows.
+/// Reads the key from the environment. Not left to bpaf, whose help would print the value.
 fn key_from_environment() -> Result<String, &'static str> {
     const VARIABLE: &str = "KUMQUATDRUM_OPERATOR_KEY";
     std::env::var(VARIABLE)
         .map_err(|_| "neither --operator-key nor KUMQUATDRUM_OPERATOR_KEY is set")
 }
 
-impl From<Asked> for Connection {
-    fn from(asked: Asked) -> Self {
+impl From<Target> for Connection {
+    fn from(target: Target) -> Self {
         Self {
-            hosts: asked.host,
-            key: asked.operator_key,
-            timeout: ANSWER,
+            hosts: target.host,
+            key: target.operator_key,
+            timeout: REQUEST_TIMEOUT,
         }
     }
 }
 
-/// Runs a subcommand of operators.
+/// Runs an operator's subcommand.
 pub async fn operate(command: Command) -> Exit {
     let out = &mut std::io::stdout();
     match command {
         Command::Check { file, json, .. } => check::run(&check::Options { file, json }, out),
         Command::Apply {
-            asked,
+            target,
             base,
             apply_id,
             wait,
@@ -178,7 +178,7 @@
             file,
         } => {
             let options = apply::Options {
-                connection: asked.into(),
+                connection: target.into(),
                 file,
                 base,
                 apply_id,
@@ -188,30 +188,30 @@
             apply::run(&options, out).await
         }
         Command::Show {
-            asked,
+            target,
             version,
             at,
             json,
         } => {
             let options = show::Options {
-                connection: asked.into(),
+                connection: target.into(),
                 version,
                 at,
                 json,
             };
             show::run(&options, out, &mut std::io::stderr()).await
         }
-        Command::Audit { asked, from, json } => {
+        Command::Audit { target, from, json } => {
             let options = audit::Options {
-                connection: asked.into(),
+                connection: target.into(),
                 from,
                 json,
             };
             audit::run(&options, out).await
         }
-        Command::Status { asked, json } => {
+        Command::Status { target, json } => {
             let options = status::Options {
-                connection: asked.into(),
+                connection: target.into(),
                 json,
             };
             status::run(&options, out).await
--- a/crates/kumquatdrum/src/demo.rs
+++ b/crates/kumquatdrum/src/demo.rs
@@ -1,4 +1,4 @@
-//! Three hosts and small stand-in endpoints in one process, a trace replayed against them.
+//! Replays a trace against three hosts and stand-in endpoints in one process.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -24,19 +24,19 @@
 
 const MODEL: &str = "demo-model";
 const ENGINES_PER_DATA_CENTRE: usize = 3;
-/// Above the longest prompt of the traces, so that none needs more than one engine.
+/// More than the longest prompt of the traces needs, so that every prompt fits on one engine.
 const ENGINE_MEMORY_TOKENS: u64 = 2_500_000;
 const LONGEST_PROMPT_TOKENS: u64 = 1_500_000;
 const LONGEST_DEADLINE_MS: u64 = 600_000;
 const AGING_MS: u64 = 3_000;
 
-/// What the demo runs.
+/// Trace and output:
 #[derive(Debug, Clone, Bpaf)]
 pub struct Arguments {
-    /// Whose requests: toonikaart or treasury
-    #[bpaf(argument::<String>("MIX"), parse(mix), fallback(Mix::Toonikaart))]
+    /// Trace to replay: toonikaart or treasury
+    #[bpaf(argument::<String>("MIX"), parse(parse_mix), fallback(Mix::Toonikaart))]
     mix: Mix,
-    /// Spread the trace over so many seconds; as recorded where absent
+    /// Replay the trace within this many seconds; at its recorded pace if absent
     #[bpaf(argument("SECONDS"), guard(|seconds| *seconds > 0.0, "must be above 0"), optional)]
     seconds: Option<f64>,
     /// Factor on the trace's prompt lengths
@@ -46,30 +46,30 @@
     json: bool,
 }
 
-fn mix(name: String) -> Result<Mix, String> {
+fn parse_mix(name: String) -> Result<Mix, String> {
     let known = [Mix::Toonikaart, Mix::Treasury];
     let found = known.into_iter().find(|mix| mix.name() == name);
     found.ok_or_else(|| format!("{name} is neither toonikaart nor treasury"))
 }
 
-/// Why the demo could not run.
+/// An error that keeps the demo from running.
 #[derive(Debug, thiserror::Error)]
 enum Error {
-    #[error("the runtime can't be started, or there is no folder for data: {0}")]
+    #[error("can't start the runtime or create the data folder: {0}")]
     System(#[from] std::io::Error),
-    #[error("a host does not start: {0}")]
+    #[error("can't start a host: {0}")]
     Host(#[from] kumquatdrum_host::StartError),
-    #[error("a stand-in does not start: {0}")]
+    #[error("can't start a stand-in endpoint: {0}")]
     StandIn(#[from] kumquatdrum_testing::server::Error),
-    #[error("the shipped trace can't be read: {0}")]
+    #[error("can't read the built-in trace: {0}")]
     Trace(#[from] trace::Error),
-    #[error("the declaration can't be written: {0}")]
+    #[error("can't encode the declaration: {0}")]
     Declaration(#[from] serde_json::Error),
     #[error("the declaration was not accepted: {0}")]
     Apply(String),
 }
 
-/// Runs the demo. [`Exit::No`] where a stated outcome was not met.
+/// Runs the demo and returns [`Exit::No`] if one of the report's checks failed.
 pub fn run(arguments: &Arguments) -> Exit {
     let runtime = tokio::runtime::Runtime::new().map_err(Error::from);
     match runtime.and_then(|runtime| runtime.block_on(demonstrate(arguments))) {
@@ -82,8 +82,8 @@
 }
 
 async fn demonstrate(arguments: &Arguments) -> Result<Exit, Error> {
-    let entries = entries(arguments)?;
-    let keys = keys(&entries);
+    let entries = read_entries(arguments)?;
+    let keys = demo_keys(&entries);
     let folder = tempfile::tempdir()?;
     let hosts = start_hosts(arguments.mix, folder.path()).await?;
     apply(&hosts, &declaration(&entries, &keys)).await?;
@@ -99,13 +99,13 @@
         baseline: Baseline::ShortAlone,
         ..Options::default()
     };
-    let exit = replay::judge(&entries, &options, arguments.json).await;
+    let exit = replay::replay_and_report(&entries, &options, arguments.json).await;
     fleet.shutdown().await;
     embedded::stop(hosts).await;
     Ok(exit)
 }
 
-fn entries(arguments: &Arguments) -> Result<Vec<Entry>, trace::Error> {
+fn read_entries(arguments: &Arguments) -> Result<Vec<Entry>, trace::Error> {
     let mut entries = trace::read(match arguments.mix {
         Mix::Toonikaart => TOONIKAART,
         Mix::Treasury => TREASURY,
@@ -120,8 +120,8 @@
     Ok(entries)
 }
 
-/// A key for each name that the trace uses.
-fn keys(entries: &[Entry]) -> IndexMap<String, String> {
+/// Returns a key for each key name in the trace.
+fn demo_keys(entries: &[Entry]) -> IndexMap<String, String> {
     let names = trace::key_names(entries).into_iter();
     names
         .map(|name| (name.to_owned(), format!("demo key of {name}")))
@@ -141,7 +141,7 @@
     Ok(embedded::start(&specs, folder, &logger).await?)
 }
 
-/// The workspaces and services that the trace asks for.
+/// Returns a declaration of the workspaces and services that the trace uses.
 fn declaration(entries: &[Entry], keys: &IndexMap<String, String>) -> Declaration {
     let workspaces: IndexMap<&str, &str> = entries
         .iter()
@@ -171,7 +171,7 @@
     }
 }
 
-/// A trace names priorities by their levels.
+/// Returns a priority for each level in the trace, named by its number.
 fn priorities(entries: &[Entry]) -> Vec<declared::Priority> {
     let levels: IndexSet<u32> = entries.iter().map(|entry| entry.priority).collect();
     let priority = |level: u32| declared::Priority {
@@ -182,7 +182,7 @@
     levels.into_iter().map(priority).collect()
 }
 
-/// The services that a trace asks, and whether they are plain.
+/// Returns the services that the trace uses, and whether each is plain.
 fn services(entries: &[Entry]) -> IndexSet<(&str, bool)> {
     entries
         .iter()
@@ -230,11 +230,11 @@
     }
 }
 
-/// The stand-ins, spread evenly over the data centres.
+/// The stand-in endpoints, spread evenly over the data centres.
 #[derive(Default)]
 struct Fleet {
     engines: Vec<Engine>,
-    plain: Vec<Service>,
+    plain_services: Vec<Service>,
 }
 
 impl Fleet {
@@ -242,29 +242,33 @@
         let mut fleet = Self::default();
         for (host, data_centre) in hosts.iter().zip(data_centres(mix)) {
             for (name, is_plain) in services(entries) {
-                let place = Place {
+                let site = Site {
                     host: host.addresses.endpoints,
                     data_centre,
                     service: name,
                 };
                 if is_plain {
-                    fleet.plain.push(place.plain().await?);
+                    fleet.plain_services.push(site.start_plain_service().await?);
                     continue;
                 }
                 for number in 1..=ENGINES_PER_DATA_CENTRE {
-                    fleet.engines.push(place.engine(number).await?);
+                    fleet.engines.push(site.start_engine(number).await?);
                 }
             }
         }
-        fleet.announced().await;
+        fleet.wait_until_announced().await;
         Ok(fleet)
     }
 
-    /// Waits until each has been announced once.
-    async fn announced(&self) {
+    /// Waits until each endpoint has been announced once.
+    async fn wait_until_announced(&self) {
         let is_announced = || {
             let engines = self.engines.iter().all(|engine| engine.announced() > 0);
-            engines && self.plain.iter().all(|plain| plain.announced() > 0)
+            engines
+                && self
+                    .plain_services
+                    .iter()
+                    .all(|plain| plain.announced() > 0)
         };
         while !is_announced() {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
@@ -273,7 +277,7 @@
 
     fn controls(&self) -> Vec<SocketAddr> {
         let engines = self.engines.iter().map(Engine::control_address);
-        let plain = self.plain.iter().map(Service::control_address);
+        let plain = self.plain_services.iter().map(Service::control_address);
         engines.chain(plain).collect()
     }
 
@@ -281,36 +285,36 @@
         for engine in self.engines {
             engine.shutdown().await;
         }
-        for plain in self.plain {
+        for plain in self.plain_services {
             plain.shutdown().await;
         }
     }
 }
 
-/// Where a stand-in stands and what it serves.
-struct Place<'a> {
+/// The host, data centre and service of a stand-in endpoint.
+struct Site<'a> {
     host: SocketAddr,
     data_centre: &'a str,
     service: &'a str,
 }
 
-impl Place<'_> {
-    async fn engine(&self, number: usize) -> Result<Engine, Error> {
+impl Site<'_> {
+    async fn start_engine(&self, number: usize) -> Result<Engine, Error> {
         let name = format!("{}-{}-{number}", self.service, self.data_centre);
         let mut options = engine::Options::new(&name, self.service, MODEL, self.data_centre);
         options.sizes.memory_tokens = ENGINE_MEMORY_TOKENS;
-        self.announce(&mut options.process);
+        self.configure_announcer(&mut options.process);
         Ok(Engine::start(options).await?)
     }
 
-    async fn plain(&self) -> Result<Service, Error> {
+    async fn start_plain_service(&self) -> Result<Service, Error> {
         let name = format!("{}-{}", self.service, self.data_centre);
         let mut options = service::Options::new(&name, self.service, self.data_centre);
-        self.announce(&mut options.process);
+        self.configure_announcer(&mut options.process);
         Ok(Service::start(options).await?)
     }
 
-    fn announce(&self, process: &mut process::Options) {
+    fn configure_announcer(&self, process: &mut process::Options) {
         process.announcer = announcer::Options {
             hosts: vec![self.host],
             key: ENDPOINT_KEY.to_owned(),
--- a/crates/kumquatdrum/src/explain.rs
+++ b/crates/kumquatdrum/src/explain.rs
@@ -1,23 +1,23 @@
-//! One request's story, put together from the logs of several hosts.
+//! Explains the outcome of one request from the logs of several hosts.
 
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
 use kumquatdrum_operator::Exit;
 
-mod story;
+mod timeline;
 
-use story::Story;
+use timeline::Timeline;
 
 use crate::logs;
 
-/// What to explain, and from which logs
+/// Request and logs:
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(generate(arguments))]
 pub struct Arguments {
     #[bpaf(external(crate::cli::json))]
     json: bool,
-    /// The request's id, as its caller named the attempt
+    /// The request's id: the attempt id that its caller sent
     #[bpaf(positional("ID"))]
     id: String,
     /// Logs of gateway hosts, in any order
@@ -25,7 +25,7 @@
     files: Vec<PathBuf>,
 }
 
-/// Prints the story. The answer is no where no log knows the request.
+/// Prints the request's timeline and returns [`Exit::No`] if no log contains the request.
 pub fn run(arguments: &Arguments) -> Exit {
     let mut lines = Vec::new();
     for file in &arguments.files {
@@ -37,13 +37,13 @@
             }
         }
     }
-    let story = Story::of(&arguments.id, lines);
+    let timeline = Timeline::from_lines(&arguments.id, lines);
     if arguments.json {
-        println!("{:#}", story.json());
+        println!("{:#}", timeline.json());
     } else {
-        print!("{story}");
+        print!("{timeline}");
     }
-    if story.is_empty() {
+    if timeline.is_empty() {
         Exit::No
     } else {
         Exit::Done
--- a/crates/kumquatdrum/src/explain/story.rs
+++ b/crates/kumquatdrum/src/explain/timeline.rs
@@ -1,4 +1,4 @@
-//! What became of one request, and why.
+//! The timeline of one request and the cause of its outcome.
 
 use std::fmt;
 
@@ -6,50 +6,49 @@
 
 use crate::logs::Line;
 
-/// How long before a request's end what its host believed is looked at, in seconds.
-const BEFORE: f64 = 10.0;
-/// Keys that every line has, or that the story tells otherwise.
-const KNOWN: [&str; 5] = ["time", "level", "host", "event", "request"];
+/// Time before a request's end from which state changes of its hosts are shown.
+const LOOKBACK_SECONDS: f64 = 10.0;
+/// Keys that are not printed as pairs, as every line has them or they are printed elsewhere.
+const OMITTED_KEYS: [&str; 5] = ["time", "level", "host", "event", "request"];
 
-/// What became of one request.
+/// The log lines of one request, and the state changes of its hosts shortly before its end.
 #[derive(Debug)]
-pub struct Story {
+pub struct Timeline {
     id: String,
     lines: Vec<Line>,
-    /// What changed the beliefs of the request's hosts shortly before its end.
-    beliefs: Vec<Line>,
+    state_changes: Vec<Line>,
 }
 
-impl Story {
-    /// The story of a request, from the lines of all hosts.
-    pub fn of(id: &str, all: Vec<Line>) -> Self {
+impl Timeline {
+    /// Selects the lines that concern a request from the lines of all hosts.
+    pub fn from_lines(id: &str, all: Vec<Line>) -> Self {
         let (mut lines, others): (Vec<Line>, Vec<Line>) =
             all.into_iter().partition(|line| line.get("request") == id);
         lines.sort_by(|one, other| one.time.total_cmp(&other.time));
         let end = lines.last().map_or(0.0, |line| line.time);
         let hosts: Vec<&str> = lines.iter().map(|line| line.get("host")).collect();
-        let mut beliefs: Vec<Line> = others
+        let mut state_changes: Vec<Line> = others
             .into_iter()
-            .filter(|line| hosts.contains(&line.get("host")) && is_belief(line.event()))
-            .filter(|line| line.time <= end && line.time >= end - BEFORE)
+            .filter(|line| hosts.contains(&line.get("host")) && is_state_change(line.event()))
+            .filter(|line| line.time <= end && line.time >= end - LOOKBACK_SECONDS)
             .collect();
-        beliefs.sort_by(|one, other| one.time.total_cmp(&other.time));
+        state_changes.sort_by(|one, other| one.time.total_cmp(&other.time));
         Self {
             id: id.to_owned(),
             lines,
-            beliefs,
+            state_changes,
         }
     }
 
-    /// No log knows the request.
+    /// Returns whether no log contains the request.
     pub fn is_empty(&self) -> bool {
         self.lines.is_empty()
     }
 
-    /// Why it ended as it did, where the lines tell.
+    /// Describes why the request ended as it did.
     pub fn cause(&self) -> String {
         let Some(end) = self.lines.iter().rev().find(|line| is_end(line.event())) else {
-            return "its end is in none of the logs: its host was lost, or its caller left"
+            return "the logs do not contain its end: its host was lost, or its caller left"
                 .to_owned();
         };
         let reason = end.get("reason");
@@ -79,13 +78,13 @@
         self.lines.iter().rev().find(failed)
     }
 
-    /// The story as JSON.
+    /// Returns the timeline as JSON.
     pub fn json(&self) -> Value {
         json!({
             "request": self.id,
             "cause": self.cause(),
             "lines": self.lines.iter().map(|line| &line.pairs).collect::<Vec<_>>(),
-            "beliefs": self.beliefs.iter().map(|line| &line.pairs).collect::<Vec<_>>(),
+            "beliefs": self.state_changes.iter().map(|line| &line.pairs).collect::<Vec<_>>(),
         })
     }
 }
@@ -94,7 +93,7 @@
     matches!(event, "request_ended" | "request_refused")
 }
 
-fn is_belief(event: &str) -> bool {
+fn is_state_change(event: &str) -> bool {
     matches!(
         event,
         "started"
@@ -111,7 +110,7 @@
     )
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Timeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "request {}", self.id)?;
         let start = self.lines.first().map_or(0.0, |line| line.time);
@@ -119,10 +118,10 @@
             write_line(f, line, start)?;
         }
         writeln!(f, "cause: {}", self.cause())?;
-        if !self.beliefs.is_empty() {
-            writeln!(f, "what its host learnt before:")?;
+        if !self.state_changes.is_empty() {
+            writeln!(f, "state changes of its hosts before its end:")?;
         }
-        for line in &self.beliefs {
+        for line in &self.state_changes {
             write_line(f, line, start)?;
         }
         Ok(())
@@ -133,7 +132,7 @@
     let offset = line.time - start;
     write!(f, "  {offset:+.3} s {} {}", line.get("host"), line.event())?;
     for (key, value) in &line.pairs {
-        if !KNOWN.contains(&key.as_str()) {
+        if !OMITTED_KEYS.contains(&key.as_str()) {
             write!(f, " {key}={value}")?;
         }
     }
--- a/crates/kumquatdrum/src/gateway.rs
+++ b/crates/kumquatdrum/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Running a gateway host.
+//! Runs a gateway host.
 
 use std::path::Path;
 
@@ -11,29 +11,29 @@
 
 use crate::logging;
 
-/// Runs until a signal asks to stop, then shuts down gracefully.
+/// Runs until SIGTERM or SIGINT, then shuts down gracefully.
 pub fn run(file: &Path) -> Exit {
-    let settings = match read(file) {
+    let settings = match read_settings(file) {
         Ok(settings) => settings,
         Err(line) => {
             eprintln!("{line}");
             return Exit::Usage;
         }
     };
-    // A gateway host has a fraction of a core: more threads would only take turns on it.
+    // Single-threaded, as a gateway host gets only a fraction of a core.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     match runtime {
         Ok(runtime) => runtime.block_on(serve(settings, file)),
         Err(reason) => {
-            eprintln!("the runtime can't be started: {reason}");
+            eprintln!("can't start the runtime: {reason}");
             Exit::Unknown
         }
     }
 }
 
-fn read(file: &Path) -> Result<Settings, String> {
+fn read_settings(file: &Path) -> Result<Settings, String> {
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|error| format!("{name}: {error}"))?;
     settings::parse(&text).map_err(|finding| format!("{name}: {finding}"))
@@ -41,7 +41,7 @@
 
 async fn serve(settings: Settings, file: &Path) -> Exit {
     let (logger, _guard) = logging::start(Level::Info, std::io::stdout());
-    let stop = stopped(logger.clone());
+    let stop = wait_for_stop(logger.clone());
     let changed = match kumquatdrum_process::signal::reload_signals() {
         Ok(changed) => changed,
         Err(reason) => {
@@ -62,7 +62,7 @@
     }
 }
 
-async fn stopped(logger: Logger) {
+async fn wait_for_stop(logger: Logger) {
     if let Err(reason) = kumquatdrum_process::signal::wait_for_stop().await {
         error!(logger, "no_signals"; "event" => "no_signals", "reason" => %reason);
         std::future::pending::<()>().await;
--- a/crates/kumquatdrum/src/logging.rs
+++ b/crates/kumquatdrum/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event.
+//! Writes logs: one line of key=value pairs for each event.
 
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -6,10 +6,10 @@
 use slog::{Drain, Level, Logger, Record, o};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
 
-/// Lines that wait for a slow reader of the log; beyond them lines are dropped and counted.
-const WAITING: usize = 8_192;
+/// Capacity of the queue to the output; further lines are dropped, and their number is logged.
+const QUEUE_LINES: usize = 8_192;
 
-fn prefix(line: &mut dyn Write, record: &Record<'_>) -> slog::Result {
+fn write_prefix(line: &mut dyn Write, record: &Record<'_>) -> slog::Result {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -23,14 +23,14 @@
     Ok(())
 }
 
-/// A logger of events at `level` and above, to `output`. Dropping the guard writes out what still waits.
+/// Returns a logger of events at `level` and above, and a guard that flushes the queue on drop.
 pub fn start(level: Level, output: impl Write + Send + 'static) -> (Logger, AsyncGuard) {
     let lines = slog_logfmt::Logfmt::new(output)
-        .set_prefix(prefix)
+        .set_prefix(write_prefix)
         .build()
         .fuse();
     let (drain, guard) = Async::new(lines)
-        .chan_size(WAITING)
+        .chan_size(QUEUE_LINES)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
     let drain = slog::LevelFilter::new(drain.fuse(), level).fuse();
--- a/crates/kumquatdrum/src/losses.rs
+++ b/crates/kumquatdrum/src/losses.rs
@@ -1,4 +1,4 @@
-//! Which requests were late, refused or cut, and for what reason, from the logs of several hosts.
+//! Counts requests that were late, refused or cut, by cause, from the logs of several hosts.
 
 use std::path::PathBuf;
 
@@ -12,13 +12,13 @@
 
 use crate::logs;
 
-/// What to count, and from which logs
+/// Logs and output:
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(generate(arguments))]
 pub struct Arguments {
     #[bpaf(external(crate::cli::json))]
     json: bool,
-    /// One table for each span of so many seconds
+    /// Print one table for each span of this many seconds
     #[bpaf(argument("SECONDS"))]
     every: Option<u32>,
     /// Logs of gateway hosts, in any order
@@ -26,18 +26,18 @@
     files: Vec<PathBuf>,
 }
 
-/// Prints the tables. Files without a line of a host are told, and the others are used; the answer
-/// is no where there are no others.
+/// Prints the tables. Files that are not logs of a host are reported and skipped. Returns
+/// [`Exit::No`] if the logs contain no requests.
 pub fn run(arguments: &Arguments) -> Exit {
     let mut lines = Vec::new();
     for file in &arguments.files {
         match logs::read(file) {
-            Ok(read) if read.is_empty() => eprintln!("{}: no log of a host", file.display()),
+            Ok(read) if read.is_empty() => eprintln!("{}: not a log of a host", file.display()),
             Ok(read) => lines.extend(read),
             Err(reason) => eprintln!("{}: {reason}", file.display()),
         }
     }
-    let table = Table::of(lines, arguments.every.unwrap_or(0));
+    let table = Table::from_lines(lines, arguments.every.unwrap_or(0));
     if arguments.json {
         println!("{:#}", table.json());
     } else {
--- a/crates/kumquatdrum/src/losses/cause.rs
+++ b/crates/kumquatdrum/src/losses/cause.rs
@@ -1,76 +1,76 @@
-//! Why one request was late, refused or cut.
+//! Classifies why a request was late, refused or cut.
 
 use std::fmt;
 
 use crate::logs::Line;
 
-/// The share of the time to its first token that a prompt may wait, or find before it at its engine,
-/// and still be on time: what is left is for its own reading and a pass of the answers.
-const HELD_UP: f64 = 0.3;
+/// Share of the target time to first token above which a queue wait or an engine's backlog is taken
+/// for the cause of a late first token. The rest is needed for the prompt's own prefill.
+const DELAY_SHARE: f64 = 0.3;
 
-/// Why one request was not answered in full and on time.
+/// Why a request was not answered in full and on time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
-    /// It was refused by what else is asked for.
-    Refused,
-    /// No endpoint was known, reached or had room.
+    /// Refused because the prompt was too long at the current load.
+    Overload,
+    /// No endpoint was known, reachable or had room.
     NoEndpoint,
-    /// Its host did not know what is in force.
-    Unsure,
-    /// An endpoint failed it, and no other was tried or left.
+    /// The host had not received the setup in force.
+    NotInformed,
+    /// An endpoint failed, and no other one was tried or left.
     EndpointFailed,
-    /// The time was up.
+    /// The deadline passed.
     TimedOut,
-    /// Its end is in no log.
+    /// No log contains the request's end.
     NoEnd,
-    /// First token: an endpoint had failed before.
+    /// Late first token: an attempt at another endpoint failed first.
     Retried,
-    /// First token: it waited for its turn.
-    Waited,
-    /// First token: its engine had much to read before it.
+    /// Late first token: the request waited in the queue.
+    Queued,
+    /// Late first token: the engine had other prompts to prefill first.
     Backlog,
-    /// First token: its engine took longer than what was known of it says.
-    Unforeseen,
-    /// Pause: its endpoint broke off and another one went on.
+    /// Late first token: the engine was slower than predicted.
+    SlowEngine,
+    /// Pause in the stream: the endpoint failed and another one resumed the answer.
     Resumed,
-    /// Pause: its engine read in the midst of it.
-    Paused,
+    /// Pause in the stream: the engine prefilled other prompts meanwhile.
+    Stalled,
 }
 
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
-            Self::Refused => "refused: too much else is asked for",
+            Self::Overload => "refused: too much else is asked for",
             Self::NoEndpoint => "refused: no endpoint",
-            Self::Unsure => "refused: host not informed",
+            Self::NotInformed => "refused: host not informed",
             Self::EndpointFailed => "failed: by its endpoint",
             Self::TimedOut => "failed: time up",
             Self::NoEnd => "no end: host lost or caller left",
             Self::Retried => "late: retried",
-            Self::Waited => "late: waited for its turn",
+            Self::Queued => "late: waited for its turn",
             Self::Backlog => "late: behind what its engine read",
-            Self::Unforeseen => "late: engine slower than foreseen",
+            Self::SlowEngine => "late: engine slower than foreseen",
             Self::Resumed => "pause: broken and resumed",
-            Self::Paused => "pause: engine read meanwhile",
+            Self::Stalled => "pause: engine read meanwhile",
         })
     }
 }
 
-/// Why a request's lines, in their order, show a loss; nothing where it was answered on time, or
-/// where no route tells what on time is.
-pub fn of(lines: &[Line]) -> Option<Cause> {
+/// Returns why a request was lost, from its lines in order, or `None` if it was answered on time or
+/// its route has no target.
+pub fn classify(lines: &[Line]) -> Option<Cause> {
     let end = lines.iter().rev().find(|line| is_end(line));
     let Some(end) = end else {
         return Some(Cause::NoEnd);
     };
     let reason = end.get("reason");
     match (end.event(), end.get("end")) {
-        ("request_refused", _) if end.get("status") == "503" => Some(Cause::Unsure),
+        ("request_refused", _) if end.get("status") == "503" => Some(Cause::NotInformed),
         ("request_refused", _) => None,
-        (_, "streamed") => late(lines, end),
+        (_, "streamed") => classify_stream(lines, end),
         (_, "answered") if reason.starts_with('5') => Some(Cause::EndpointFailed),
         (_, "answered") => None,
-        _ if reason.contains("what else is asked for") => Some(Cause::Refused),
+        _ if reason.contains("what else is asked for") => Some(Cause::Overload),
         _ if reason.contains("no room") => Some(Cause::NoEndpoint),
         _ if reason.contains("time") => Some(Cause::TimedOut),
         _ => Some(Cause::EndpointFailed),
@@ -81,16 +81,16 @@
     matches!(line.event(), "request_ended" | "request_refused")
 }
 
-/// Why a whole stream was late, if it was.
-fn late(lines: &[Line], end: &Line) -> Option<Cause> {
+/// Returns why a complete stream was late, or `None` if it was on time.
+fn classify_stream(lines: &[Line], end: &Line) -> Option<Cause> {
     let due_ms = end.number("due_ms")?;
     let first_ms = end.number("first_ms")?;
     let placed = lines.iter().filter(|line| line.event() == "placed");
     let placed: Vec<&Line> = placed.collect();
-    let held_up = |key| {
-        let place = placed.first();
-        let held = place.and_then(|place| place.number(key));
-        held.is_some_and(|held| held > due_ms * HELD_UP)
+    let is_delayed_by = |key| {
+        let placement = placed.first();
+        let delay_ms = placement.and_then(|placement| placement.number(key));
+        delay_ms.is_some_and(|delay_ms| delay_ms > due_ms * DELAY_SHARE)
     };
     let is_retried = lines.iter().any(|line| line.event() == "retry");
     let is_resumed = lines.iter().any(|line| line.event() == "resume");
@@ -98,11 +98,11 @@
     let longest_ms = end.number("longest_pause_ms").unwrap_or(0.0);
     match () {
         () if first_ms > due_ms && is_retried => Some(Cause::Retried),
-        () if first_ms > due_ms && held_up("waited_ms") => Some(Cause::Waited),
-        () if first_ms > due_ms && held_up("backlog_ms") => Some(Cause::Backlog),
-        () if first_ms > due_ms => Some(Cause::Unforeseen),
+        () if first_ms > due_ms && is_delayed_by("waited_ms") => Some(Cause::Queued),
+        () if first_ms > due_ms && is_delayed_by("backlog_ms") => Some(Cause::Backlog),
+        () if first_ms > due_ms => Some(Cause::SlowEngine),
         () if longest_ms > pause_ms && is_resumed => Some(Cause::Resumed),
-        () if longest_ms > pause_ms => Some(Cause::Paused),
+        () if longest_ms > pause_ms => Some(Cause::Stalled),
         () => None,
     }
 }
--- a/crates/kumquatdrum/src/losses/table.rs
+++ b/crates/kumquatdrum/src/losses/table.rs
@@ -1,4 +1,4 @@
-//! Lost requests by cause and length of the prompt.
+//! Counts lost requests by cause and prompt length.
 
 use std::fmt;
 
@@ -8,27 +8,27 @@
 use super::cause::{self, Cause};
 use crate::logs::Line;
 
-/// Prompts by their tokens, as the metrics of first tokens part them.
-const KINDS: [&str; 4] = ["none", "short", "long", "longest"];
+/// Classes of prompt length, as in the metrics of the first token.
+const PROMPT_CLASSES: [&str; 4] = ["none", "short", "long", "longest"];
 
-/// Requests of one span of time.
+/// Request counts of one span of time, by prompt class.
 #[derive(Debug, Default)]
 struct Span {
-    asked: [usize; KINDS.len()],
-    lost: IndexMap<Cause, [usize; KINDS.len()]>,
+    total: [usize; PROMPT_CLASSES.len()],
+    lost: IndexMap<Cause, [usize; PROMPT_CLASSES.len()]>,
 }
 
-/// Requests by span, the earliest first.
+/// Request counts by span, the earliest first.
 #[derive(Debug)]
 pub struct Table {
-    /// By seconds since the first line.
+    /// Keyed by the span's start, in seconds since the first line.
     spans: IndexMap<u64, Span>,
-    every: u32,
+    span_seconds: u32,
 }
 
 impl Table {
-    /// Counts the requests of all lines, together or in spans of `every` seconds.
-    pub fn of(mut lines: Vec<Line>, every: u32) -> Self {
+    /// Counts the requests of all lines in spans of `span_seconds`, or together if that is 0.
+    pub fn from_lines(mut lines: Vec<Line>, span_seconds: u32) -> Self {
         lines.sort_by(|one, other| one.time.total_cmp(&other.time));
         let start = lines.first().map_or(0.0, |line| line.time);
         let mut requests: IndexMap<String, Vec<Line>> = IndexMap::new();
@@ -41,43 +41,46 @@
         let mut spans: IndexMap<u64, Span> = IndexMap::new();
         for lines in requests.values() {
             let second = lines.first().map_or(0.0, |line| line.time - start) as u64;
-            let span = second - second.checked_rem(every.into()).unwrap_or(second);
+            let span = second - second.checked_rem(span_seconds.into()).unwrap_or(second);
             spans.entry(span).or_default().add(lines);
         }
         spans.sort_keys();
-        Self { spans, every }
+        Self {
+            spans,
+            span_seconds,
+        }
     }
 
-    /// No line is one of a request.
+    /// Returns whether no line belongs to a request.
     pub fn is_empty(&self) -> bool {
         self.spans.is_empty()
     }
 
-    /// The table as JSON: spans with their causes, and numbers by length.
+    /// Returns the table as JSON: for each span, the counts by cause and prompt class.
     pub fn json(&self) -> Value {
         let spans = self.spans.iter().map(|(second, span)| {
             let lost = span.lost.iter();
-            let lost = lost.map(|(cause, counts)| (cause.to_string(), named(counts)));
+            let lost = lost.map(|(cause, counts)| (cause.to_string(), counts_by_class(counts)));
             let lost: serde_json::Map<String, Value> = lost.collect();
-            json!({ "second": second, "asked": named(&span.asked), "lost": lost })
+            json!({ "second": second, "asked": counts_by_class(&span.total), "lost": lost })
         });
-        json!({ "every": self.every, "spans": spans.collect::<Vec<_>>() })
+        json!({ "every": self.span_seconds, "spans": spans.collect::<Vec<_>>() })
     }
 }
 
 impl Span {
     fn add(&mut self, lines: &[Line]) {
-        let kind = kind(lines);
-        self.asked[kind] += 1;
-        if let Some(cause) = cause::of(lines) {
-            self.lost.entry(cause).or_default()[kind] += 1;
+        let class = prompt_class(lines);
+        self.total[class] += 1;
+        if let Some(cause) = cause::classify(lines) {
+            self.lost.entry(cause).or_default()[class] += 1;
         }
         self.lost.sort_unstable_keys();
     }
 }
 
-/// Where in [`KINDS`] a request belongs, by what any of its lines tells of its prompt.
-fn kind(lines: &[Line]) -> usize {
+/// Returns the index into [`PROMPT_CLASSES`] for the prompt length that a request's lines state.
+fn prompt_class(lines: &[Line]) -> usize {
     let prompt = lines.iter().rev().find_map(|line| line.number("prompt"));
     match prompt.unwrap_or(0.0) {
         prompt if prompt <= 0.0 => 0,
@@ -87,29 +90,29 @@
     }
 }
 
-fn named(counts: &[usize; KINDS.len()]) -> Value {
-    let pairs = KINDS.iter().zip(counts);
-    let pairs = pairs.map(|(kind, count)| ((*kind).to_owned(), json!(count)));
+fn counts_by_class(counts: &[usize; PROMPT_CLASSES.len()]) -> Value {
+    let pairs = PROMPT_CLASSES.iter().zip(counts);
+    let pairs = pairs.map(|(class, count)| ((*class).to_owned(), json!(count)));
     Value::Object(pairs.collect())
 }
 
 impl fmt::Display for Table {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (second, span) in &self.spans {
-            if self.every > 0 {
+            if self.span_seconds > 0 {
                 writeln!(f, "from second {second}")?;
             }
-            row(f, "prompts", &KINDS)?;
-            row(f, "asked", &span.asked)?;
+            write_row(f, "prompts", &PROMPT_CLASSES)?;
+            write_row(f, "asked", &span.total)?;
             for (cause, counts) in &span.lost {
-                row(f, &cause.to_string(), counts)?;
+                write_row(f, &cause.to_string(), counts)?;
             }
         }
         Ok(())
     }
 }
 
-fn row(f: &mut fmt::Formatter<'_>, name: &str, cells: &[impl fmt::Display]) -> fmt::Result {
+fn write_row(f: &mut fmt::Formatter<'_>, name: &str, cells: &[impl fmt::Display]) -> fmt::Result {
     write!(f, "{name:36}")?;
     for cell in cells {
         write!(f, " {cell:>8}")?;
--- a/crates/kumquatdrum/src/main.rs
+++ b/crates/kumquatdrum/src/main.rs
@@ -16,14 +16,14 @@
 use cli::Command;
 use kumquatdrum_operator::Exit;
 
-const HELP_WIDTH: usize = 100;
+const HELP_COLUMNS: usize = 100;
 
 fn main() -> ExitCode {
-    // The daemon and the demo build rocket instances, which would print lines of their own.
+    // Keeps the rocket instances of the daemon and the demo from printing logs of their own.
     kumquatdrum_testing::server::discard_logs();
     let command = match cli::command().run_inner(Args::current_args()) {
         Ok(command) => command,
-        Err(failure) => return ExitCode::from(explain(failure).code()),
+        Err(failure) => return ExitCode::from(print_failure(failure).code()),
     };
     let exit = match command {
         Command::Serve { settings } => serve::run(&settings),
@@ -31,7 +31,7 @@
         Command::Losses(arguments) => losses::run(&arguments),
         Command::Gateway { settings } => gateway::run(&settings),
         Command::Demo(arguments) => demo::run(&arguments),
-        Command::Schema => schema(),
+        Command::Schema => print_schema(),
         Command::Check {
             settings: true,
             file,
@@ -42,16 +42,16 @@
     ExitCode::from(exit.code())
 }
 
-/// Help and completions are what was asked for; anything else is a wrong command line.
-fn explain(failure: ParseFailure) -> Exit {
-    failure.print_message(HELP_WIDTH);
+/// Prints help, completions or the error of a wrong command line, and returns the exit code.
+fn print_failure(failure: ParseFailure) -> Exit {
+    failure.print_message(HELP_COLUMNS);
     match failure {
         ParseFailure::Stdout(..) | ParseFailure::Completion(_) => Exit::Done,
         ParseFailure::Stderr(_) => Exit::Usage,
     }
 }
 
-fn schema() -> Exit {
+fn print_schema() -> Exit {
     println!("{:#}", kumquatdrum_declaration::schema());
     Exit::Done
 }
@@ -63,7 +63,7 @@
     match runtime {
         Ok(runtime) => runtime.block_on(cli::operate(command)),
         Err(reason) => {
-            eprintln!("the runtime can't be started: {reason}");
+            eprintln!("can't start the runtime: {reason}");
             Exit::Usage
         }
     }
--- a/crates/kumquatdrum/src/replay.rs
+++ b/crates/kumquatdrum/src/replay.rs
@@ -1,4 +1,4 @@
-//! Replaying a trace against a running system.
+//! Replays a trace against a running system.
 
 use std::fs;
 use std::net::{AddrParseError, SocketAddr};
@@ -13,13 +13,17 @@
 
 use crate::cli::json;
 
-/// What to replay, and to whom.
+/// Trace, target and output:
 #[derive(Debug, Clone, Bpaf)]
 pub struct Arguments {
-    /// A callers' listener, such as `http://10.0.0.1:7101`; several are taken in turn
-    #[bpaf(argument::<String>("URL"), parse(address), some("at least one --target is required"))]
+    /// A callers' listener, such as `http://10.0.0.1:7101`; several are used in turn
+    #[bpaf(
+        argument::<String>("URL"),
+        parse(parse_address),
+        some("at least one --target is required")
+    )]
     target: Vec<SocketAddr>,
-    /// A JSON object from the names of keys in the trace to the keys themselves
+    /// A JSON object that maps the key names in the trace to keys
     #[bpaf(argument("FILE"))]
     keys: PathBuf,
     /// Factor on the trace's prompt lengths
@@ -28,10 +32,10 @@
     /// Bytes of text for each token
     #[bpaf(argument("BYTES"), fallback(4.0))]
     bytes_per_token: f64,
-    /// Send so many short requests to the idle system first, and compare with their median
+    /// Send this many short requests to the idle system first, and compare with their median
     #[bpaf(argument("COUNT"), optional)]
     probes: Option<u32>,
-    /// The control port of a stand-in endpoint, whose counts are set against the answers
+    /// Control address of a stand-in endpoint, whose counters are compared with the answers
     #[bpaf(argument("ADDRESS"), many)]
     control: Vec<SocketAddr>,
     #[bpaf(external)]
@@ -41,12 +45,12 @@
     trace: PathBuf,
 }
 
-fn address(url: String) -> Result<SocketAddr, AddrParseError> {
+fn parse_address(url: String) -> Result<SocketAddr, AddrParseError> {
     let address = url.strip_prefix("http://").unwrap_or(&url);
     address.trim_end_matches('/').parse()
 }
 
-/// Replays a trace and prints the report. [`Exit::No`] where a stated outcome was not met.
+/// Replays a trace, prints the report and returns [`Exit::No`] if one of its checks failed.
 pub async fn run(arguments: &Arguments) -> Exit {
     let (entries, keys) = match (read_trace(&arguments.trace), read_keys(&arguments.keys)) {
         (Ok(entries), Ok(keys)) => (entries, keys),
@@ -67,11 +71,11 @@
         baseline: arguments.probes.map_or(Baseline::None, Baseline::IdleProbe),
         ..Options::default()
     };
-    judge(&entries, &options, arguments.json).await
+    replay_and_report(&entries, &options, arguments.json).await
 }
 
-/// Replays entries, prints the report and says whether all outcomes hold.
-pub async fn judge(entries: &[Entry], options: &Options, json: bool) -> Exit {
+/// Replays entries, prints the report and returns whether its checks passed.
+pub async fn replay_and_report(entries: &[Entry], options: &Options, json: bool) -> Exit {
     match replay::run(entries, options).await {
         Ok(report) => {
             print(&report, json);
--- a/crates/kumquatdrum/src/serve.rs
+++ b/crates/kumquatdrum/src/serve.rs
@@ -1,4 +1,4 @@
-//! Running the daemon of one host.
+//! Runs the daemon of one host.
 
 use std::path::Path;
 
@@ -8,9 +8,9 @@
 
 use crate::logging;
 
-/// Runs until a signal asks to stop, then shuts down gracefully.
+/// Runs until SIGTERM or SIGINT, then shuts down gracefully.
 pub fn run(file: &Path) -> Exit {
-    let settings = match read(file) {
+    let settings = match read_settings(file) {
         Ok(settings) => settings,
         Err(lines) => {
             eprintln!("{}", lines.join("\n"));
@@ -24,7 +24,7 @@
     match runtime.enable_all().build() {
         Ok(runtime) => runtime.block_on(serve(settings)),
         Err(reason) => {
-            eprintln!("the runtime can't be started: {reason}");
+            eprintln!("can't start the runtime: {reason}");
             Exit::Unknown
         }
     }
@@ -32,7 +32,7 @@
 
 /// Checks a settings file and prints every finding.
 pub fn check(file: &Path) -> Exit {
-    match read(file) {
+    match read_settings(file) {
         Ok(_) => Exit::Done,
         Err(lines) => {
             println!("{}", lines.join("\n"));
@@ -41,7 +41,7 @@
     }
 }
 
-fn read(file: &Path) -> Result<Settings, Vec<String>> {
+fn read_settings(file: &Path) -> Result<Settings, Vec<String>> {
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|error| vec![format!("{name}: {error}")])?;
     settings::parse(&text).map_err(|findings| {
