--- a/crates/kumquatdrum/src/explain/timeline.rs
+++ b/crates/kumquatdrum/src/explain/timeline.rs
@@ -48,7 +48,7 @@
     /// Describes why the request ended as it did.
     pub fn cause(&self) -> String {
         let Some(end) = self.lines.iter().rev().find(|line| is_end(line.event())) else {
-            return "the logs do not contain its end: its host was lost, or its caller left"
+            return "its end is in none of the logs: its host was lost, or its caller left"
                 .to_owned();
         };
         let reason = end.get("reason");
--- a/crates/kumquatdrum/tests/control.rs
+++ b/crates/kumquatdrum/tests/control.rs
@@ -1,4 +1,4 @@
-//! The declaration in force while control hosts crash, lose their disks or are cut off.
+//! The declaration survives crashes, lost disks and partitions of control hosts.
 
 mod support;
 
@@ -7,17 +7,18 @@
 
 use kumquatdrum_testing::Engine;
 use support::{
-    Cluster, Node, ONE_PLACE, OPERATORS, THREE_PLACES, answer, apply, completion, declaration, got,
-    once, operate, runs, shown, shutdown, status, until,
+    Cluster, Node, ONE_DATA_CENTRE, OPERATORS, THREE_DATA_CENTRES, apply, completion, count_runs,
+    declaration, expected_answer, not_idempotent, operate, read_declaration, send, shutdown,
+    status, wait_for,
 };
 
 const TOKENS: u32 = 5;
 
-/// Waits until each of these hosts goes by this version.
-async fn in_force(cluster: &Cluster, nodes: &[usize], version: u64) {
+/// Waits until a version is in force on each of the given hosts.
+async fn wait_until_in_force(cluster: &Cluster, nodes: &[usize], version: u64) {
     for &node in nodes {
         let hosts = [cluster.nodes[node].operators()];
-        until("the version is in force", async || {
+        wait_for("the version is in force", async || {
             let status = status(&hosts).await?;
             (status["version"] == version).then_some(())
         })
@@ -25,11 +26,12 @@
     }
 }
 
-/// Waits until a host's read-back is confirmed; none on the way may be below `floor`.
-async fn confirmed(cluster: &Cluster, node: usize, floor: u64) -> (u64, String) {
+/// Waits until a host returns a confirmed declaration, and checks that no version before is below
+/// `floor`.
+async fn wait_until_confirmed(cluster: &Cluster, node: usize, floor: u64) -> (u64, String) {
     let hosts = [cluster.nodes[node].operators()];
-    until("a confirmed read-back", async || {
-        let (version, text, is_confirmed) = shown(&hosts).await?;
+    wait_for("a confirmed read-back", async || {
+        let (version, text, is_confirmed) = read_declaration(&hosts).await?;
         assert!(
             version >= floor,
             "host {node} went back to version {version}"
@@ -41,10 +43,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_accepted_version_outlives_a_crash_of_all_hosts() {
-    let mut cluster = Cluster::start(THREE_PLACES).await;
+    let mut cluster = Cluster::start(THREE_DATA_CENTRES).await;
     let hosts = cluster.hosts();
     let (first, second) = (declaration(1), declaration(2));
-    let file = cluster.file("second.json", &second);
+    let file = cluster.write_file("second.json", &second);
     let applied = apply(&hosts, OPERATORS[1], 1, &file).await;
     assert_eq!(applied.code, 0, "{applied:?}");
     for node in &mut cluster.nodes {
@@ -53,12 +55,12 @@
     for node in &mut cluster.nodes {
         node.start();
     }
-    cluster.up().await;
+    cluster.wait_until_listening().await;
     for node in 0..cluster.nodes.len() {
-        let (version, text) = confirmed(&cluster, node, 2).await;
+        let (version, text) = wait_until_confirmed(&cluster, node, 2).await;
         assert_eq!((version, text.as_str()), (2, second.as_str()));
     }
-    cluster.ready().await;
+    cluster.wait_until_ready().await;
 
     let file = cluster.folder.path().join("first.json");
     let again = apply(&hosts, OPERATORS[0], 0, &file).await;
@@ -66,45 +68,48 @@
     assert!(again.stdout.contains("accepted as version 1"), "{again:?}");
     let old = operate(&hosts, OPERATORS[0], &["show", "--version", "1"]).await;
     assert_eq!((old.code, old.stdout), (0, first));
-    assert_eq!(confirmed(&cluster, 0, 2).await, (2, second));
+    assert_eq!(wait_until_confirmed(&cluster, 0, 2).await, (2, second));
     let audit = operate(&hosts, OPERATORS[0], &["audit"]).await;
     assert_eq!(audit.code, 0, "{audit:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_control_host_comes_back_without_its_disk() {
-    let mut cluster = Cluster::start(THREE_PLACES).await;
+    let mut cluster = Cluster::start(THREE_DATA_CENTRES).await;
     let hosts = cluster.hosts();
     cluster.nodes[2].kill();
-    fs::remove_dir_all(&cluster.nodes[2].data).expect("the data folder goes");
+    fs::remove_dir_all(&cluster.nodes[2].data).expect("the data folder is removed");
     cluster.nodes[2].start();
-    cluster.up().await;
-    let second = cluster.file("second.json", &declaration(2));
-    until("a change is accepted", async || {
+    cluster.wait_until_listening().await;
+    let second = cluster.write_file("second.json", &declaration(2));
+    wait_for("a change is accepted", async || {
         (apply(&hosts, OPERATORS[0], 1, &second).await.code == 0).then_some(())
     })
     .await;
-    // The others know the host as a voter still by its lost disk; it itself knows better.
+    // Asks the host itself, as the others may still list its previous replica as the voter.
     let wiped = [cluster.nodes[2].operators()];
-    until("the new replica votes", async || {
+    wait_for("the new replica votes", async || {
         let status = status(&wiped).await?;
         let nodes = status["hosts"].as_array()?;
         let node = nodes.iter().find(|node| node["host"] == "host-2")?;
         (node["replica"] == "voter").then_some(())
     })
     .await;
-    in_force(&cluster, &[0, 1, 2], 2).await;
+    wait_until_in_force(&cluster, &[0, 1, 2], 2).await;
 
-    // A second loss right after the repair.
+    // Loses a second host right after the repair.
     cluster.nodes[0].kill();
     let rest = hosts[1..].to_vec();
-    let third = cluster.file("third.json", &declaration(3));
-    until("a change is accepted by the two", async || {
+    let third = cluster.write_file("third.json", &declaration(3));
+    wait_for("a change is accepted by the two", async || {
         (apply(&rest, OPERATORS[0], 2, &third).await.code == 0).then_some(())
     })
     .await;
     for node in [1, 2] {
-        assert_eq!(confirmed(&cluster, node, 2).await, (3, declaration(3)));
+        assert_eq!(
+            wait_until_confirmed(&cluster, node, 2).await,
+            (3, declaration(3))
+        );
     }
     let old = operate(&rest, OPERATORS[0], &["show", "--version", "1"]).await;
     assert_eq!((old.code, old.stdout), (0, declaration(1)));
@@ -112,16 +117,16 @@
     assert_eq!(audit.code, 0, "{audit:?}");
 }
 
-/// A system with one engine in the first data centre.
-async fn with_engine() -> (Cluster, Vec<Engine>) {
-    let cluster = Cluster::start(THREE_PLACES).await;
-    let engine = cluster.engine("e1", THREE_PLACES[0], Duration::from_millis(1));
+/// Starts a cluster with one engine, in the first data centre.
+async fn start_with_engine() -> (Cluster, Vec<Engine>) {
+    let cluster = Cluster::start(THREE_DATA_CENTRES).await;
+    let engine = cluster.start_engine("e1", THREE_DATA_CENTRES[0], Duration::from_millis(1));
     let engines = vec![engine.await];
-    cluster.knows_endpoints(&[0], 1).await;
+    cluster.wait_for_endpoints(&[0], 1).await;
     (cluster, engines)
 }
 
-/// Cuts the first host off from the others.
+/// Isolates the first host by freezing the others.
 async fn freeze_others(cluster: &Cluster) {
     for other in &cluster.nodes[1..] {
         other.freeze().await;
@@ -134,68 +139,79 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_data_centre_that_is_cut_off_serves_what_it_can() {
-    let (cluster, engines) = with_engine().await;
-    let (hosts, here) = (cluster.hosts(), [cluster.nodes[0].operators()]);
+    let (cluster, engines) = start_with_engine().await;
+    let (hosts, isolated) = (cluster.hosts(), [cluster.nodes[0].operators()]);
     let callers = cluster.nodes[0].callers();
-    let second = cluster.file("second.json", &declaration(2));
+    let second = cluster.write_file("second.json", &declaration(2));
     freeze_others(&cluster).await;
 
-    let served = got(completion(callers, "shade 1", TOKENS)).await;
+    let served = send(completion(callers, "shade 1", TOKENS)).await;
     let served = served.expect("an answer");
-    assert_eq!(served.text(), Some(answer("shade 1", TOKENS)), "{served:?}");
-    let (version, text, is_confirmed) = shown(&here).await.expect("a read-back");
+    assert_eq!(
+        served.text(),
+        Some(expected_answer("shade 1", TOKENS)),
+        "{served:?}"
+    );
+    let (version, text, is_confirmed) = read_declaration(&isolated).await.expect("a read-back");
     assert_eq!((version, text, is_confirmed), (1, declaration(1), false));
-    let not_accepted = apply(&here, OPERATORS[0], 1, &second).await;
+    let not_accepted = apply(&isolated, OPERATORS[0], 1, &second).await;
     assert_eq!(not_accepted.code, 3, "{not_accepted:?}");
 
     thaw_others(&cluster);
-    until("the same apply is accepted", async || {
+    wait_for("the same apply is accepted", async || {
         (apply(&hosts, OPERATORS[0], 1, &second).await.code == 0).then_some(())
     })
     .await;
     for node in 0..cluster.nodes.len() {
-        assert_eq!(confirmed(&cluster, node, 1).await, (2, declaration(2)));
+        assert_eq!(
+            wait_until_confirmed(&cluster, node, 1).await,
+            (2, declaration(2))
+        );
     }
-    in_force(&cluster, &[0, 1, 2], 2).await;
+    wait_until_in_force(&cluster, &[0, 1, 2], 2).await;
     shutdown(engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_that_no_majority_can_claim_is_refused_long_before_its_deadline() {
-    let (cluster, engines) = with_engine().await;
+    let (cluster, engines) = start_with_engine().await;
     let callers = cluster.nodes[0].callers();
-    // The caller itself waits for less than this.
+    // Longer than the client's own timeout.
     let keyed = || {
-        once(completion(callers, "confirm 1", TOKENS), "confirm-1")
+        not_idempotent(completion(callers, "confirm 1", TOKENS), "confirm-1")
             .header("x-deadline-ms", "120000")
     };
     freeze_others(&cluster).await;
-    let refused = got(keyed()).await.expect("an answer");
+    let refused = send(keyed()).await.expect("an answer");
     let found = (refused.class(), refused.code());
     let expected = ("not_run".to_owned(), "claim_unavailable".to_owned());
     assert_eq!(found, expected, "{refused:?}");
-    assert_eq!(runs(&engines, "confirm 1"), 0);
+    assert_eq!(count_runs(&engines, "confirm 1"), 0);
 
     thaw_others(&cluster);
-    // The claim may have come into the log late; until it is freed again, the key's fate is open.
-    let again = until("the key's request is served", async || {
-        let again = got(keyed()).await?;
+    // A late claim may still be committed; until it is released, the outcome of the key is open.
+    let again = wait_for("the key's request is served", async || {
+        let again = send(keyed()).await?;
         let is_open = again.class() == "not_run" || again.code() == "key_running";
         (!is_open).then_some(again)
     })
     .await;
-    assert_eq!(again.text(), Some(answer("confirm 1", TOKENS)), "{again:?}");
-    assert_eq!(runs(&engines, "confirm 1"), 1);
+    assert_eq!(
+        again.text(),
+        Some(expected_answer("confirm 1", TOKENS)),
+        "{again:?}"
+    );
+    assert_eq!(count_runs(&engines, "confirm 1"), 1);
     shutdown(engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_operators_with_equal_bases_one_wins() {
-    let cluster = Cluster::start(ONE_PLACE).await;
+    let cluster = Cluster::start(ONE_DATA_CENTRE).await;
     let hosts = cluster.hosts();
     let files = [2, 3].map(|number| {
         let name = format!("{number}.json");
-        cluster.file(&name, &declaration(number))
+        cluster.write_file(&name, &declaration(number))
     });
     let (one, other) = tokio::join!(
         apply(&hosts[..1], OPERATORS[0], 1, &files[0]),
@@ -209,5 +225,8 @@
         loser.stdout.contains("conflict: the current version is 2"),
         "{loser:?}"
     );
-    assert_eq!(confirmed(&cluster, 2, 1).await, (2, declaration(winner)));
+    assert_eq!(
+        wait_until_confirmed(&cluster, 2, 1).await,
+        (2, declaration(winner))
+    );
 }
--- a/crates/kumquatdrum/tests/gateway/cluster.rs
+++ b/crates/kumquatdrum/tests/gateway/cluster.rs
@@ -1,4 +1,4 @@
-//! Three control hosts and two that take callers, each at a loopback address of its own.
+//! A cluster of control hosts and caller-facing hosts, each on its own loopback address.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -13,28 +13,28 @@
 
 use crate::endpoint::Endpoint;
 
-pub const CONTROL: usize = 3;
+pub const CONTROL_HOSTS: usize = 3;
 pub const HOSTS: usize = 5;
-/// Everything on loopback comes about within seconds, also on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(40);
-const LOOK: Duration = Duration::from_millis(50);
+/// Limit of every wait.
+const TIMEOUT: Duration = Duration::from_secs(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Hosts 0 to 2 keep the setup, 3 and 4 take callers.
+/// A running cluster: hosts 0 to 2 are control hosts, the others take callers.
 pub struct Cluster {
     pub client: Client,
     folder: TempDir,
-    net: u8,
+    subnet: u8,
     hosts: Vec<Option<Child>>,
 }
 
 impl Cluster {
-    /// Starts all hosts; `net` tells clusters of one test run apart.
-    pub fn start(net: u8) -> Self {
-        Self::of(net, HOSTS)
+    /// Starts a cluster of [`HOSTS`] hosts in a subnet that no other test uses.
+    pub fn start(subnet: u8) -> Self {
+        Self::with_hosts(subnet, HOSTS)
     }
 
-    /// The same with so many hosts, which stand in the data centres by turns.
-    pub fn of(net: u8, hosts: usize) -> Self {
+    /// Starts a cluster of the given size, spread evenly over three data centres.
+    pub fn with_hosts(subnet: u8, hosts: usize) -> Self {
         let client = Client::builder()
             .pool_max_idle_per_host(0)
             .build()
@@ -43,7 +43,7 @@
         let mut cluster = Self {
             client,
             folder,
-            net,
+            subnet,
             hosts: (0..hosts).map(|_| None).collect(),
         };
         for host in 0..hosts {
@@ -52,14 +52,14 @@
         cluster
     }
 
-    /// Starts a host, with the seeds allowed to found a cluster or not.
+    /// Starts a host. `found` allows a control host to found a cluster.
     pub fn start_host(&mut self, host: usize, found: bool) {
         let settings = self.folder.path().join(format!("host-{host}.json"));
         std::fs::write(&settings, self.settings(host, found).to_string()).expect("settings");
         let log = File::options()
             .create(true)
             .append(true)
-            .open(self.log(host))
+            .open(self.log_path(host))
             .expect("a log");
         let child = Command::new(env!("CARGO_BIN_EXE_kumquatdrum"))
             .args(["gateway", "--settings"])
@@ -72,7 +72,7 @@
     }
 
     fn settings(&self, host: usize, found: bool) -> Value {
-        let seeds: Vec<String> = (0..CONTROL)
+        let seeds: Vec<String> = (0..CONTROL_HOSTS)
             .map(|seed| self.address(seed, 8229).to_string())
             .collect();
         let mut listen = json!({"metrics": self.address(host, 8219).to_string()});
@@ -86,9 +86,9 @@
             "announcement_ms": 300,
             "stop_ms": 8000,
         });
-        if host < CONTROL {
+        if host < CONTROL_HOSTS {
             listen["control"] = json!(self.address(host, 8229).to_string());
-            let data = self.data(host);
+            let data = self.data_path(host);
             settings["replica"] = json!({"data": data, "found": found});
         } else {
             listen["callers"] = json!(self.address(host, 8227).to_string());
@@ -99,24 +99,24 @@
     }
 
     fn address(&self, host: usize, port: u16) -> SocketAddr {
-        SocketAddr::from(([127, 77, self.net, host as u8 + 1], port))
+        SocketAddr::from(([127, 77, self.subnet, host as u8 + 1], port))
     }
 
-    pub fn data(&self, host: usize) -> PathBuf {
+    pub fn data_path(&self, host: usize) -> PathBuf {
         self.folder.path().join(format!("data-{host}"))
     }
 
-    /// The log of a host.
-    pub fn log(&self, host: usize) -> PathBuf {
+    /// Returns the path of a host's log.
+    pub fn log_path(&self, host: usize) -> PathBuf {
         self.folder.path().join(format!("host-{host}.log"))
     }
 
-    /// What a host has logged.
-    pub fn logged(&self, host: usize) -> String {
-        std::fs::read_to_string(self.log(host)).unwrap_or_default()
+    /// Reads a host's log.
+    pub fn read_log(&self, host: usize) -> String {
+        std::fs::read_to_string(self.log_path(host)).unwrap_or_default()
     }
 
-    /// Sends a host a signal.
+    /// Sends a signal to a host's process.
     pub fn signal(&self, host: usize, signal: &str) {
         let child = self.hosts[host].as_ref().expect("the host runs");
         let status = Command::new("kill")
@@ -125,37 +125,42 @@
         assert!(status.expect("kill").success());
     }
 
-    /// Kills a host and waits for its end.
+    /// Kills a host's process and waits for it to exit.
     pub fn kill(&mut self, host: usize) {
         if let Some(mut child) = self.hosts[host].take() {
             child.kill().expect("the host can be killed");
-            child.wait().expect("its end");
+            child.wait().expect("the host exits");
         }
     }
 
-    /// Whether a host's process has been started and not been waited for.
-    pub fn runs(&self, host: usize) -> bool {
+    /// Returns whether a host's process was started and not waited for since.
+    pub fn is_running(&self, host: usize) -> bool {
         self.hosts[host].is_some()
     }
 
-    /// Waits for a host to end by itself; its exit code.
-    pub async fn ended(&mut self, host: usize) -> Option<i32> {
+    /// Waits until a host's process exits and returns its exit code.
+    pub async fn wait_for_exit(&mut self, host: usize) -> Option<i32> {
         let mut child = self.hosts[host].take().expect("the host runs");
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
-            match child.try_wait().expect("its state") {
+            match child.try_wait().expect("the process state") {
                 Some(status) => return status.code(),
                 None if Instant::now() > until => {
                     child.kill().expect("the host can be killed");
                     return None;
                 }
-                None => sleep(LOOK).await,
+                None => sleep(POLL_INTERVAL).await,
             }
         }
     }
 
-    /// A call of a control host.
-    pub async fn control(&self, host: usize, path: &str, body: Option<&Value>) -> Option<Response> {
+    /// Sends a request to a control host; returns `None` if there is no answer.
+    pub async fn call_control(
+        &self,
+        host: usize,
+        path: &str,
+        body: Option<&Value>,
+    ) -> Option<Response> {
         let url = format!("http://{}{path}", self.address(host, 8229));
         let request = match body {
             Some(body) => self.client.post(url).body(body.to_string()),
@@ -164,46 +169,51 @@
         request.timeout(Duration::from_secs(5)).send().await.ok()
     }
 
-    /// Applies a config at any control host until it is acknowledged.
+    /// Applies a config, retrying on all control hosts, and returns the one that acknowledged it.
     pub async fn apply(&self, config: &Value) -> usize {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
-            for host in 0..CONTROL {
-                let answer = self.control(host, "/-/Config.Replace", Some(config)).await;
+            for host in 0..CONTROL_HOSTS {
+                let answer = self
+                    .call_control(host, "/-/Config.Replace", Some(config))
+                    .await;
                 if answer.is_some_and(|answer| answer.status() == StatusCode::OK) {
                     return host;
                 }
             }
             assert!(Instant::now() < until, "no acknowledgement in time");
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Reads the config back from a host until it tells one.
-    pub async fn read(&self, host: usize) -> String {
-        let until = Instant::now() + PATIENCE;
+    /// Reads the config from a control host, waiting until it has one.
+    pub async fn read_config(&self, host: usize) -> String {
+        let until = Instant::now() + TIMEOUT;
         loop {
-            match self.control(host, "/-/Config.Get", None).await {
+            match self.call_control(host, "/-/Config.Get", None).await {
                 Some(answer) if answer.status() == StatusCode::OK => {
                     return answer.text().await.expect("a config");
                 }
                 _ => assert!(Instant::now() < until, "no config in time"),
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Announces an endpoint at any control host until that is acknowledged.
+    /// Announces an endpoint to control host 0 until that is acknowledged.
     pub async fn announce(&self, endpoint: &Endpoint, service: &str, state: &str, sequence: u64) {
-        let until = Instant::now() + PATIENCE;
-        while !self.beat(0, endpoint, service, state, sequence).await {
+        let until = Instant::now() + TIMEOUT;
+        while !self
+            .try_announce(0, endpoint, service, state, sequence)
+            .await
+        {
             assert!(Instant::now() < until, "no acknowledgement in time");
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Announces an endpoint once at one control host; whether that was acknowledged.
-    pub async fn beat(
+    /// Announces an endpoint once and returns whether that was acknowledged.
+    pub async fn try_announce(
         &self,
         host: usize,
         endpoint: &Endpoint,
@@ -211,92 +221,100 @@
         state: &str,
         sequence: u64,
     ) -> bool {
-        let beat = json!({
+        let announcement = json!({
             "service": service, "address": endpoint.address.to_string(), "zone": "zone-0",
             "version": "v1", "slots": 16, "state": state, "coldLeftMs": 0, "seq": sequence,
             "born": 1,
         });
         let path = format!("/-/Instances.Heartbeat/{}", endpoint.id);
-        let answer = self.control(host, &path, Some(&beat)).await;
+        let answer = self.call_control(host, &path, Some(&announcement)).await;
         answer.is_some_and(|answer| answer.status() == StatusCode::OK)
     }
 
-    /// The answer to the balancer's question.
+    /// Returns whether a host's readiness check succeeds.
     pub async fn is_ready(&self, host: usize) -> bool {
         let url = format!("http://{}/-/ready", self.address(host, 8220));
         let answer = self.client.get(url).send().await;
         answer.is_ok_and(|answer| answer.status() == StatusCode::OK)
     }
 
-    /// Waits until a host takes callers and has heard of an endpoint.
-    pub async fn ready(&self, host: usize, endpoint: &Endpoint) {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until a host takes callers and knows an endpoint.
+    pub async fn wait_until_ready(&self, host: usize, endpoint: &Endpoint) {
+        let until = Instant::now() + TIMEOUT;
         let known = format!("endpoint={} event=endpoint_known", endpoint.id);
-        while !(self.is_ready(host).await && self.logged(host).contains(&known)) {
-            assert!(Instant::now() < until, "not ready: {}", self.logged(host));
-            sleep(LOOK).await;
+        while !(self.is_ready(host).await && self.read_log(host).contains(&known)) {
+            assert!(Instant::now() < until, "not ready: {}", self.read_log(host));
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until a control host has kept the newest that it knows of an endpoint on its disk.
-    pub async fn keeps(&self, host: usize, endpoint: &Endpoint) {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until a control host has written what it knows of an endpoint to its disk.
+    pub async fn wait_until_stored(&self, host: usize, endpoint: &Endpoint) {
+        let until = Instant::now() + TIMEOUT;
         let known = format!("endpoint={} event=endpoint_known", endpoint.id);
-        let heard = |log: &str| log.matches(&known).count();
-        let path = self.data(host).join("endpoints");
-        let mut before = 0;
+        let count_updates = |log: &str| log.matches(&known).count();
+        let path = self.data_path(host).join("endpoints");
+        let mut previous = 0;
         loop {
-            let log = self.logged(host);
-            let is_kept = std::fs::read(&path).is_ok_and(|bytes| {
+            let log = self.read_log(host);
+            let is_stored = std::fs::read(&path).is_ok_and(|bytes| {
                 bytes
                     .windows(endpoint.id.len())
                     .any(|id| id == endpoint.id.as_bytes())
             });
-            // A write gathers the changes of a moment, so what was heard a look ago is there.
-            if is_kept && before > 0 && heard(&log) == before {
+            // Changes are written in batches: one that was logged an interval ago is on disk.
+            if is_stored && previous > 0 && count_updates(&log) == previous {
                 return;
             }
-            before = heard(&log);
-            assert!(Instant::now() < until, "not kept: {log}");
-            sleep(LOOK * 5).await;
+            previous = count_updates(&log);
+            assert!(Instant::now() < until, "not stored: {log}");
+            sleep(POLL_INTERVAL * 5).await;
         }
     }
 
-    /// A counter or gauge of a host, by its name and labels as the text gives them.
-    pub async fn meter(&self, host: usize, name: &str) -> u64 {
+    /// Returns the value of a host's metric, given its name and labels as in the text format.
+    pub async fn metric(&self, host: usize, name: &str) -> u64 {
         let url = format!("http://{}/metrics", self.address(host, 8219));
         let answer = self.client.get(url).send().await.expect("metrics");
-        let text = answer.text().await.expect("their text");
+        let text = answer.text().await.expect("the text of the metrics");
         let value = text.lines().find_map(|line| line.strip_prefix(name));
         let value = value.and_then(|value| value.trim().parse().ok());
         value.unwrap_or_else(|| panic!("no number for {name} in {text}"))
     }
 
-    /// Waits until a host goes by a revision.
-    pub async fn goes_by(&self, host: usize, revision: u64) {
-        let until = Instant::now() + PATIENCE;
-        while self.meter(host, "kumquatdrum_gateway_revision").await != revision {
-            assert!(Instant::now() < until, "not told: {}", self.logged(host));
-            sleep(LOOK).await;
+    /// Waits until a revision is in force on a host.
+    pub async fn wait_for_revision(&self, host: usize, revision: u64) {
+        let until = Instant::now() + TIMEOUT;
+        while self.metric(host, "kumquatdrum_gateway_revision").await != revision {
+            assert!(
+                Instant::now() < until,
+                "not in force: {}",
+                self.read_log(host)
+            );
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Waits until a host's listeners are open.
-    pub async fn started(&self, host: usize) {
-        let until = Instant::now() + PATIENCE;
-        while !self.logged(host).contains("event=started") {
-            assert!(Instant::now() < until, "not started: {}", self.logged(host));
-            sleep(LOOK).await;
+    pub async fn wait_until_started(&self, host: usize) {
+        let until = Instant::now() + TIMEOUT;
+        while !self.read_log(host).contains("event=started") {
+            assert!(
+                Instant::now() < until,
+                "not started: {}",
+                self.read_log(host)
+            );
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Where a host takes callers.
+    /// Returns a host's address for callers.
     pub fn callers(&self, host: usize) -> SocketAddr {
         self.address(host, 8227)
     }
 
-    /// A caller's request.
-    pub fn call(&self, host: usize, path: &str, attempt: &str) -> reqwest::RequestBuilder {
+    /// Returns a caller's request to a host.
+    pub fn request(&self, host: usize, path: &str, attempt: &str) -> reqwest::RequestBuilder {
         let url = format!("http://{}{path}", self.callers(host));
         self.client
             .post(url)
@@ -316,7 +334,7 @@
     }
 }
 
-/// A config with a route for each kind, all to services of one endpoint kind.
+/// Returns a config with a safe, an unsafe and a stream route to one service.
 pub fn config(version: u64) -> Value {
     let route = |prefix: &str, kind: &str, attempts: u32| {
         json!({"name": prefix, "host": "a.example", "pathPrefix": prefix, "kind": kind,
@@ -335,7 +353,7 @@
     })
 }
 
-/// Whether a folder is there.
+/// Returns whether a folder exists.
 pub fn is_folder(path: &Path) -> bool {
     path.is_dir()
 }
--- a/crates/kumquatdrum/tests/gateway/control.rs
+++ b/crates/kumquatdrum/tests/gateway/control.rs
@@ -1,4 +1,4 @@
-//! Operators and endpoints: what is acknowledged holds.
+//! Acknowledged configs and announcements hold after the loss of hosts.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use crate::cluster::{CONTROL, Cluster, HOSTS, config, is_folder};
-use crate::endpoint::{Endpoint, Manner};
+use crate::cluster::{CONTROL_HOSTS, Cluster, HOSTS, config, is_folder};
+use crate::endpoint::{Behaviour, Endpoint};
 
 #[tokio::test]
 async fn the_highest_revision_is_read_back_byte_for_byte_at_every_host() {
@@ -15,27 +15,27 @@
     let newest = config(30);
     cluster.apply(&config(4)).await;
     cluster.apply(&newest).await;
-    // Older and equal revisions are acknowledged, and change nothing.
+    // Older and equal revisions are acknowledged but change nothing.
     let mut other = config(30);
     other["routes"] = json!([]);
     cluster.apply(&config(4)).await;
     cluster.apply(&other).await;
-    for host in 0..CONTROL {
-        assert_eq!(cluster.read(host).await, newest.to_string());
+    for host in 0..CONTROL_HOSTS {
+        assert_eq!(cluster.read_config(host).await, newest.to_string());
     }
     let mut invalid = config(31);
     invalid["routes"][0]["service"] = json!("nobody");
     let answer = cluster
-        .control(1, "/-/Config.Replace", Some(&invalid))
+        .call_control(1, "/-/Config.Replace", Some(&invalid))
         .await;
     assert_eq!(answer.expect("an answer").status(), StatusCode::BAD_REQUEST);
-    // What is invalid is refused before its revision is looked at.
+    // Validation comes before the check of the revision.
     invalid["version"] = json!(1);
     let answer = cluster
-        .control(2, "/-/Config.Replace", Some(&invalid))
+        .call_control(2, "/-/Config.Replace", Some(&invalid))
         .await;
     assert_eq!(answer.expect("an answer").status(), StatusCode::BAD_REQUEST);
-    assert_eq!(cluster.read(0).await, newest.to_string());
+    assert_eq!(cluster.read_config(0).await, newest.to_string());
 }
 
 #[tokio::test]
@@ -45,10 +45,16 @@
     for revision in 2..6 {
         let host = cluster.apply(&config(revision)).await;
         cluster.kill(host);
-        let next = (host + 1) % CONTROL;
-        assert_eq!(cluster.read(next).await, config(revision).to_string());
+        let next = (host + 1) % CONTROL_HOSTS;
+        assert_eq!(
+            cluster.read_config(next).await,
+            config(revision).to_string()
+        );
         cluster.start_host(host, false);
-        assert_eq!(cluster.read(host).await, config(revision).to_string());
+        assert_eq!(
+            cluster.read_config(host).await,
+            config(revision).to_string()
+        );
     }
 }
 
@@ -58,27 +64,26 @@
     cluster.apply(&config(1)).await;
     let host = cluster.apply(&config(2)).await;
     cluster.kill(host);
-    assert!(is_folder(&cluster.data(host)));
-    std::fs::remove_dir_all(cluster.data(host)).expect("the disk is lost");
+    assert!(is_folder(&cluster.data_path(host)));
+    std::fs::remove_dir_all(cluster.data_path(host)).expect("the disk is lost");
     cluster.start_host(host, false);
-    assert_eq!(cluster.read(host).await, config(2).to_string());
-    // The new replica votes in the place of the old one.
+    assert_eq!(cluster.read_config(host).await, config(2).to_string());
+    // Gives the new replica time to replace the old one as a voter.
     sleep(Duration::from_secs(4)).await;
-    let other = (host + 1) % CONTROL;
+    let other = (host + 1) % CONTROL_HOSTS;
     cluster.kill(other);
     cluster.apply(&config(3)).await;
-    assert_eq!(cluster.read(host).await, config(3).to_string());
+    assert_eq!(cluster.read_config(host).await, config(3).to_string());
 }
 
-/// With its text as it is, sent by the leader to each host and again by any control host that was
-/// greeted meanwhile, this change moved four times its text.
+/// Guards against a large config that is sent uncompressed or more than once to each host.
 #[tokio::test]
-async fn a_change_of_many_routes_moves_less_than_its_text_to_all_hosts_together() {
+async fn a_large_change_sends_fewer_bytes_to_all_hosts_than_its_text() {
     const ROUTES: usize = 1_200;
     let cluster = Cluster::start(25);
     cluster.apply(&config(1)).await;
     for host in 0..HOSTS {
-        cluster.goes_by(host, 1).await;
+        cluster.wait_for_revision(host, 1).await;
     }
     let mut large = config(2);
     let route = large["routes"][0].clone();
@@ -89,24 +94,24 @@
         route["pathPrefix"] = json!(format!("/route-{number}/"));
         route
     }));
-    let before = setup_bytes(&cluster).await;
+    let before = count_setup_bytes(&cluster).await;
     cluster.apply(&large).await;
     for host in 0..HOSTS {
-        cluster.goes_by(host, 2).await;
+        cluster.wait_for_revision(host, 2).await;
     }
-    let moved = setup_bytes(&cluster).await - before;
+    let sent = count_setup_bytes(&cluster).await - before;
     let text = large.to_string().len() as u64;
-    assert!(moved < text, "{moved} bytes were sent for a text of {text}");
+    assert!(sent < text, "{sent} bytes were sent for a text of {text}");
 }
 
-/// Bytes of the log and of the setup's spread that all hosts have sent.
-async fn setup_bytes(cluster: &Cluster) -> u64 {
+/// Sums the bytes that all hosts have sent for consensus and for propagation of the setup.
+async fn count_setup_bytes(cluster: &Cluster) -> u64 {
     let mut sum = 0;
     for host in 0..HOSTS {
         for channel in ["consensus", "setup"] {
             let labels = format!("{{channel=\"{channel}\",direction=\"sent\"}}");
             let name = format!("kumquatdrum_gateway_peer_bytes_total{labels}");
-            sum += cluster.meter(host, &name).await;
+            sum += cluster.metric(host, &name).await;
         }
     }
     sum
@@ -116,19 +121,19 @@
 async fn a_leaving_endpoint_gets_nothing_once_that_is_acknowledged() {
     let cluster = Cluster::start(24);
     cluster.apply(&config(1)).await;
-    let leaving = Endpoint::start("i-1", Manner::Whole).await;
-    let staying = Endpoint::start("i-2", Manner::Whole).await;
+    let leaving = Endpoint::start("i-1", Behaviour::Whole).await;
+    let staying = Endpoint::start("i-2", Behaviour::Whole).await;
     cluster.announce(&leaving, "plain", "ready", 1).await;
     cluster.announce(&staying, "plain", "ready", 1).await;
     for host in [3, 4] {
-        cluster.ready(host, &leaving).await;
-        cluster.ready(host, &staying).await;
+        cluster.wait_until_ready(host, &leaving).await;
+        cluster.wait_until_ready(host, &staying).await;
     }
     cluster.announce(&leaving, "plain", "draining", 2).await;
     // A late announcement changes nothing.
     cluster.announce(&leaving, "plain", "ready", 1).await;
     for attempt in 0..8 {
-        let call = cluster.call(3 + attempt % 2, "/safe/x", &format!("at-{attempt}"));
+        let call = cluster.request(3 + attempt % 2, "/safe/x", &format!("at-{attempt}"));
         assert_eq!(
             call.send().await.expect("an answer").status(),
             StatusCode::OK
@@ -137,20 +142,20 @@
     assert_eq!((leaving.runs(), staying.runs()), (0, 8));
 }
 
-/// Endpoints announce themselves about once a second. Hosts that forgot them all knew one or two in the
-/// first tenth of a second, packed short prompts on those, and refused long ones for want of room.
+/// Guards against hosts that all restart, forget the endpoints, and overload the first ones that
+/// announce themselves again.
 #[tokio::test]
 async fn hosts_that_were_all_lost_at_once_know_who_is_there_before_anybody_announces_again() {
     let mut cluster = Cluster::start(26);
     cluster.apply(&config(1)).await;
-    let stays = Endpoint::start("i-1", Manner::Whole).await;
-    let leaves = Endpoint::start("i-2", Manner::Whole).await;
+    let stays = Endpoint::start("i-1", Behaviour::Whole).await;
+    let leaves = Endpoint::start("i-2", Behaviour::Whole).await;
     cluster.announce(&stays, "plain", "ready", 1).await;
     cluster.announce(&leaves, "plain", "ready", 1).await;
-    cluster.ready(3, &leaves).await;
+    cluster.wait_until_ready(3, &leaves).await;
     cluster.announce(&leaves, "plain", "draining", 2).await;
-    for host in 0..CONTROL {
-        cluster.keeps(host, &leaves).await;
+    for host in 0..CONTROL_HOSTS {
+        cluster.wait_until_stored(host, &leaves).await;
     }
     for host in 0..HOSTS {
         cluster.kill(host);
@@ -158,28 +163,31 @@
     for host in 0..HOSTS {
         cluster.start_host(host, false);
     }
-    cluster.ready(3, &stays).await;
+    cluster.wait_until_ready(3, &stays).await;
     for number in 0..6 {
         let attempt = format!("back-{number}");
-        let answer = cluster.call(3, "/safe/x", &attempt).send().await;
+        let answer = cluster.request(3, "/safe/x", &attempt).send().await;
         assert_eq!(answer.expect("an answer").status(), StatusCode::OK);
     }
     assert_eq!((stays.runs(), leaves.runs()), (6, 0));
-    let recalled = (0..CONTROL).filter(|host| cluster.logged(*host).contains("from=disk"));
-    assert!(recalled.count() > 0, "nobody read its disk");
+    let recalled = (0..CONTROL_HOSTS).filter(|host| cluster.read_log(*host).contains("from=disk"));
+    assert!(
+        recalled.count() > 0,
+        "no host read the endpoints from its disk"
+    );
 }
 
 #[tokio::test]
 async fn a_damaged_file_of_endpoints_is_told_and_does_no_harm() {
     let mut cluster = Cluster::start(27);
     cluster.apply(&config(1)).await;
-    let endpoint = Endpoint::start("i-1", Manner::Whole).await;
+    let endpoint = Endpoint::start("i-1", Behaviour::Whole).await;
     cluster.announce(&endpoint, "plain", "ready", 1).await;
-    cluster.keeps(0, &endpoint).await;
+    cluster.wait_until_stored(0, &endpoint).await;
     cluster.kill(0);
-    std::fs::write(cluster.data(0).join("endpoints"), "no endpoints").expect("a file");
+    std::fs::write(cluster.data_path(0).join("endpoints"), "no endpoints").expect("a file");
     cluster.start_host(0, false);
-    assert_eq!(cluster.read(0).await, config(1).to_string());
-    assert!(cluster.logged(0).contains("event=endpoints_not_recalled"));
+    assert_eq!(cluster.read_config(0).await, config(1).to_string());
+    assert!(cluster.read_log(0).contains("event=endpoints_not_recalled"));
     cluster.announce(&endpoint, "plain", "ready", 2).await;
 }
--- a/crates/kumquatdrum/tests/gateway/endpoint.rs
+++ b/crates/kumquatdrum/tests/gateway/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an endpoint, which answers byte by byte as it is told.
+//! A stand-in endpoint that answers correctly or with a given fault.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,73 +12,73 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// How it answers.
+/// How the endpoint answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
-    /// With a body in one piece.
+pub enum Behaviour {
+    /// With a complete body of known length.
     Whole,
-    /// With six events where the path asks for a stream, else in one piece.
+    /// With [`SIX_EVENTS`] on stream routes, else as [`Self::Whole`].
     ByPath,
-    /// With an answer to another attempt.
-    Crossed,
-    /// Not at all: it reads the request and closes.
-    Lost,
-    /// With its first answer and a second one nobody asked for.
-    Twice,
-    /// With the events from the one asked for up to the given one, and a whole end.
+    /// With the answer to a different attempt.
+    OtherAttempt,
+    /// Not at all: closes the connection after reading the request.
+    NoAnswer,
+    /// With the answer, followed by an unsolicited second one.
+    ExtraAnswer,
+    /// With a complete stream of events, resumed after the last event id of the request.
     Stream { events: u64, pause: Duration },
-    /// With events up to the given one, and half of the next.
-    Broken { after: u64 },
-    /// With a head that has no length, and half a body, reset.
-    Unframed,
+    /// With events up to `after`, and half of the next one.
+    Truncated { after: u64 },
+    /// With half a body of unknown length, and then a reset of the connection.
+    Reset,
 }
 
-/// A stream that lasts long enough for faults to meet it.
-pub const SIX_EVENTS: Manner = Manner::Stream {
+/// A stream that lasts long enough for faults to occur during it.
+pub const SIX_EVENTS: Behaviour = Behaviour::Stream {
     events: 6,
     pause: Duration::from_millis(40),
 };
 
-/// What it has seen.
+/// The requests that an endpoint has received.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Record {
     pub runs: AtomicUsize,
-    /// Connections that callers have closed before the answer was whole.
-    pub left: AtomicUsize,
+    /// Connections that were closed before the answer was complete.
+    pub disconnects: AtomicUsize,
     pub requests: Mutex<Vec<String>>,
-    /// Runs of each attempt.
+    /// Number of runs by attempt id.
     pub attempts: Mutex<HashMap<String, usize>>,
 }
 
 pub struct Endpoint {
     pub id: String,
     pub address: SocketAddr,
-    pub seen: Arc<Seen>,
+    pub record: Arc<Record>,
     task: JoinHandle<()>,
 }
 
 impl Endpoint {
-    pub async fn start(id: &str, manner: Manner) -> Self {
+    pub async fn start(id: &str, behaviour: Behaviour) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("its address");
-        let seen = Arc::new(Seen::default());
-        let (name, ledger) = (id.to_owned(), seen.clone());
+        let address = listener.local_addr().expect("the listener's address");
+        let record = Arc::new(Record::default());
+        let (name, shared) = (id.to_owned(), record.clone());
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (name, ledger) = (name.clone(), ledger.clone());
-                tokio::spawn(async move { serve(stream, &name, manner, &ledger).await });
+                let (name, shared) = (name.clone(), shared.clone());
+                tokio::spawn(async move { serve(stream, &name, behaviour, &shared).await });
             }
         });
         Self {
             id: id.to_owned(),
             address,
-            seen,
+            record,
             task,
         }
     }
 
     pub fn runs(&self) -> usize {
-        self.seen.runs.load(Ordering::Relaxed)
+        self.record.runs.load(Ordering::Relaxed)
     }
 }
 
@@ -88,8 +88,8 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, name: &str, manner: Manner, seen: &Seen) {
-    let Some(request) = read(&mut stream).await else {
+async fn serve(mut stream: TcpStream, name: &str, behaviour: Behaviour, record: &Record) {
+    let Some(request) = read_request(&mut stream).await else {
         return;
     };
     let header = |name: &str| {
@@ -107,44 +107,46 @@
         let _ = stream.write_all(answer.as_bytes()).await;
         return;
     }
-    seen.runs.fetch_add(1, Ordering::Relaxed);
+    record.runs.fetch_add(1, Ordering::Relaxed);
     let after: u64 = header("Last-Event-Id").parse().unwrap_or(0);
-    *seen.attempts.lock().entry(attempt.clone()).or_default() += 1;
-    let manner = match manner {
-        Manner::ByPath if request.contains(" /stream/") => SIX_EVENTS,
-        Manner::ByPath => Manner::Whole,
-        manner => manner,
+    *record.attempts.lock().entry(attempt.clone()).or_default() += 1;
+    let behaviour = match behaviour {
+        Behaviour::ByPath if request.contains(" /stream/") => SIX_EVENTS,
+        Behaviour::ByPath => Behaviour::Whole,
+        behaviour => behaviour,
     };
-    seen.requests.lock().push(request.clone());
-    if answer(&mut stream, &attempt, manner, after).await.is_err() {
-        seen.left.fetch_add(1, Ordering::Relaxed);
+    record.requests.lock().push(request.clone());
+    if send_answer(&mut stream, &attempt, behaviour, after)
+        .await
+        .is_err()
+    {
+        record.disconnects.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-async fn answer(
+async fn send_answer(
     stream: &mut TcpStream,
     attempt: &str,
-    manner: Manner,
+    behaviour: Behaviour,
     after: u64,
 ) -> std::io::Result<()> {
     let whole = |attempt: &str| head("200 OK", attempt, "Content-Length: 5\r\n") + "whole";
     let events = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n";
-    match manner {
-        Manner::Whole | Manner::ByPath => stream.write_all(whole(attempt).as_bytes()).await,
-        Manner::Crossed => stream.write_all(whole("another").as_bytes()).await,
-        Manner::Twice => {
+    match behaviour {
+        Behaviour::Whole | Behaviour::ByPath => stream.write_all(whole(attempt).as_bytes()).await,
+        Behaviour::OtherAttempt => stream.write_all(whole("another").as_bytes()).await,
+        Behaviour::ExtraAnswer => {
             let twice = whole(attempt) + &whole("another");
             stream.write_all(twice.as_bytes()).await
         }
-        Manner::Lost => Ok(()),
-        Manner::Unframed => {
+        Behaviour::NoAnswer => Ok(()),
+        Behaviour::Reset => {
             let half = head("200 OK", attempt, "Connection: close\r\n") + "ha";
             stream.write_all(half.as_bytes()).await?;
-            // Bytes that were not read make the close a reset.
-            socket_reset(stream);
+            reset_on_close(stream);
             Ok(())
         }
-        Manner::Broken { after: last } => {
+        Behaviour::Truncated { after: last } => {
             let mut text = head("200 OK", attempt, events);
             for event in after + 1..=last {
                 text += &chunk(&format!("id: {event}\ndata: piece {event}\n\n"));
@@ -152,7 +154,7 @@
             text += &chunk(&format!("id: {}\nda", last + 1));
             stream.write_all(text.as_bytes()).await
         }
-        Manner::Stream {
+        Behaviour::Stream {
             events: last,
             pause,
         } => {
@@ -162,7 +164,7 @@
                 let text = chunk(&format!("id: {event}\ndata: piece {event}\n\n"));
                 tokio::select! {
                     () = sleep(pause) => stream.write_all(text.as_bytes()).await?,
-                    closed = closed(stream) => return closed,
+                    closed = wait_for_close(stream) => return closed,
                 }
             }
             stream.write_all(b"0\r\n\r\n").await
@@ -170,7 +172,7 @@
     }
 }
 
-async fn closed(stream: &TcpStream) -> std::io::Result<()> {
+async fn wait_for_close(stream: &TcpStream) -> std::io::Result<()> {
     loop {
         stream.readable().await?;
         if stream.try_read(&mut [0; 64])? == 0 {
@@ -179,7 +181,7 @@
     }
 }
 
-fn socket_reset(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
     let linger = Some(Duration::ZERO);
     socket2::SockRef::from(stream)
         .set_linger(linger)
@@ -197,7 +199,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-async fn read(stream: &mut TcpStream) -> Option<String> {
+async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let mut buffer = [0; 4096];
     loop {
--- a/crates/kumquatdrum/tests/gateway/explain.rs
+++ b/crates/kumquatdrum/tests/gateway/explain.rs
@@ -1,4 +1,4 @@
-//! A failed request is explained from the logs alone.
+//! The `explain` command finds the cause of a failed request in the logs.
 
 use std::process::Command;
 
@@ -6,48 +6,48 @@
 use serde_json::Value;
 
 use crate::cluster::{Cluster, config};
-use crate::endpoint::{Endpoint, Manner};
+use crate::endpoint::{Behaviour, Endpoint};
 
-/// The story of a request, as JSON, from the logs of both hosts that take callers.
-fn explained(cluster: &Cluster, id: &str) -> Value {
+/// Runs `explain` on the logs of both hosts that take callers, and returns its JSON.
+fn explain(cluster: &Cluster, id: &str) -> Value {
     let output = Command::new(env!("CARGO_BIN_EXE_kumquatdrum"))
         .args(["explain", "--json", id])
-        .args([cluster.log(3), cluster.log(4)])
+        .args([cluster.log_path(3), cluster.log_path(4)])
         .output()
         .expect("the command");
     serde_json::from_slice(&output.stdout).expect("JSON")
 }
 
-/// Waits until a request's end has been written, and tells its cause.
-async fn cause(cluster: &Cluster, id: &str) -> String {
+/// Waits until a request's end is logged, and returns its cause.
+async fn wait_for_cause(cluster: &Cluster, id: &str) -> String {
     for _ in 0..200 {
-        let story = explained(cluster, id);
-        let lines = story["lines"].as_array().expect("lines");
+        let timeline = explain(cluster, id);
+        let lines = timeline["lines"].as_array().expect("lines");
         let is_over = |line: &Value| {
             let event = line["event"].as_str().unwrap_or_default();
             event == "request_ended" || event == "request_refused"
         };
         if lines.iter().any(is_over) {
-            return story["cause"].as_str().expect("a cause").to_owned();
+            return timeline["cause"].as_str().expect("a cause").to_owned();
         }
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     }
-    panic!("no end of {id}: {}", cluster.logged(3));
+    panic!("no end of {id}: {}", cluster.read_log(3));
 }
 
 #[tokio::test]
 async fn an_endpoint_that_failed_midway_is_named() {
     let cluster = Cluster::start(41);
     cluster.apply(&config(1)).await;
-    let broken = Endpoint::start("i-broken", Manner::Broken { after: 2 }).await;
+    let broken = Endpoint::start("i-broken", Behaviour::Truncated { after: 2 }).await;
     cluster.announce(&broken, "plain", "ready", 1).await;
-    cluster.ready(3, &broken).await;
-    let answer = cluster.call(3, "/stream/x", "at-midway").send().await;
+    cluster.wait_until_ready(3, &broken).await;
+    let answer = cluster.request(3, "/stream/x", "at-midway").send().await;
     assert!(
         answer.expect("a head").text().await.is_err(),
         "the stream is cut"
     );
-    let cause = cause(&cluster, "at-midway").await;
+    let cause = wait_for_cause(&cluster, "at-midway").await;
     assert!(
         cause.contains("i-broken") && cause.contains("broken"),
         "{cause}"
@@ -55,19 +55,19 @@
 }
 
 #[tokio::test]
-async fn a_refusal_names_what_was_missing() {
+async fn a_refusal_names_its_reason() {
     let cluster = Cluster::start(42);
     cluster.apply(&config(1)).await;
-    let other = Endpoint::start("i-1", Manner::Whole).await;
+    let other = Endpoint::start("i-1", Behaviour::Whole).await;
     cluster
         .announce(&other, "another-service", "ready", 1)
         .await;
-    cluster.ready(3, &other).await;
-    let answer = cluster.call(3, "/safe/x", "at-refused").send().await;
+    cluster.wait_until_ready(3, &other).await;
+    let answer = cluster.request(3, "/safe/x", "at-refused").send().await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers().contains_key("retry-after"));
-    let cause = cause(&cluster, "at-refused").await;
+    let cause = wait_for_cause(&cluster, "at-refused").await;
     assert!(cause.contains("no endpoint is known"), "{cause}");
 }
 
@@ -77,13 +77,13 @@
     for host in 0..3 {
         cluster.kill(host);
     }
-    cluster.started(3).await;
-    let answer = cluster.call(3, "/safe/x", "at-cut-off").send().await;
+    cluster.wait_until_started(3).await;
+    let answer = cluster.request(3, "/safe/x", "at-cut-off").send().await;
     assert_eq!(
         answer.expect("an answer").status(),
         StatusCode::SERVICE_UNAVAILABLE
     );
-    let cause = cause(&cluster, "at-cut-off").await;
+    let cause = wait_for_cause(&cluster, "at-cut-off").await;
     assert!(
         cause.contains("does not know yet") && cause.contains("revision 0"),
         "{cause}"
--- a/crates/kumquatdrum/tests/gateway/fanout.rs
+++ b/crates/kumquatdrum/tests/gateway/fanout.rs
@@ -1,21 +1,21 @@
-//! What endpoints say, told to data centres of more hosts than are told directly.
+//! Announcements in data centres with so many hosts that they are relayed.
 //!
-//! Before 295 hosts a worker that was leaving waited 0.7 s for its acknowledgement: the control host
-//! that took its farewell asked each of 299 others itself, on a sixth of a core.
+//! Guards against a control host that sends each announcement to every host itself, which delays
+//! the acknowledgement in large clusters.
 
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep};
 
-use crate::cluster::{CONTROL, Cluster, config};
-use crate::endpoint::{Endpoint, Manner};
+use crate::cluster::{CONTROL_HOSTS, Cluster, config};
+use crate::endpoint::{Behaviour, Endpoint};
 
-const HOSTS: usize = CONTROL + 30;
-const PATIENCE: Duration = Duration::from_secs(40);
+const HOSTS: usize = CONTROL_HOSTS + 30;
+const TIMEOUT: Duration = Duration::from_secs(40);
 
-fn knows_that_it_leaves(cluster: &Cluster, host: usize, endpoint: &Endpoint) -> bool {
-    let logged = cluster.logged(host);
-    let mut lines = logged.lines().filter(|line| {
+fn knows_as_leaving(cluster: &Cluster, host: usize, endpoint: &Endpoint) -> bool {
+    let log = cluster.read_log(host);
+    let mut lines = log.lines().filter(|line| {
         line.contains("event=endpoint_known")
             && line.contains(&format!("endpoint={} ", endpoint.id))
     });
@@ -23,27 +23,24 @@
 }
 
 #[tokio::test]
-async fn a_farewell_is_known_everywhere_when_it_is_acknowledged_also_beside_a_frozen_relay() {
-    let cluster = Cluster::of(51, HOSTS);
+async fn a_leaving_endpoint_is_known_on_all_hosts_once_acknowledged_even_with_a_frozen_relay() {
+    let cluster = Cluster::with_hosts(51, HOSTS);
     cluster.apply(&config(1)).await;
-    let endpoint = Endpoint::start("i-1", Manner::Whole).await;
-    let next = Endpoint::start("i-2", Manner::Whole).await;
+    let endpoint = Endpoint::start("i-1", Behaviour::Whole).await;
+    let next = Endpoint::start("i-2", Behaviour::Whole).await;
     for endpoint in [&endpoint, &next] {
         cluster.announce(endpoint, "plain", "ready", 1).await;
     }
-    for host in CONTROL..HOSTS {
-        cluster.ready(host, &endpoint).await;
-        cluster.ready(host, &next).await;
+    for host in CONTROL_HOSTS..HOSTS {
+        cluster.wait_until_ready(host, &endpoint).await;
+        cluster.wait_until_ready(host, &next).await;
     }
     cluster.announce(&endpoint, "plain", "draining", 2).await;
     for host in 0..HOSTS {
-        assert!(
-            knows_that_it_leaves(&cluster, host, &endpoint),
-            "host {host}"
-        );
+        assert!(knows_as_leaving(&cluster, host, &endpoint), "host {host}");
     }
-    // Hosts of one data centre freeze, the one that relays for control host 0 among them.
-    let frozen: Vec<usize> = (CONTROL..HOSTS)
+    // Freezes hosts of one data centre, including the one that relays for control host 0.
+    let frozen: Vec<usize> = (CONTROL_HOSTS..HOSTS)
         .filter(|host| host % 3 == 1)
         .take(7)
         .collect();
@@ -52,20 +49,20 @@
     }
     cluster.announce(&next, "plain", "draining", 2).await;
     for host in (0..HOSTS).filter(|host| !frozen.contains(host)) {
-        assert!(knows_that_it_leaves(&cluster, host, &next), "host {host}");
+        assert!(knows_as_leaving(&cluster, host, &next), "host {host}");
     }
-    assert!(cluster.logged(0).contains("event=relay_silent"));
+    assert!(cluster.read_log(0).contains("event=relay_silent"));
     for host in &frozen {
         cluster.signal(*host, "-CONT");
     }
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while !frozen
         .iter()
-        .all(|host| knows_that_it_leaves(&cluster, *host, &next))
+        .all(|host| knows_as_leaving(&cluster, *host, &next))
     {
         assert!(
             Instant::now() < until,
-            "a host that was frozen does not learn of it"
+            "a frozen host did not learn that the endpoint leaves"
         );
         sleep(Duration::from_millis(50)).await;
     }
--- a/crates/kumquatdrum/tests/gateway/main.rs
+++ b/crates/kumquatdrum/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! Gateway hosts as real processes on loopback, before stand-ins of the platform's endpoints.
+//! Gateway hosts as real processes on loopback, in front of stand-in endpoints.
 
 mod cluster;
 mod control;
--- a/crates/kumquatdrum/tests/gateway/proxy.rs
+++ b/crates/kumquatdrum/tests/gateway/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that delays, resets, silences or cuts one way what passes it.
+//! A loopback proxy that delays, resets or blocks connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,18 +11,19 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// What happens to connections.
+/// How the proxy treats connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
     Pass,
     Delay,
     Reset,
     Silent,
-    /// Requests arrive, answers don't.
+    /// Passes requests but not answers.
     OneWay,
 }
 
-pub const MODES: [Mode; 4] = [Mode::Delay, Mode::Reset, Mode::Silent, Mode::OneWay];
+/// All faults.
+pub const FAULTS: [Mode; 4] = [Mode::Delay, Mode::Reset, Mode::Silent, Mode::OneWay];
 const DELAY: Duration = Duration::from_millis(120);
 
 pub struct Proxy {
@@ -34,12 +35,12 @@
 impl Proxy {
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("the listener's address");
         let mode = Arc::new(Mutex::new(Mode::Pass));
         let shared = mode.clone();
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(carry(stream, target, shared.clone()));
+                tokio::spawn(forward(stream, target, shared.clone()));
             }
         });
         Self {
@@ -49,7 +50,7 @@
         }
     }
 
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         *self.mode.lock() = mode;
     }
 }
@@ -60,27 +61,27 @@
     }
 }
 
-async fn carry(near: TcpStream, target: SocketAddr, mode: Arc<Mutex<Mode>>) {
+async fn forward(client: TcpStream, target: SocketAddr, mode: Arc<Mutex<Mode>>) {
     if *mode.lock() == Mode::Reset {
         let zero = Some(Duration::ZERO);
-        socket2::SockRef::from(&near)
+        socket2::SockRef::from(&client)
             .set_linger(zero)
             .expect("linger");
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    // Either side's end is the other's, as over a wire.
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    // When one side closes, both connections close.
     tokio::select! {
-        () = pass(near_read, far_write, mode.clone(), false) => {}
-        () = pass(far_read, near_write, mode, true) => {}
+        () = copy(client_read, server_write, mode.clone(), false) => {}
+        () = copy(server_read, client_write, mode, true) => {}
     }
 }
 
-async fn pass(
+async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mode: Arc<Mutex<Mode>>,
@@ -92,8 +93,8 @@
             return;
         }
         loop {
-            let now = *mode.lock();
-            match now {
+            let current = *mode.lock();
+            match current {
                 Mode::Reset => return,
                 Mode::Silent => sleep(DELAY).await,
                 Mode::OneWay if is_answer => sleep(DELAY).await,
--- a/crates/kumquatdrum/tests/losses.rs
+++ b/crates/kumquatdrum/tests/losses.rs
@@ -1,4 +1,4 @@
-//! Losses are counted by cause from logs alone.
+//! The `losses` command counts lost requests by cause from logs.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-/// One request for each cause, with the lines that show it. The last two were answered on time.
+/// The log lines of one request for each cause, and of two requests that were answered on time.
 const LOG: &str = "\
 time=100.000 host=a prompt=300000 due_ms=2500 sent=0 reason=\"no room: too long a prompt for what else is asked for\" end=given_up request=r1 event=request_ended
 time=100.100 host=a sent=0 reason=\"no room: no endpoint is known\" end=given_up request=r2 event=request_ended
@@ -57,7 +57,7 @@
         .expect("the command")
 }
 
-fn written(folder: &TempDir, name: &str, text: &str) -> PathBuf {
+fn write_log(folder: &TempDir, name: &str, text: &str) -> PathBuf {
     let path = folder.path().join(name);
     std::fs::write(&path, text).expect("a log");
     path
@@ -66,42 +66,42 @@
 #[test]
 fn each_lost_request_has_one_cause() {
     let folder = TempDir::new().expect("a folder");
-    let log = written(&folder, "a.log", LOG);
+    let log = write_log(&folder, "a.log", LOG);
     let output = losses(&[], &[log]);
     assert!(output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stdout), TABLE);
 }
 
 #[test]
-fn spans_are_told_apart_in_json() {
+fn json_has_the_counts_of_each_span() {
     let folder = TempDir::new().expect("a folder");
-    let log = written(&folder, "a.log", LOG);
+    let log = write_log(&folder, "a.log", LOG);
     let output = losses(&["--json", "--every", "10"], &[log]);
-    let told: Value = serde_json::from_slice(&output.stdout).expect("JSON");
-    let seconds: Vec<&Value> = told["spans"]
+    let printed: Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    let seconds: Vec<&Value> = printed["spans"]
         .as_array()
         .expect("spans")
         .iter()
         .map(|span| &span["second"])
         .collect();
     assert_eq!(seconds, [0, 20]);
-    let late = &told["spans"][1]["lost"]["pause: broken and resumed"];
+    let late = &printed["spans"][1]["lost"]["pause: broken and resumed"];
     assert_eq!((&late["short"], &late["long"]), (&1.into(), &0.into()));
 }
 
 #[test]
-fn what_is_no_log_is_told_and_the_others_are_used() {
+fn files_that_are_not_logs_are_reported_and_skipped() {
     let folder = TempDir::new().expect("a folder");
-    let log = written(&folder, "a.log", LOG);
-    let empty = written(&folder, "empty.log", "");
-    let other = written(&folder, "other.log", "GET / 200\n");
+    let log = write_log(&folder, "a.log", LOG);
+    let empty = write_log(&folder, "empty.log", "");
+    let other = write_log(&folder, "other.log", "GET / 200\n");
     let missing = folder.path().join("missing.log");
     let output = losses(&[], &[empty.clone(), other, missing, log]);
     assert!(output.status.success());
     assert_eq!(String::from_utf8_lossy(&output.stdout), TABLE);
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let warnings = String::from_utf8_lossy(&output.stderr).into_owned();
     for name in ["empty.log", "other.log", "missing.log"] {
-        assert!(told.contains(name), "{told}");
+        assert!(warnings.contains(name), "{warnings}");
     }
     assert_eq!(losses(&[], &[empty]).status.code(), Some(1));
 }
--- a/crates/kumquatdrum/tests/support/calls.rs
+++ b/crates/kumquatdrum/tests/support/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of callers, and what they got.
+//! Requests of callers, and their answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 use reqwest::RequestBuilder;
 use serde_json::{Value, json};
 
-use super::{CALLER_KEY, LIMIT, MODEL_SERVICE, PLAIN_SERVICE, until};
+use super::{CALLER_KEY, MODEL_SERVICE, PLAIN_SERVICE, TIMEOUT, wait_for};
 
-/// What a caller got.
+/// The answer to a caller's request.
 #[derive(Debug)]
-pub struct Got {
+pub struct Answer {
     pub status: u16,
     pub body: String,
 }
 
-impl Got {
-    /// The error, which stands in the last event where the stream's head was sent before.
+impl Answer {
+    /// Returns the error, which is in the last event if the stream had already begun.
     pub fn error(&self) -> Value {
         let mut events = self.body.lines().rev();
         let last = events
@@ -37,7 +37,7 @@
         error["class"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// The text of a whole answer; `None` where it isn't whole.
+    /// Returns the text of a complete answer, or `None` if it is incomplete.
     pub fn text(&self) -> Option<String> {
         let data = self
             .body
@@ -55,8 +55,8 @@
     }
 }
 
-/// Whether a page answers with success.
-pub async fn get(url: &str) -> Option<()> {
+/// Requests a page and returns `None` unless the answer is a success.
+pub async fn probe(url: &str) -> Option<()> {
     let answer = reqwest::Client::new()
         .get(url)
         .timeout(Duration::from_secs(1))
@@ -67,52 +67,52 @@
         .then_some(())
 }
 
-/// A streamed completion.
+/// Returns a request for a streamed completion.
 pub fn completion(host: SocketAddr, prompt: &str, tokens: u32) -> RequestBuilder {
     let body = json!({"model": MODEL_SERVICE, "prompt": prompt, "max_tokens": tokens,
                       "stream": true});
     reqwest::Client::new()
         .post(format!("http://{host}/v1/completions"))
         .bearer_auth(CALLER_KEY)
-        .timeout(LIMIT)
+        .timeout(TIMEOUT)
         .body(body.to_string())
 }
 
-/// A reorder, which must not be repeated.
+/// Returns a non-idempotent request with a key to the plain service.
 pub fn reorder(host: SocketAddr, key: &str) -> RequestBuilder {
     reqwest::Client::new()
         .post(format!("http://{host}/services/{PLAIN_SERVICE}/orders"))
         .bearer_auth(CALLER_KEY)
         .header("idempotency-key", key)
-        .timeout(LIMIT)
+        .timeout(TIMEOUT)
         .body(json!({"test_key": key}).to_string())
 }
 
-/// The same, marked as not to be repeated and with a key.
-pub fn once(request: RequestBuilder, key: &str) -> RequestBuilder {
+/// Marks a request as not idempotent and gives it a key.
+pub fn not_idempotent(request: RequestBuilder, key: &str) -> RequestBuilder {
     request
         .header("x-idempotent", "false")
         .header("idempotency-key", key)
 }
 
-/// Sends a request and reads the answer; `None` where the connection fails.
-pub async fn got(request: RequestBuilder) -> Option<Got> {
+/// Sends a request and reads the answer; returns `None` if the connection fails.
+pub async fn send(request: RequestBuilder) -> Option<Answer> {
     let response = request.send().await.ok()?;
     let status = response.status().as_u16();
     let body = response.text().await.unwrap_or_default();
-    Some(Got { status, body })
+    Some(Answer { status, body })
 }
 
-/// The whole answer that the stand-in gives to a prompt.
-pub fn answer(prompt: &str, tokens: u32) -> String {
+/// Returns the complete answer that a stand-in engine gives to a prompt.
+pub fn expected_answer(prompt: &str, tokens: u32) -> String {
     let digest = digest::hex(prompt.as_bytes());
     (0..tokens)
         .map(|index| kumquatdrum_testing::prompt::token(&digest, index))
         .collect()
 }
 
-/// How often a prompt ran.
-pub fn runs(engines: &[Engine], prompt: &str) -> u32 {
+/// Returns how often a prompt ran.
+pub fn count_runs(engines: &[Engine], prompt: &str) -> u32 {
     let prompt = digest::hex(prompt.as_bytes());
     let counts = engines.iter().map(Engine::counts);
     counts
@@ -120,20 +120,20 @@
         .sum()
 }
 
-/// Requests that the engines hold.
-pub fn held(engines: &[Engine]) -> u32 {
+/// Returns the number of requests that run or wait on the engines.
+pub fn count_held(engines: &[Engine]) -> u32 {
     let counts = engines.iter().map(Engine::counts);
     counts.map(|counts| counts.running + counts.waiting).sum()
 }
 
-/// Waits until the engines hold nothing any more.
-pub async fn idle(engines: &[Engine]) {
-    until("the engines' memory comes back", async || {
+/// Waits until the engines have no requests and no memory in use.
+pub async fn wait_until_idle(engines: &[Engine]) {
+    wait_for("the engines are idle", async || {
         let used: u64 = engines
             .iter()
             .map(|engine| engine.counts().memory_used_tokens)
             .sum();
-        (used == 0 && held(engines) == 0).then_some(())
+        (used == 0 && count_held(engines) == 0).then_some(())
     })
     .await;
 }
--- a/crates/kumquatdrum/tests/support/mod.rs
+++ b/crates/kumquatdrum/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts as processes of their own on loopback, with stand-in endpoints in the test's process.
+//! Hosts in separate processes on loopback, with stand-in endpoints in the test's process.
 
 #![allow(dead_code)]
 
@@ -24,23 +24,23 @@
 pub const MODEL_SERVICE: &str = "formula-llm";
 pub const PLAIN_SERVICE: &str = "salon-api";
 pub const OPERATORS: [&str; 2] = ["mari", "ade"];
-pub const ONE_PLACE: [&str; 3] = ["hall-raatuse"; 3];
-pub const THREE_PLACES: [&str; 3] = ["hall-raatuse", "hall-ulikooli", "hall-ringtee"];
-/// The bound of every wait; a test that reaches it has failed.
-pub const LIMIT: Duration = Duration::from_secs(45);
+pub const ONE_DATA_CENTRE: [&str; 3] = ["hall-raatuse"; 3];
+pub const THREE_DATA_CENTRES: [&str; 3] = ["hall-raatuse", "hall-ulikooli", "hall-ringtee"];
+/// Limit of every wait.
+pub const TIMEOUT: Duration = Duration::from_secs(45);
 
 const ENDPOINT_KEY: &str = "endpoint key";
 const FIRST_PORT: u16 = 7_100;
 const LISTENERS: usize = 5;
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-/// Lines of a host's log that a failed test prints.
-const LOG_TAIL: usize = 25;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Lines of each host's log that a failed test prints.
+const LOG_TAIL_LINES: usize = 25;
 
 /// One host, running or not.
 pub struct Node {
     pub name: String,
-    pub place: String,
-    /// For callers, endpoints, operators, peers and the platform.
+    pub data_centre: String,
+    /// Addresses for callers, endpoints, operators, peers and the platform, in this order.
     listeners: [SocketAddr; LISTENERS],
     pub settings: PathBuf,
     pub data: PathBuf,
@@ -48,21 +48,20 @@
     child: Option<Child>,
 }
 
-/// Three hosts that keep the replicated log.
+/// Three control hosts.
 pub struct Cluster {
     pub nodes: Vec<Node>,
     pub folder: TempDir,
 }
 
-/// An address for each listener. Each cluster has a loopback address to itself, so that neither
-/// another test nor an outgoing connection takes a port while its host is down.
-fn addresses(count: usize) -> Vec<SocketAddr> {
+/// Returns `count` addresses with different ports on a loopback IP that no other cluster uses, so
+/// that no other test or outgoing connection can take a port while its host is down.
+fn allocate_addresses(count: usize) -> Vec<SocketAddr> {
     static CLUSTERS: AtomicU32 = AtomicU32::new(0);
     let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
     let [_, high, middle, low] = (std::process::id() << 3 | (number & 7)).to_be_bytes();
     let ip = Ipv4Addr::new(127, 64 | (high & 63), middle, low);
-    // Nobody else has the address, and outgoing connections take higher ports. To probe for free
-    // ones would open listeners that a process started by another test may hold for a moment.
+    // The ports need no probing: the address is unique, and outgoing connections use higher ports.
     let ports = FIRST_PORT..;
     ports.take(count).map(|port| (ip, port).into()).collect()
 }
@@ -108,13 +107,13 @@
         assert!(sent.expect("a signal").success(), "{name} to {id}");
     }
 
-    /// Stops the host's process and waits until none of its threads runs any more.
+    /// Stops the host's process with SIGSTOP and waits until all of its threads are stopped.
     pub async fn freeze(&self) {
         self.signal("-STOP");
         let id = self.child.as_ref().expect("the host runs").id();
-        until("the host stands still", async || {
+        wait_for("the host is stopped", async || {
             let mut threads = fs::read_dir(format!("/proc/{id}/task")).ok()?;
-            let stands = |thread: PathBuf| {
+            let is_stopped = |thread: PathBuf| {
                 let state = fs::read_to_string(thread.join("stat")).unwrap_or_default();
                 state
                     .rsplit(')')
@@ -122,18 +121,18 @@
                     .is_some_and(|rest| rest.starts_with(" T"))
             };
             threads
-                .all(|thread| thread.is_ok_and(|thread| stands(thread.path())))
+                .all(|thread| thread.is_ok_and(|thread| is_stopped(thread.path())))
                 .then_some(())
         })
         .await;
     }
 
-    /// Lets the process go on.
+    /// Resumes the host's process.
     pub fn thaw(&self) {
         self.signal("-CONT");
     }
 
-    /// Ends the host's process at once, as a crash does.
+    /// Kills the host's process, as in a crash.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -141,10 +140,13 @@
         }
     }
 
-    /// Waits until the host's process ends by itself; its exit code.
-    pub async fn ended(&mut self) -> Option<i32> {
+    /// Waits until the host's process exits and returns its exit code.
+    pub async fn wait_for_exit(&mut self) -> Option<i32> {
         let child = self.child.as_mut().expect("the host runs");
-        let status = until("the host ends", async || child.try_wait().expect("a state")).await;
+        let status = wait_for("the host exits", async || {
+            child.try_wait().expect("a state")
+        })
+        .await;
         self.child = None;
         status.code()
     }
@@ -152,7 +154,7 @@
     fn log_tail(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
-        lines[lines.len().saturating_sub(LOG_TAIL)..].join("\n")
+        lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n")
     }
 }
 
@@ -166,35 +168,37 @@
 }
 
 impl Cluster {
-    /// Three hosts in these data centres, with the first declaration in force.
-    pub async fn start(places: [&str; 3]) -> Self {
-        let mut cluster = Self::prepare(places);
+    /// Starts three hosts in the given data centres and applies the first declaration.
+    pub async fn start(data_centres: [&str; 3]) -> Self {
+        let mut cluster = Self::prepare(data_centres);
         for node in &mut cluster.nodes {
             node.start();
         }
-        cluster.up().await;
-        let first = cluster.file("first.json", &declaration(1));
+        cluster.wait_until_listening().await;
+        let first = cluster.write_file("first.json", &declaration(1));
         let hosts = cluster.hosts();
-        until("the first apply", async || {
+        wait_for("the first apply", async || {
             let run = apply(&hosts, OPERATORS[0], 0, &first).await;
             (run.code == 0).then_some(())
         })
         .await;
-        cluster.ready().await;
+        cluster.wait_until_ready().await;
         cluster
     }
 
-    /// The same, written down and not started.
-    pub fn prepare(places: [&str; 3]) -> Self {
+    /// Writes the settings of three hosts without starting them.
+    pub fn prepare(data_centres: [&str; 3]) -> Self {
         let folder = TempDir::new().expect("a folder");
-        let addresses = addresses(places.len() * LISTENERS);
+        let addresses = allocate_addresses(data_centres.len() * LISTENERS);
         let mut nodes = Vec::new();
-        for (number, (place, listeners)) in
-            places.iter().zip(addresses.chunks(LISTENERS)).enumerate()
+        for (number, (data_centre, listeners)) in data_centres
+            .iter()
+            .zip(addresses.chunks(LISTENERS))
+            .enumerate()
         {
             let name = format!("host-{number}");
             nodes.push(Node {
-                place: (*place).to_owned(),
+                data_centre: (*data_centre).to_owned(),
                 listeners: listeners.try_into().expect("five listeners"),
                 settings: folder.path().join(format!("{name}.json")),
                 data: folder.path().join(&name),
@@ -210,78 +214,86 @@
         Self { nodes, folder }
     }
 
-    /// The operators' listeners.
+    /// Returns the addresses of the operators' listeners.
     pub fn hosts(&self) -> Vec<String> {
         self.nodes.iter().map(Node::operators).collect()
     }
 
     /// Writes a file into the cluster's folder.
-    pub fn file(&self, name: &str, text: &str) -> PathBuf {
+    pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.folder.path().join(name);
         fs::write(&path, text).expect("a file");
         path
     }
 
-    /// Waits until each host listens.
-    pub async fn up(&self) {
+    /// Waits until each host's listeners are open.
+    pub async fn wait_until_listening(&self) {
         for node in &self.nodes {
-            until("the host listens", async || {
-                get(&format!("{}/live", node.platform())).await
+            wait_for("the host listens", async || {
+                probe(&format!("{}/live", node.platform())).await
             })
             .await;
         }
     }
 
     /// Waits until each host is ready for callers.
-    pub async fn ready(&self) {
+    pub async fn wait_until_ready(&self) {
         for node in &self.nodes {
-            until("the host is ready", async || {
-                get(&format!("{}/health", node.platform())).await
+            wait_for("the host is ready", async || {
+                probe(&format!("{}/health", node.platform())).await
             })
             .await;
         }
     }
 
-    fn announcer(&self, place: &str) -> announcer::Options {
-        let near = self.nodes.iter().filter(|node| node.place == place);
+    fn announcer(&self, data_centre: &str) -> announcer::Options {
+        let local = self
+            .nodes
+            .iter()
+            .filter(|node| node.data_centre == data_centre);
         announcer::Options {
-            hosts: near.map(Node::endpoints).collect(),
+            hosts: local.map(Node::endpoints).collect(),
             key: ENDPOINT_KEY.to_owned(),
             interval: Duration::from_millis(300),
         }
     }
 
-    /// An engine of a data centre whose answers take `step` for each token.
-    pub async fn engine(&self, name: &str, place: &str, step: Duration) -> Engine {
-        let mut options = engine::Options::new(name, MODEL_SERVICE, "formula", place);
-        options.process.announcer = self.announcer(place);
+    /// Starts an engine that takes `step` for each token, and waits until it is announced.
+    pub async fn start_engine(&self, name: &str, data_centre: &str, step: Duration) -> Engine {
+        let mut options = engine::Options::new(name, MODEL_SERVICE, "formula", data_centre);
+        options.process.announcer = self.announcer(data_centre);
         options.sizes.step = step;
         let engine = Engine::start(options).await.expect("the engine starts");
-        until("the engine is announced", async || {
+        wait_for("the engine is announced", async || {
             (engine.announced() > 0).then_some(())
         })
         .await;
         engine
     }
 
-    /// A plain service of a data centre.
-    pub async fn plain(&self, name: &str, place: &str, work: Duration) -> Service {
-        let mut options = service::Options::new(name, PLAIN_SERVICE, place);
-        options.process.announcer = self.announcer(place);
+    /// Starts a plain service that takes `work` for each request, and waits until it is announced.
+    pub async fn start_plain_service(
+        &self,
+        name: &str,
+        data_centre: &str,
+        work: Duration,
+    ) -> Service {
+        let mut options = service::Options::new(name, PLAIN_SERVICE, data_centre);
+        options.process.announcer = self.announcer(data_centre);
         options.work = work;
         let plain = Service::start(options).await.expect("the service starts");
-        until("the service is announced", async || {
+        wait_for("the service is announced", async || {
             (plain.announced() > 0).then_some(())
         })
         .await;
         plain
     }
 
-    /// Waits until each host knows so many endpoints that take work.
-    pub async fn knows_endpoints(&self, nodes: &[usize], count: usize) {
+    /// Waits until each of the given hosts knows at least `count` live endpoints.
+    pub async fn wait_for_endpoints(&self, nodes: &[usize], count: usize) {
         for &number in nodes {
             let hosts = [self.nodes[number].operators()];
-            until("the host knows the endpoints", async || {
+            wait_for("the host knows the endpoints", async || {
                 let status = status(&hosts).await?;
                 let endpoints = status["endpoints"].as_array()?;
                 let alive = endpoints.iter().filter(|one| one["condition"] == "alive");
@@ -292,18 +304,18 @@
     }
 }
 
-/// The settings of one host among several.
+/// Returns the settings of one host of a cluster.
 pub fn settings(node: &Node, nodes: &[Node]) -> Value {
     let [callers, endpoints, operators, peers, platform] = node.listeners;
     let others = nodes.iter().filter(|other| other.name != node.name);
     json!({
         "host": node.name,
-        "data_centre": node.place,
+        "data_centre": node.data_centre,
         "cluster": {"name": "test", "secret": "a secret of the test's cluster"},
         "listen": {"callers": callers, "endpoints": endpoints, "operators": operators,
                    "peers": peers, "platform": platform},
         "hosts": others.map(|other| json!({
-            "host": other.name, "data_centre": other.place, "address": other.peers(),
+            "host": other.name, "data_centre": other.data_centre, "address": other.peers(),
         })).collect::<Vec<_>>(),
         "replicas": nodes.iter().map(|node| &node.name).collect::<Vec<_>>(),
         "data": node.data,
@@ -319,7 +331,7 @@
     format!("key of {name}")
 }
 
-/// A declaration; the number tells one from another.
+/// Returns a declaration that contains `number`, so that declarations differ.
 pub fn declaration(number: u32) -> String {
     let declaration = json!({
         "workspaces": [{
@@ -338,19 +350,19 @@
     format!("{declaration:#}\n")
 }
 
-/// Asks again and again until there is an answer.
-pub async fn until<T>(what: &str, mut ask: impl AsyncFnMut() -> Option<T>) -> T {
-    let end = Instant::now() + LIMIT;
+/// Polls until a value is returned, and panics on a timeout.
+pub async fn wait_for<T>(what: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
+    let end = Instant::now() + TIMEOUT;
     loop {
-        if let Some(answer) = ask().await {
-            return answer;
+        if let Some(value) = poll().await {
+            return value;
         }
-        assert!(Instant::now() < end, "not in time: {what}");
-        sleep(LOOK_AGAIN).await;
+        assert!(Instant::now() < end, "timed out: {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// How a command ended.
+/// The exit code and output of a command.
 #[derive(Debug)]
 pub struct Run {
     pub code: i32,
@@ -368,39 +380,39 @@
     }
 }
 
-/// Runs a command to its end.
+/// Runs the command line with the given arguments until it exits.
 pub async fn run(arguments: &[&str]) -> Run {
     let child = tokio::process::Command::new(BINARY)
         .args(arguments)
         .stdin(Stdio::null())
         .kill_on_drop(true)
         .output();
-    let output = tokio::time::timeout(LIMIT, child).await;
+    let output = tokio::time::timeout(TIMEOUT, child).await;
     output
-        .unwrap_or_else(|_| panic!("not in time: {arguments:?}"))
+        .unwrap_or_else(|_| panic!("timed out: {arguments:?}"))
         .expect("the command starts")
         .into()
 }
 
-/// Runs an operators' command against hosts.
+/// Runs an operator's subcommand against the given hosts.
 pub async fn operate(hosts: &[String], operator: &str, arguments: &[&str]) -> Run {
     let key = operator_key(operator);
-    let mut whole = vec![arguments[0], "--operator-key", &key];
+    let mut command_line = vec![arguments[0], "--operator-key", &key];
     for host in hosts {
-        whole.extend(["--host", host]);
+        command_line.extend(["--host", host]);
     }
-    whole.extend(&arguments[1..]);
-    run(&whole).await
+    command_line.extend(&arguments[1..]);
+    run(&command_line).await
 }
 
 pub async fn apply(hosts: &[String], operator: &str, base: u64, file: &Path) -> Run {
     let base = base.to_string();
-    let file = file.to_str().expect("a plain path");
+    let file = file.to_str().expect("a UTF-8 path");
     operate(hosts, operator, &["apply", "--base", &base, file]).await
 }
 
-/// What a host shows: version, text, and whether a majority confirmed it.
-pub async fn shown(hosts: &[String]) -> Option<(u64, String, bool)> {
+/// Returns the declaration that a host shows: version, text, and whether a majority confirmed it.
+pub async fn read_declaration(hosts: &[String]) -> Option<(u64, String, bool)> {
     let run = operate(hosts, OPERATORS[0], &["show", "--json"]).await;
     let value: Value = serde_json::from_str(&run.stdout).ok()?;
     let text = value["text"].as_str()?.to_owned();
