--- a/crates/kumquatdrum_disk/src/lib.rs
+++ b/crates/kumquatdrum_disk/src/lib.rs
@@ -22,4 +22,4 @@
 pub use identity::Identity;
 pub use memory::Memory;
 pub use store::Store;
-pub use writer::{Callback, Writer};
+pub use writer::{WriteCallback, Writer};
--- a/crates/kumquatdrum_disk/src/writer.rs
+++ b/crates/kumquatdrum_disk/src/writer.rs
@@ -9,7 +9,7 @@
 
 /// Receives the sequence number of each written batch, or the error. Returns false to stop the
 /// writer.
-pub type Callback = Box<dyn Fn(Result<u64, Error>) -> bool + Send>;
+pub type WriteCallback = Box<dyn Fn(Result<u64, Error>) -> bool + Send>;
 
 /// Writes batches in order on its own thread, which ends after the first failed write or when the
 /// callback returns false.
@@ -21,7 +21,7 @@
 
 impl Writer {
     /// Starts the thread, which calls `callback` after each batch.
-    pub fn start(store: Box<dyn Store>, callback: Callback) -> std::io::Result<Self> {
+    pub fn start(store: Box<dyn Store>, callback: WriteCallback) -> std::io::Result<Self> {
         let (batches, received) = channel();
         let thread = std::thread::Builder::new()
             .name("disk".to_owned())
@@ -41,7 +41,7 @@
     }
 }
 
-fn write(store: &dyn Store, batches: &Receiver<Batch>, callback: &Callback) {
+fn write(store: &dyn Store, batches: &Receiver<Batch>, callback: &WriteCallback) {
     for batch in batches {
         let sequence = batch.sequence;
         let written = store.write(&[batch]).map(|()| sequence);
