--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -45,7 +45,7 @@
 
     /// Sets the port of the callers' listener.
     pub fn set_port(&self, port: u16) {
-        let _ = self.connections.set(Connections::to(port));
+        let _ = self.connections.set(Connections::on_port(port));
     }
 
     fn current(&self, request: Option<&RequestId>) -> Result<Arc<Current>, Problem> {
@@ -113,7 +113,7 @@
             policy,
             key,
             allocation: caller.allocation,
-            work: self.context.drain.work(),
+            work: self.context.drain.begin_work(),
             permit,
             ask,
         })
@@ -244,7 +244,7 @@
 
     fn is_connected(&self, caller: SocketAddr) -> bool {
         let connections = self.connections.get();
-        connections.is_none_or(|connections| connections.stands(caller))
+        connections.is_none_or(|connections| connections.is_open(caller))
     }
 
     fn key_state<'a>(
--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -7,11 +7,11 @@
 
 use kumquatdrum_consensus::{Incarnation, Node};
 use kumquatdrum_daemon::body::Budget;
-use kumquatdrum_disk::{Report, Store as _, Writer};
+use kumquatdrum_disk::{Store as _, WriteCallback, Writer};
 use kumquatdrum_membership::Member;
 use kumquatdrum_operator::Operators;
 use kumquatdrum_peer::{Client, Counters, LocalDaemon};
-use kumquatdrum_process::{Metrics, face};
+use kumquatdrum_process::{Metrics, monitoring};
 use kumquatdrum_setup::Control;
 use kumquatdrum_types::{BootId, HostId};
 use slog::{error, info};
@@ -269,7 +269,7 @@
         self.context.drain.begin();
         tokio::time::sleep(Duration::from_millis(drain.notice_ms)).await;
         let drain_timeout = Duration::from_millis(drain.longest_ms);
-        let _ = tokio::time::timeout(drain_timeout, self.context.drain.idle()).await;
+        let _ = tokio::time::timeout(drain_timeout, self.context.drain.wait_until_idle()).await;
         if let Some(server) = self.caller_server.take() {
             server.stop().await;
         }
@@ -388,7 +388,7 @@
     let platform = web::build(listen.platform)
         .manage(context.drain.clone())
         .manage(context.metrics.clone())
-        .mount("/", face::all());
+        .mount("/", monitoring::routes());
     let frontend = Arc::new(Frontend::new(context.clone()));
     let callers =
         web::build(listen.callers).mount("/", kumquatdrum_caller::routes::all(frontend.clone()));
@@ -450,7 +450,7 @@
     let mut node = kumquatdrum_consensus::Settings::new(member);
     node.initial_hosts.clone_from(&settings.replicas);
     let (handle, events, received) = Handle::new();
-    let report: Report = Box::new(move |written| events.send(Event::from(written)).is_ok());
+    let report: WriteCallback = Box::new(move |written| events.send(Event::from(written)).is_ok());
     let dependencies = control::Dependencies {
         node: Node::new(node, stored, clock.now(), random::number()),
         writer: Writer::start(Box::new(store), report).map_err(|error| disk(&error))?,
