--- a/crates/kumquatdrum_process/src/lib.rs
+++ b/crates/kumquatdrum_process/src/lib.rs
@@ -1,9 +1,9 @@
-//! The process: clock, health, signals, metrics and draining.
+//! Services of a process: clock, randomness, signals, health checks, metrics and draining.
 
 pub mod clock;
 pub mod drain;
-pub mod face;
 pub mod metrics;
+pub mod monitoring;
 pub mod random;
 pub mod registry;
 pub mod signal;
