--- a/crates/kumquatdrum_disk/benches/log.rs
+++ b/crates/kumquatdrum_disk/benches/log.rs
@@ -18,7 +18,7 @@
 const SNAPSHOT_BYTES: usize = 100_000;
 const COMMITS: u64 = 200;
 const RESTARTS: usize = 5;
-/// Entries kept in the log after a snapshot.
+/// The number of entries kept in the log after a snapshot.
 const SNAPSHOT_TAIL_ENTRIES: u64 = 200;
 
 fn entry(index: u64) -> Entry {
--- a/crates/kumquatdrum_disk/src/blob.rs
+++ b/crates/kumquatdrum_disk/src/blob.rs
@@ -6,7 +6,7 @@
 
 use kumquatdrum_types::hash;
 
-/// Size of the hash at the end of the file.
+/// The size of the hash at the end of the file.
 const HASH_BYTES: usize = 8;
 
 /// A small file that is replaced atomically: after a crash it holds either its new or its previous
@@ -15,6 +15,7 @@
 pub struct Blob {
     folder: PathBuf,
     path: PathBuf,
+    /// The temporary file, which replaces the file once it is complete.
     next: PathBuf,
 }
 
@@ -33,8 +34,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read, and with [`io::ErrorKind::InvalidData`] if its hash does not
-    /// match its contents.
+    /// Fails if the file can't be read, and with [`io::ErrorKind::InvalidData`] if its hash does
+    /// not match its contents.
     pub fn read(&self) -> io::Result<Option<Vec<u8>>> {
         let mut bytes = Vec::new();
         match File::open(&self.path) {
--- a/crates/kumquatdrum_disk/src/error.rs
+++ b/crates/kumquatdrum_disk/src/error.rs
@@ -6,7 +6,7 @@
 use kumquatdrum_types::HostId;
 use thiserror::Error as ThisError;
 
-/// An error on opening, reading or writing a data folder.
+/// An error in opening, reading or writing a data folder.
 #[derive(Debug, ThisError)]
 pub enum Error {
     /// The folder is already open, in this or in another process.
@@ -41,7 +41,7 @@
         path: PathBuf,
         /// The damaged record, such as `log entry 17`.
         place: String,
-        /// Description of the damage.
+        /// A description of the damage.
         reason: String,
     },
     /// The disk is full.
--- a/crates/kumquatdrum_disk/src/fake.rs
+++ b/crates/kumquatdrum_disk/src/fake.rs
@@ -6,7 +6,7 @@
 use parking_lot::Mutex;
 use redb::StorageBackend;
 
-/// Size of the unit in which a crash keeps or loses unsynced writes.
+/// The size of the unit in which a crash keeps or loses unsynced writes.
 const SECTOR_BYTES: usize = 512;
 
 /// A disk in memory. Clones share their contents, so a test can reopen a store on the same disk.
@@ -20,7 +20,7 @@
     synced: Vec<u8>,
     current: Vec<u8>,
     syncs: u64,
-    /// Number of syncs before syncs fail; `None` if they never fail.
+    /// The number of syncs that still succeed; `None` if syncs never fail.
     working_syncs: Option<u64>,
     capacity_bytes: Option<u64>,
 }
@@ -83,7 +83,7 @@
         self.state.lock().working_syncs = Some(count);
     }
 
-    /// Makes writes beyond this size fail as on a full disk.
+    /// Sets the capacity. Writes beyond it fail as on a full disk.
     pub fn set_capacity(&self, bytes: u64) {
         self.state.lock().capacity_bytes = Some(bytes);
     }
@@ -93,12 +93,12 @@
         self.state.lock().syncs
     }
 
-    /// Returns the size in bytes.
+    /// Returns the size of the contents in bytes.
     pub fn size(&self) -> usize {
         self.state.lock().current.len()
     }
 
-    /// Flips the bits of `mask` in the byte at `position`, in synced data too.
+    /// Flips the bits of `mask` in the byte at `position`. Also syncs the contents.
     pub fn damage(&self, position: usize, mask: u8) {
         let state = &mut *self.state.lock();
         if let Some(byte) = state.current.get_mut(position) {
--- a/crates/kumquatdrum_disk/src/folder.rs
+++ b/crates/kumquatdrum_disk/src/folder.rs
@@ -21,8 +21,9 @@
 /// The database file in the data folder.
 pub const FILE_NAME: &str = "replica.redb";
 
+/// The version of the storage format.
 const FORMAT: u64 = 1;
-/// Small, as the node keeps the whole state in memory.
+/// The size of the database cache. It is small since the node keeps the whole state in memory.
 const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
@@ -38,7 +39,7 @@
     path: PathBuf,
     database: Database,
     identity: Identity,
-    failed: AtomicBool,
+    has_failed: AtomicBool,
 }
 
 impl Folder {
@@ -107,7 +108,7 @@
             path,
             database,
             identity,
-            failed: AtomicBool::new(false),
+            has_failed: AtomicBool::new(false),
         };
         match folder.stored_identity()? {
             Some(identity) if identity.host != *host => {
@@ -149,7 +150,7 @@
         Ok(())
     }
 
-    /// Runs one transaction and syncs it to disk.
+    /// Writes the changes made by `fill` in one transaction and syncs it to disk.
     ///
     /// Commits in two phases: with one phase, a corrupt last commit looks like one that a crash
     /// interrupted, and opening would silently roll back to the commit before it.
@@ -312,7 +313,7 @@
     }
 
     fn write(&self, batches: &[Batch]) -> Result<(), Error> {
-        if self.failed.load(Ordering::Acquire) {
+        if self.has_failed.load(Ordering::Acquire) {
             return Err(Error::Closed {
                 path: self.path.clone(),
             });
@@ -323,7 +324,7 @@
         };
         let result = self.commit(fill);
         if result.is_err() {
-            self.failed.store(true, Ordering::Release);
+            self.has_failed.store(true, Ordering::Release);
         }
         result
     }
--- a/crates/kumquatdrum_disk/src/identity.rs
+++ b/crates/kumquatdrum_disk/src/identity.rs
@@ -9,7 +9,7 @@
 pub struct Identity {
     /// The host that created the folder.
     pub host: HostId,
-    /// Random number that tells this folder from earlier ones of the same host.
+    /// A random number that distinguishes this folder from earlier folders of the same host.
     pub incarnation: Incarnation,
 }
 
--- a/crates/kumquatdrum_disk/src/lib.rs
+++ b/crates/kumquatdrum_disk/src/lib.rs
@@ -1,7 +1,7 @@
 //! The data folder: log, vote and snapshot of a control replica.
 //!
 //! A [`Folder`] keeps its state in one file, which one process at a time can open. Opening verifies
-//! the whole file and reports damaged records. [`Store::write`] applies its batches in one
+//! the whole file and reports a damaged record. [`Store::write`] applies its batches in one
 //! transaction with one sync. After a failed write the contents of the disk are unknown, so the
 //! store rejects further writes.
 //!
--- a/crates/kumquatdrum_disk/src/writer.rs
+++ b/crates/kumquatdrum_disk/src/writer.rs
@@ -35,7 +35,7 @@
     /// Queues a batch for writing.
     pub fn write(&self, batch: Batch) {
         if let Some(batches) = &self.batches {
-            // Fails only after the thread has ended, and so after its last call of the callback.
+            // Fails only once the thread has ended, after its last call of the callback.
             let _ = batches.send(batch);
         }
     }
@@ -45,8 +45,8 @@
     for batch in batches {
         let sequence = batch.sequence;
         let written = store.write(&[batch]).map(|()| sequence);
-        let failed = written.is_err();
-        if !callback(written) || failed {
+        let has_failed = written.is_err();
+        if !callback(written) || has_failed {
             return;
         }
     }
--- a/crates/kumquatdrum_disk/tests/crash.rs
+++ b/crates/kumquatdrum_disk/tests/crash.rs
@@ -14,7 +14,7 @@
     mixed >> 63 == 1
 }
 
-/// Writes until syncs fail after the first `syncs`, crashes, and checks what the disk holds.
+/// Writes until syncs fail after the first `syncs`, crashes, and checks the stored state.
 fn check_crash_after(syncs: u64, seed: u64) {
     let disk = Disk::new();
     let folder = open(&disk).unwrap();
--- a/crates/kumquatdrum_disk/tests/damage.rs
+++ b/crates/kumquatdrum_disk/tests/damage.rs
@@ -8,14 +8,16 @@
 use kumquatdrum_consensus::{Batch, StoredState};
 use kumquatdrum_disk::{Error, Folder, Store, fake::Disk};
 
-/// Bytes between damaged positions: a prime, so that they differ within pages and sectors.
+/// The distance between damaged positions. It is prime, so that their offsets within pages and
+/// sectors differ.
 const STRIDE_BYTES: usize = 331;
 
-/// Outcomes of opening a store with one damaged byte, by position.
+/// Counts the outcomes of opening a store with one damaged byte.
 #[derive(Debug, Default)]
 struct Tally {
     detected: u32,
     harmless: u32,
+    /// Positions whose damage was not reported as corruption.
     misreported: Vec<usize>,
 }
 
--- a/crates/kumquatdrum_disk/tests/folder.rs
+++ b/crates/kumquatdrum_disk/tests/folder.rs
@@ -63,7 +63,7 @@
     assert!(matches!(error, Error::OtherHost { .. }), "{error}");
 }
 
-/// Helper of the test below, which runs it in a child process; does nothing otherwise.
+/// Runs in the child process of the test below; does nothing otherwise.
 #[test]
 fn second_process() {
     if let Some(path) = std::env::var_os(CHILD_PATH) {
--- a/crates/kumquatdrum_fanout/src/batch.rs
+++ b/crates/kumquatdrum_fanout/src/batch.rs
@@ -7,8 +7,8 @@
 
 /// The maximum time that an urgent event waits in a batch; well below the prefill time of a part.
 const MAX_URGENT_DELAY: Duration = Duration::from_millis(4);
-/// The maximum time that any other event waits. Until it arrives, other hosts may place a long
-/// prompt on an engine whose new requests they do not know.
+/// The maximum time that any other event waits in a batch. Until it arrives, other hosts may place
+/// a long prompt on an engine whose new requests they do not know.
 const MAX_USUAL_DELAY: Duration = Duration::from_millis(20);
 
 /// The urgency with which an event is delivered to other data centres.
--- a/crates/kumquatdrum_fanout/src/recipients.rs
+++ b/crates/kumquatdrum_fanout/src/recipients.rs
@@ -87,19 +87,19 @@
         return None;
     }
     let relaying = peers.iter().filter(|peer| peer.can_relay);
-    let mut pool: Vec<&HostId> = relaying.map(|peer| &peer.id).collect();
-    if pool.is_empty() {
+    let mut candidates: Vec<&HostId> = relaying.map(|peer| &peer.id).collect();
+    if candidates.is_empty() {
         // A partitioned data centre may become reachable again at any time.
-        pool = peers.iter().map(|peer| &peer.id).collect();
+        candidates = peers.iter().map(|peer| &peer.id).collect();
     }
-    let by_weight = |name: &str, pool: &mut Vec<&HostId>| {
-        pool.sort_by_cached_key(|id| (hash::pair(name, id.as_str()), *id));
+    let by_weight = |name: &str, candidates: &mut Vec<&HostId>| {
+        candidates.sort_by_cached_key(|id| (hash::pair(name, id.as_str()), *id));
     };
-    by_weight(data_centre.as_str(), &mut pool);
-    pool.truncate(RELAYS_PER_DATA_CENTRE);
-    by_weight(from.as_str(), &mut pool);
-    let first = pool.first().copied()?;
-    let second = pool.get(1).copied().unwrap_or(first);
+    by_weight(data_centre.as_str(), &mut candidates);
+    candidates.truncate(RELAYS_PER_DATA_CENTRE);
+    by_weight(from.as_str(), &mut candidates);
+    let first = candidates.first().copied()?;
+    let second = candidates.get(1).copied().unwrap_or(first);
     Some(Relay {
         primary: first.clone(),
         secondary: second.clone(),
--- a/crates/kumquatdrum_fanout/tests/fanout.rs
+++ b/crates/kumquatdrum_fanout/tests/fanout.rs
@@ -1,4 +1,4 @@
-//! Delivery of events in a simulated fleet of hundreds of hosts.
+//! Delivery of events in a simulated cluster of hundreds of hosts.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -173,14 +173,14 @@
     let gone = before[0].relays[0].primary.clone();
     let peer = all.iter_mut().find(|peer| peer.id == gone);
     peer.expect("the relay").can_relay = false;
-    let mut pool: IndexSet<&HostId> = IndexSet::new();
+    let mut known_relays: IndexSet<&HostId> = IndexSet::new();
     for relay in before.iter().flat_map(|recipients| &recipients.relays) {
-        pool.extend([&relay.primary, &relay.secondary]);
+        known_relays.extend([&relay.primary, &relay.secondary]);
     }
     for (local, before) in all.iter().zip(&before) {
         for (old, new) in before.relays.iter().zip(&recipients(local, &all).relays) {
             // The replacement relay takes a share of all senders; other senders keep their relay.
-            let is_new = !pool.contains(&new.primary);
+            let is_new = !known_relays.contains(&new.primary);
             let expected = if old.primary == gone {
                 &old.secondary
             } else {
--- a/crates/kumquatdrum_gateway/src/broadcast.rs
+++ b/crates/kumquatdrum_gateway/src/broadcast.rs
@@ -40,20 +40,21 @@
 #[derive(Debug, Default)]
 struct Addresses {
     recipients: Recipients,
+    /// Hosts that receive this host's events directly.
     direct: Vec<SocketAddr>,
-    relays: Vec<Route>,
+    relays: Vec<Relay>,
     /// Hosts of the local data centre, to which received events are relayed.
     local: Vec<SocketAddr>,
 }
 
 /// The relay addresses of one data centre.
 #[derive(Debug)]
-struct Route {
+struct Relay {
     primary: SocketAddr,
     secondary: SocketAddr,
 }
 
-/// The relay of each data centre that an event is sent to.
+/// Which relay of each data centre an event is sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayPath {
     /// The primary relay.
@@ -100,7 +101,7 @@
         let direct = recipients.direct.iter();
         let direct = direct.filter_map(|id| self.hosts.datagram_address(id));
         let relays = recipients.relays.iter().filter_map(|relay| {
-            Some(Route {
+            Some(Relay {
                 primary: self.hosts.datagram_address(&relay.primary)?,
                 secondary: self.hosts.datagram_address(&relay.secondary)?,
             })
@@ -129,9 +130,9 @@
         }
         if !addresses.relays.is_empty() {
             datagram.reach = Reach::DataCentre(urgency);
-            let relays = addresses.relays.iter().map(|route| match path {
-                RelayPath::Primary => route.primary,
-                RelayPath::Secondary => route.secondary,
+            let relays = addresses.relays.iter().map(|relay| match path {
+                RelayPath::Primary => relay.primary,
+                RelayPath::Secondary => relay.secondary,
             });
             let relays: Vec<SocketAddr> = relays.collect();
             self.send(&datagram, &relays);
@@ -173,7 +174,8 @@
         }
     }
 
-    /// Queues events for the whole data centre to be relayed, and returns them.
+    /// Returns a datagram's events. If they are for the whole data centre, also queues them to be
+    /// relayed.
     fn accept(&self, datagram: Datagram, length: usize, batch: &mut Batch<Event>) -> Vec<Event> {
         if let Reach::DataCentre(urgency) = datagram.reach {
             let events = datagram.events.clone();
--- a/crates/kumquatdrum_gateway/src/call.rs
+++ b/crates/kumquatdrum_gateway/src/call.rs
@@ -41,7 +41,7 @@
     pub(crate) attempt_id: String,
 }
 
-/// Handles one request.
+/// Handles one request from a caller.
 pub async fn handle(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
@@ -70,12 +70,12 @@
     Ok(response)
 }
 
-/// The part of the active setup that applies to a request.
+/// The settings of the active setup that apply to a request.
 struct Admission {
     route: Route,
     service: ServiceName,
     workspace: Option<WorkspaceName>,
-    body_bytes: usize,
+    max_body_bytes: usize,
 }
 
 fn admit(
@@ -88,9 +88,9 @@
     let host = head.headers.get(header::HOST);
     let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
     // Without a majority of the control hosts, this host may have missed a newer setup.
-    let is_certain = gateway.hosts.has_control_majority();
+    let has_majority = gateway.hosts.has_control_majority();
     let or_not_ready = |problem: Problem| {
-        if is_certain {
+        if has_majority {
             problem
         } else {
             Problem::NotReady
@@ -111,7 +111,7 @@
         service: choose_service(&route),
         route,
         workspace: workspace.map(|workspace| workspace.name.clone()),
-        body_bytes: table.setup().limits.body_bytes,
+        max_body_bytes: table.setup().limits.body_bytes,
     })
 }
 
@@ -144,7 +144,7 @@
 ) -> Result<Call, Problem> {
     let timeout = metadata.timeout.unwrap_or(DEFAULT_TIMEOUT);
     let deadline = arrived + timeout.min(admission.route.timeout);
-    let limited = Limited::new(body, admission.body_bytes).collect();
+    let limited = Limited::new(body, admission.max_body_bytes).collect();
     let deadline_instant = gateway.clock.instant(deadline);
     let body = match timeout_at(deadline_instant, limited).await {
         Ok(Ok(body)) => body.to_bytes(),
@@ -157,7 +157,7 @@
             });
         }
     };
-    gateway.fleet.record_request(&admission.service);
+    gateway.pool.record_request(&admission.service);
     Ok(Call {
         gateway: gateway.clone(),
         attempt_id: metadata.attempt_id.clone().unwrap_or_default(),
--- a/crates/kumquatdrum_gateway/src/call/attempt.rs
+++ b/crates/kumquatdrum_gateway/src/call/attempt.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout_at;
 
 use super::Call;
-use crate::fleet::Pick;
+use crate::pool::Pick;
 use crate::protocol::{Annotation, Helper, Reply};
 use crate::upstream::{self, Exchange};
 
@@ -169,7 +169,7 @@
     }
 }
 
-/// Returns a response's headers without those of the connection to the endpoint.
+/// Returns headers without the hop-by-hop headers and `Content-Length`.
 pub(super) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     remove_hop_by_hop(&mut headers);
--- a/crates/kumquatdrum_gateway/src/call/run.rs
+++ b/crates/kumquatdrum_gateway/src/call/run.rs
@@ -15,7 +15,7 @@
 use super::attempt::{Execution, Outcome};
 use super::stream::{self, Timing};
 use crate::body::{self, Body};
-use crate::fleet::{Pick, Rejection};
+use crate::pool::{Pick, Rejection};
 use crate::problem::{Problem, seconds};
 use crate::reservation::{self, Reservation};
 
@@ -23,9 +23,11 @@
 const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// The retry delay if endpoints have no capacity.
 const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// The retry delay if a prompt is rejected because of overload; matches the window for demand.
+/// The retry delay if a prompt is rejected because of overload; equals the window over which the
+/// planner measures demand.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(3);
-/// The maximum number of endpoints that may be tried without sending the request.
+/// The maximum number of attempts that are repeated elsewhere because no part of the request was
+/// sent.
 const MAX_UNSENT_ATTEMPTS: usize = 8;
 
 /// The attempts made so far for a request.
@@ -34,6 +36,7 @@
     pub(super) sent: u32,
     unsent: usize,
     excluded: Vec<EndpointKey>,
+    /// The last complete response.
     response: Option<Response<Bytes>>,
     may_have_run: bool,
 }
@@ -90,7 +93,7 @@
     /// Picks an endpoint that is not excluded.
     pub(super) async fn pick(&self, attempts: &Attempts) -> Result<Pick, Problem> {
         let job = Job {
-            id: self.gateway.fleet.next_job_id(),
+            id: self.gateway.pool.next_job_id(),
             prompt_tokens: self.metadata.prompt_tokens.unwrap_or(0),
             answer_tokens: self.metadata.max_answer_tokens.unwrap_or(0),
             max_pause: self.max_pause(),
@@ -101,7 +104,7 @@
         };
         let picked = self
             .gateway
-            .fleet
+            .pool
             .pick(&self.service, &self.attempt_id, &job);
         let picked = picked.await;
         picked.map_err(|rejection| match rejection {
@@ -191,7 +194,7 @@
         };
         let is_allowed = can_retry
             && attempts.sent < self.route.max_attempts
-            && self.gateway.fleet.take_retry(&self.service);
+            && self.gateway.pool.take_retry(&self.service);
         if is_allowed {
             return None;
         }
--- a/crates/kumquatdrum_gateway/src/call/stream.rs
+++ b/crates/kumquatdrum_gateway/src/call/stream.rs
@@ -20,7 +20,7 @@
 use super::run::Attempts;
 use crate::body::{self, Body};
 use crate::event::{Events, Splitter};
-use crate::fleet::Pick;
+use crate::pool::Pick;
 use crate::reservation::Reservation;
 use crate::upstream::Exchange;
 
@@ -39,11 +39,13 @@
     headers: HeaderMap,
 }
 
+/// Forwards an endpoint's events to the caller.
 struct Forwarder {
     pick: Option<Pick>,
     reservations: Vec<Reservation>,
     exchange: Option<Exchange>,
     splitter: Splitter,
+    /// Bytes to be sent to the caller before more are received.
     waiting: VecDeque<Bytes>,
     last_event_id: Option<u64>,
     attempts: Attempts,
@@ -226,7 +228,7 @@
         self.splitter = Splitter::default();
         let is_allowed = call.route.delivery.is_idempotent()
             && self.attempts.sent < call.route.max_attempts
-            && call.gateway.fleet.take_retry(&call.service);
+            && call.gateway.pool.take_retry(&call.service);
         if !is_allowed {
             call.log_end("cut", reason, &self.attempts);
             return Err(reason.to_owned().into());
--- a/crates/kumquatdrum_gateway/src/control.rs
+++ b/crates/kumquatdrum_gateway/src/control.rs
@@ -1,4 +1,4 @@
-//! Handlers for operators and endpoints on control hosts.
+//! Handlers for requests from operators and endpoints, on control hosts.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -27,10 +27,10 @@
 const REPLICA_TIMEOUT: Duration = Duration::from_millis(900);
 /// The timeout for a response from the leader; covers an election.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(2_800);
-/// The delay before all replicas are tried again.
+/// The delay before the replicas are tried again after none answered as the leader.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Handles one request.
+/// Handles one request from an operator or endpoint.
 pub async fn handle(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
--- a/crates/kumquatdrum_gateway/src/endpoints.rs
+++ b/crates/kumquatdrum_gateway/src/endpoints.rs
@@ -10,7 +10,7 @@
 use slog::info;
 use tokio::sync::Notify;
 
-/// How long the departure of an endpoint is sent again in each round, for hosts that missed it.
+/// How long an endpoint's departure is published again in each round, for hosts that missed it.
 const LEAVE_REPEAT_DURATION: Duration = Duration::from_secs(10);
 
 /// The announced endpoints known to this host.
--- a/crates/kumquatdrum_gateway/src/gateway.rs
+++ b/crates/kumquatdrum_gateway/src/gateway.rs
@@ -21,10 +21,10 @@
 use crate::broadcast::Broadcaster;
 use crate::distribution::Distributor;
 use crate::endpoints::Endpoints;
-use crate::fleet::Fleet;
 use crate::hosts::Hosts;
 use crate::message::{Host, Request, Response, Selection};
 use crate::metrics::Metrics;
+use crate::pool::Pool;
 use crate::replica::{Command, Handle};
 use crate::{Protocol, Settings, active_setup, endpoint_cache};
 
@@ -84,7 +84,7 @@
     pub(crate) endpoints: Arc<Endpoints>,
     pub(crate) active_setup: Arc<active_setup::Store>,
     pub(crate) distributor: Arc<Distributor>,
-    pub(crate) fleet: Arc<Fleet>,
+    pub(crate) pool: Arc<Pool>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) drain: Arc<Drain>,
     pub(crate) logger: slog::Logger,
@@ -165,12 +165,12 @@
 
     /// Returns whether this host accepts callers.
     pub(crate) fn is_ready(&self) -> bool {
-        let is_certain =
+        let can_trust_setup =
             *self.has_heard_majority.lock() || self.clock.now() - self.started > MAJORITY_WAIT;
-        !self.drain.is_draining() && is_certain && self.active_setup.current().is_some()
+        !self.drain.is_draining() && can_trust_setup && self.active_setup.current().is_some()
     }
 
-    /// Updates the gauges.
+    /// Sets the gauges and peer counters to their current values.
     pub(crate) fn update_gauges(&self) {
         let revision = i64::try_from(self.active_setup.revision()).unwrap_or(i64::MAX);
         self.metrics.revision.set(revision);
@@ -225,7 +225,7 @@
     async fn activate_records(self: Arc<Self>) {
         loop {
             let (active_setup, is_leader) = self.active_setup.activate_next().await;
-            self.fleet.configure(active_setup.table.setup());
+            self.pool.configure(active_setup.table.setup());
             self.distributor.distribute(&active_setup.record, is_leader);
         }
     }
--- a/crates/kumquatdrum_gateway/src/gateway/endpoint_updates.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/endpoint_updates.rs
@@ -26,13 +26,13 @@
     /// Merges endpoint updates from another host.
     pub(crate) fn merge_endpoints(&self, updates: Vec<Update>, from: &str) {
         if self.endpoints.merge(updates, from) {
-            self.refresh_fleet();
+            self.refresh_pool();
         }
     }
 
-    /// Applies changed endpoints to the fleet.
-    pub(crate) fn refresh_fleet(&self) {
-        self.fleet.refresh();
+    /// Applies changed endpoints to the pool.
+    pub(crate) fn refresh_pool(&self) {
+        self.pool.refresh();
     }
 
     /// Sends endpoint updates to all hosts, best effort; lost updates are repeated in a later
@@ -73,7 +73,7 @@
     /// Sends endpoint updates to all hosts and waits for their confirmation. A leave request is
     /// only acknowledged once the other hosts have stopped using the endpoint.
     pub(crate) async fn confirm_endpoints(self: &Arc<Self>, updates: Vec<Update>) {
-        self.refresh_fleet();
+        self.refresh_pool();
         let recipients = self.hosts.live_recipients();
         let mut requests = JoinSet::new();
         let (gateway, direct_updates) = (self.clone(), updates.clone());
--- a/crates/kumquatdrum_gateway/src/gateway/periodic.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/periodic.rs
@@ -65,7 +65,7 @@
                 }
             }
             self.hosts.expire_silent();
-            self.fleet.refresh();
+            self.pool.refresh();
             if let Some(broadcaster) = &self.broadcaster {
                 broadcaster.refresh();
             }
@@ -106,7 +106,7 @@
             .cycle()
         {
             rounds.tick().await;
-            self.fleet.rebroadcast_jobs(path);
+            self.pool.rebroadcast_jobs(path);
         }
     }
 
--- a/crates/kumquatdrum_gateway/src/gateway/start.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/start.rs
@@ -23,12 +23,12 @@
 use crate::broadcast::Broadcaster;
 use crate::distribution::Distributor;
 use crate::endpoints::Endpoints;
-use crate::fleet::{self, Fleet};
 use crate::hosts::Hosts;
 use crate::inbox::Inbox;
 use crate::listener::{self, Phase};
 use crate::message::Host;
 use crate::metrics::Metrics;
+use crate::pool::{self, Pool};
 use crate::replica::{self, Event, Handle};
 use crate::{Protocol, Settings, active_setup, call, control, health, sockets};
 
@@ -139,7 +139,7 @@
         let gateway = gateway.clone();
         let listening = async move {
             broadcaster
-                .listen(|events| gateway.fleet.apply_events(events))
+                .listen(|events| gateway.pool.apply_events(events))
                 .await;
         };
         running.tasks.spawn(listening);
@@ -183,7 +183,7 @@
         )?),
         None => None,
     };
-    let fleet = Fleet::new(fleet::Context {
+    let pool = Pool::new(pool::Context {
         clock,
         endpoints: endpoints.clone(),
         hosts: hosts.clone(),
@@ -209,7 +209,7 @@
         clock,
         hosts,
         endpoints,
-        fleet: Arc::new(fleet),
+        pool: Arc::new(pool),
         metrics,
         drain: Arc::default(),
         logger,
@@ -345,7 +345,8 @@
     })
 }
 
-/// Returns a number unique to this host, its IPv4 address.
+/// Returns a number that identifies this host: its IPv4 address, or the low 32 bits of its IPv6
+/// address.
 fn dispatcher_number(settings: &Settings) -> u32 {
     match settings.address {
         std::net::IpAddr::V4(address) => u32::from(address),
--- a/crates/kumquatdrum_gateway/src/hosts.rs
+++ b/crates/kumquatdrum_gateway/src/hosts.rs
@@ -40,7 +40,7 @@
     seeds: Vec<HostId>,
     others: IndexMap<HostId, Entry>,
     reports: Reports,
-    /// The number of changes that listings report.
+    /// The number of membership changes so far, which versions the listings.
     changes: u64,
 }
 
@@ -63,12 +63,12 @@
     host: Host,
     heard: Moment,
     is_lost: bool,
-    /// The number of the host's last change.
+    /// The value of [`State::changes`] at the host's last change.
     changed: u64,
 }
 
 impl Hosts {
-    /// Creates a membership that contains only this host.
+    /// Creates a membership list with only this host.
     pub fn new(
         clock: Clock,
         client: Arc<Client>,
--- a/crates/kumquatdrum_gateway/src/listener.rs
+++ b/crates/kumquatdrum_gateway/src/listener.rs
@@ -97,7 +97,7 @@
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        // Connection errors are the caller's to handle.
+        // Connection errors are not logged, since the caller detects them too.
         _ = connection.as_mut() => return,
         () = wait_for_closing(&mut phase) => {}
     }
--- a/crates/kumquatdrum_gateway/src/fleet.rs
+++ b/crates/kumquatdrum_gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Selection of endpoints for requests, from the endpoints and load known to this host.
+//! The endpoint pool: picks endpoints for requests by the load known to this host.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -34,7 +34,7 @@
 const MAX_MISSED_ANNOUNCEMENTS: u32 = 4;
 /// The interval at which a queued request is retried without a notification.
 const RETRY_INTERVAL: Duration = Duration::from_millis(25);
-/// The interval at which a queued job is broadcast.
+/// The interval at which a queued job is broadcast again if nothing about it changes.
 const QUEUE_BROADCAST_INTERVAL: Duration = Duration::from_millis(100);
 /// The maximum encoded size of a plan without its parts, in bytes.
 const MAX_PLAN_BYTES: usize = 48;
@@ -43,7 +43,7 @@
 /// The maximum size of the jobs in a datagram, which leaves room for a service's name.
 const MAX_BATCH_BYTES: usize = 1_200;
 
-/// The dependencies of a fleet.
+/// The dependencies of a pool.
 pub struct Context {
     /// The host's clock.
     pub clock: Clock,
@@ -65,8 +65,8 @@
     pub logger: slog::Logger,
 }
 
-/// Dispatches requests to the endpoints of all services.
-pub struct Fleet {
+/// Holds the endpoints of all services and picks one for each request.
+pub struct Pool {
     context: Context,
     services: RwLock<IndexMap<ServiceName, Arc<Service>>>,
     next_job: AtomicU64,
@@ -103,8 +103,8 @@
     NoCapacity(Waiter),
 }
 
-impl Fleet {
-    /// Creates a fleet without services.
+impl Pool {
+    /// Creates a pool without services.
     pub fn new(context: Context) -> Self {
         // Job numbers must not repeat after a restart of this host.
         let first = kumquatdrum_process::clock::unix_ms() << 16;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Applies the services of a setup.
+    /// Adds, replaces and removes services to match a setup.
     pub fn configure(&self, setup: &Setup) {
         let mut services = self.services.write();
         services.retain(|name, _| setup.services.contains_key(name));
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Applies the currently announced endpoints.
+    /// Replaces the endpoints of all services with the currently announced ones.
     pub fn refresh(&self) {
         for service in self.services.read().values() {
             self.refresh_service(service);
@@ -290,19 +290,19 @@
     ) -> Result<Pick, Rejection> {
         let service = self.find_service(name).ok_or(Rejection::NoEndpoint)?;
         let mut entry = QueueEntry {
-            fleet: self,
+            pool: self,
             service: &service,
             job: job.id,
-            announced: None,
+            last_broadcast: None,
         };
         loop {
             let changed = service.changed.notified();
             match self.try_pick(&service, request, job) {
                 Err(Rejection::NoCapacity(waiter)) if self.context.clock.now() < job.deadline => {
-                    entry.announce(waiter);
+                    entry.broadcast_if_due(waiter);
                 }
                 Ok(pick) => {
-                    entry.announced = None;
+                    entry.last_broadcast = None;
                     return Ok(pick);
                 }
                 result => return result,
@@ -337,7 +337,7 @@
                 let endpoint = state.directory.get(&key).cloned();
                 let endpoint = endpoint.ok_or(Rejection::NoEndpoint)?;
                 Ok(Pick {
-                    fleet: self.clone(),
+                    pool: self.clone(),
                     service: service.clone(),
                     endpoint,
                     key,
@@ -382,7 +382,7 @@
             "waited_ms" => (self.context.clock.now() - job.arrived).as_millis() as u64);
         let urgency = urgency(&plan);
         let pick = Pick {
-            fleet: self.clone(),
+            pool: self.clone(),
             service: service.clone(),
             endpoint,
             key: plan.first,
@@ -411,50 +411,51 @@
 
 /// A queued job. Dropping it broadcasts that the job has left the queue.
 struct QueueEntry<'a> {
-    fleet: &'a Fleet,
+    pool: &'a Pool,
     service: &'a Service,
     job: JobId,
-    announced: Option<(Moment, bool)>,
+    /// The time of the last broadcast, and whether the job was reported as blocked.
+    last_broadcast: Option<(Moment, bool)>,
 }
 
 impl QueueEntry<'_> {
     /// Broadcasts the job's queue state if it has changed or the interval has passed.
-    fn announce(&mut self, waiter: Waiter) {
-        let now = self.fleet.context.clock.now();
-        let is_due = self.announced.is_none_or(|(at, blocked)| {
+    fn broadcast_if_due(&mut self, waiter: Waiter) {
+        let now = self.pool.context.clock.now();
+        let is_due = self.last_broadcast.is_none_or(|(at, blocked)| {
             now - at >= QUEUE_BROADCAST_INTERVAL || blocked != waiter.blocked
         });
         if is_due {
             let has_changed = self
-                .announced
+                .last_broadcast
                 .is_none_or(|(_, blocked)| blocked != waiter.blocked);
-            self.announced = Some((now, waiter.blocked));
+            self.last_broadcast = Some((now, waiter.blocked));
             let event = Event::Queued(self.service.name.clone(), waiter);
             let urgency = if has_changed {
                 Urgency::Urgent
             } else {
                 Urgency::Usual
             };
-            self.fleet.broadcast(event, urgency);
+            self.pool.broadcast(event, urgency);
         }
     }
 }
 
 impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
-        if self.announced.is_none() {
+        if self.last_broadcast.is_none() {
             return;
         }
         if let Policy::Engines(planner) = &mut self.service.state.lock().policy {
             planner.dequeue(self.job);
         }
         let event = Event::Cancelled(self.service.name.clone(), self.job);
-        self.fleet.broadcast(event, Urgency::Urgent);
+        self.pool.broadcast(event, Urgency::Urgent);
         self.service.changed.notify_waiters();
     }
 }
 
-/// Returns the key of a data centre; its endpoints share network failures.
+/// Returns the key that identifies a data centre to the planner and the balancer.
 fn data_centre_key(data_centre: &DataCentre) -> DataCentreKey {
     let name = EndpointId::new(data_centre.as_str());
     DataCentreKey(EndpointKey::of(&name, 0).0)
--- a/crates/kumquatdrum_gateway/src/fleet/pick.rs
+++ b/crates/kumquatdrum_gateway/src/pool/pick.rs
@@ -8,7 +8,7 @@
 use kumquatdrum_types::EndpointId;
 use slog::warn;
 
-use super::{Fleet, Policy, Service};
+use super::{Policy, Pool, Service};
 use crate::message::Event;
 use crate::protocol::Helper;
 
@@ -27,7 +27,7 @@
 
 /// A picked endpoint. Dropping it broadcasts that the request has ended.
 pub struct Pick {
-    pub(super) fleet: Arc<Fleet>,
+    pub(super) pool: Arc<Pool>,
     pub(super) service: Arc<Service>,
     /// The picked endpoint.
     pub endpoint: Announcement,
@@ -45,18 +45,18 @@
         let Some(job) = self.job else {
             return;
         };
-        let now = self.fleet.context.clock.now();
+        let now = self.pool.context.clock.now();
         if let Policy::Engines(planner) = &mut self.service.state.lock().policy {
             planner.record_first_token(now, job);
         }
         self.service.changed.notify_waiters();
         let event = Event::Began(self.service.name.clone(), job);
-        self.fleet.broadcast(event, self.urgency);
+        self.pool.broadcast(event, self.urgency);
     }
 
     /// Records a successful response and the load that it reported.
     pub fn record_success(&self, load: Option<u32>) {
-        let now = self.fleet.context.clock.now();
+        let now = self.pool.context.clock.now();
         match &mut self.service.state.lock().policy {
             Policy::Engines(planner) => planner.record_success(self.key),
             Policy::Plain(balancer) => balancer.record_success(now, self.key, load),
@@ -65,20 +65,20 @@
 
     /// Records a failure of the endpoint.
     pub fn record_failure(&self, failure: Failure) {
-        let now = self.fleet.context.clock.now();
+        let now = self.pool.context.clock.now();
         let is_ejected = match &mut self.service.state.lock().policy {
             Policy::Engines(planner) => planner.record_failure(now, self.key, failure),
             Policy::Plain(balancer) => balancer.record_failure(now, self.key, failure),
         };
         if is_ejected {
-            warn!(self.fleet.context.logger, "endpoint_ejected"; "event" => "endpoint_ejected",
+            warn!(self.pool.context.logger, "endpoint_ejected"; "event" => "endpoint_ejected",
                 "endpoint" => self.endpoint.id.as_str(), "failure" => ?failure);
         }
     }
 
     /// Records the failure of a helper, given by its id or address.
     pub fn record_helper_failure(&self, name: &str) {
-        let now = self.fleet.context.clock.now();
+        let now = self.pool.context.clock.now();
         let mut state = self.service.state.lock();
         let is_named = |endpoint: &Announcement| {
             endpoint.id.as_str() == name || endpoint.address.to_string() == name
@@ -91,20 +91,20 @@
         if let Policy::Engines(planner) = &mut state.policy {
             planner.record_failure(now, key, Failure::Unreachable);
         }
-        warn!(self.fleet.context.logger, "helper_failed"; "event" => "helper_failed",
+        warn!(self.pool.context.logger, "helper_failed"; "event" => "helper_failed",
             "endpoint" => self.endpoint.id.as_str(), "helper" => name);
     }
 
     /// Marks the endpoint as gone because another endpoint answers at its address.
     pub fn mark_displaced(&self) {
-        self.fleet.context.endpoints.mark_displaced(&self.endpoint);
-        self.fleet.refresh_service(&self.service);
+        self.pool.context.endpoints.mark_displaced(&self.endpoint);
+        self.pool.refresh_service(&self.service);
     }
 }
 
 impl Drop for Pick {
     fn drop(&mut self) {
-        let now = self.fleet.context.clock.now();
+        let now = self.pool.context.clock.now();
         match (&mut self.service.state.lock().policy, self.job) {
             (Policy::Engines(planner), Some(job)) => planner.record_end(now, job),
             (Policy::Plain(balancer), _) => balancer.record_end(self.key),
@@ -113,7 +113,7 @@
         self.service.changed.notify_waiters();
         if let Some(job) = self.job {
             let event = Event::Ended(self.service.name.clone(), job);
-            self.fleet.broadcast(event, self.urgency);
+            self.pool.broadcast(event, self.urgency);
         }
     }
 }
--- a/crates/kumquatdrum_gateway/src/replica.rs
+++ b/crates/kumquatdrum_gateway/src/replica.rs
@@ -42,7 +42,7 @@
 /// The size of the log in bytes after which a snapshot is taken.
 const SNAPSHOT_BYTES: usize = 2 * 1024 * 1024;
 /// The number of entries kept for lagging replicas after a snapshot.
-const KEEP_ENTRIES: u64 = 8;
+const RETAINED_ENTRIES: u64 = 8;
 /// The election timeout. It tolerates slow hosts, and allows two elections before an operator's
 /// request times out.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(600);
@@ -215,9 +215,9 @@
         node,
         writer,
         register: Register::default(),
-        wake: Moment::ZERO,
+        wake_at: Moment::ZERO,
         is_halted: false,
-        tokens: 0,
+        last_token: 0,
         snapshot_revision: 0,
         pending_proposals: IndexMap::new(),
         pending_commands: IndexMap::new(),
@@ -242,7 +242,7 @@
     node.change_timeout = CHANGE_TIMEOUT;
     node.snapshot_entries = SNAPSHOT_ENTRIES;
     node.snapshot_bytes = SNAPSHOT_BYTES;
-    node.retained_entries = KEEP_ENTRIES;
+    node.retained_entries = RETAINED_ENTRIES;
     node
 }
 
@@ -252,9 +252,10 @@
     node: Node,
     writer: Writer,
     register: Register,
-    wake: Moment,
+    /// When the node must be stepped again without an input.
+    wake_at: Moment,
     is_halted: bool,
-    tokens: u64,
+    last_token: u64,
     /// The revision in the last snapshot.
     snapshot_revision: u64,
     pending_proposals: IndexMap<Token, PendingProposal>,
@@ -273,7 +274,7 @@
         self.step(Input::Tick);
         let mut maintenance = tokio::time::interval(MAINTENANCE_INTERVAL);
         while !self.is_halted {
-            let due = self.context.clock.instant(self.wake);
+            let due = self.context.clock.instant(self.wake_at);
             tokio::select! {
                 event = received.recv() => match event {
                     Some(event) => self.handle_event(event),
@@ -323,8 +324,8 @@
     }
 
     fn next_token(&mut self) -> Token {
-        self.tokens += 1;
-        Token(self.tokens)
+        self.last_token += 1;
+        Token(self.last_token)
     }
 
     fn step(&mut self, input: Input) {
@@ -362,7 +363,7 @@
                 error!(self.context.logger, "disk_lost"; "event" => "disk_lost",
                     "reason" => reason);
             }
-            Output::Wake { at } => self.wake = at,
+            Output::Wake { at } => self.wake_at = at,
         }
     }
 
--- a/crates/kumquatdrum_gateway/src/settings.rs
+++ b/crates/kumquatdrum_gateway/src/settings.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// The time within which a killed host restarts.
+/// Returns a time that covers the restart of a killed host.
 const fn default_unused_memory_ms() -> u64 {
     4_000
 }
--- a/crates/kumquatdrum_gateway/src/upstream.rs
+++ b/crates/kumquatdrum_gateway/src/upstream.rs
@@ -1,6 +1,6 @@
 //! Requests to endpoints, each on its own connection.
 //!
-//! Connections are not reused, so that a request never meets a dead connection or receives the
+//! Connections are not reused, so that no request is sent on a dead connection or receives the
 //! response to an earlier request. This costs one round trip per request.
 
 use std::net::SocketAddr;
@@ -44,6 +44,7 @@
     _driver: Driver,
 }
 
+/// The task that drives a connection. Dropping it aborts the task and closes the connection.
 #[derive(Debug)]
 struct Driver(JoinHandle<()>);
 
--- a/crates/kumquatdrum_gateway/tests/active_setup.rs
+++ b/crates/kumquatdrum_gateway/tests/active_setup.rs
@@ -56,7 +56,7 @@
     }
 
     fn decode_announcement(&self, _: &EndpointId, _: &[u8]) -> Result<Announcement, Finding> {
-        Err(Finding::new("", "not read here"))
+        Err(Finding::new("", "not used in this test"))
     }
 
     fn decode_leave(&self, _: &[u8]) -> Option<u64> {
@@ -99,13 +99,13 @@
     let (decoder, end, has_timed_out) = Decoder::new();
     let store = Arc::new(Store::new(Arc::new(decoder), logger()));
     store.offer(&record(1), "log", true);
-    let taking = store.clone();
-    let taken = tokio::spawn(async move { taking.activate_next().await });
+    let activating = store.clone();
+    let activated = tokio::spawn(async move { activating.activate_next().await });
     // Other tasks, such as heartbeats, run before decoding ends.
     tokio::task::yield_now().await;
     tokio::task::yield_now().await;
     end.send(()).expect("the decoder waits");
-    let (active_setup, is_leader) = taken.await.expect("an active record");
+    let (active_setup, is_leader) = activated.await.expect("an active record");
     assert!(!has_timed_out.load(Ordering::Relaxed));
     assert!(is_leader);
     assert_eq!((active_setup.record.revision, store.revision()), (1, 1));
--- a/crates/kumquatdrum_gateway/tests/broadcast.rs
+++ b/crates/kumquatdrum_gateway/tests/broadcast.rs
@@ -60,7 +60,7 @@
     for host in all {
         hosts.record_contact(host.clone());
     }
-    let metrics = Arc::new(Metrics::new().expect("meters"));
+    let metrics = Arc::new(Metrics::new().expect("the metrics"));
     let ip: IpAddr = local.id.as_str().parse().expect("an address");
     let address = SocketAddr::new(ip, port + 1);
     let broadcaster = Broadcaster::open(clock, address, Arc::new(hosts), metrics.clone(), logger);
--- a/crates/kumquatdrum_gateway/tests/hosts.rs
+++ b/crates/kumquatdrum_gateway/tests/hosts.rs
@@ -59,8 +59,8 @@
 
 #[tokio::test]
 async fn after_the_first_listing_only_changes_are_sent() {
-    let (control, entry) = (host(1, 5, true), host(2, 5, false));
-    let (sender, receiver) = (hosts(&control), hosts(&entry));
+    let (control, caller_host) = (host(1, 5, true), host(2, 5, false));
+    let (sender, receiver) = (hosts(&control), hosts(&caller_host));
     for number in 2..=9 {
         sender.record_contact(host(number, 5, false));
     }
@@ -131,27 +131,27 @@
         data_centre: "riga".into(),
         ..host(number, 5, true)
     };
-    let entry = hosts(&host(9, 5, false));
+    let caller_host = hosts(&host(9, 5, false));
     let seeds = [1, 2, 3, 4].map(|number| host(number, 5, true).id);
-    entry.set_seeds(seeds.to_vec());
+    caller_host.set_seeds(seeds.to_vec());
     assert_eq!(
-        entry.hello_targets(0, false).len(),
+        caller_host.hello_targets(0, false).len(),
         4,
         "only the seeds are known"
     );
-    entry.record_contact(host(1, 5, true));
-    (2..=4).for_each(|number| entry.record_contact(far(number)));
+    caller_host.record_contact(host(1, 5, true));
+    (2..=4).for_each(|number| caller_host.record_contact(far(number)));
     let mut hellos = [0; 4];
     for round in 0..8 {
-        let hello_targets = entry.hello_targets(round, false);
-        let sender = entry
+        let hello_targets = caller_host.hello_targets(round, false);
+        let source = caller_host
             .listing_source(round, &hello_targets)
-            .expect("a sender");
-        assert!(hello_targets.contains(&sender));
+            .expect("a listing source");
+        assert!(hello_targets.contains(&source));
         for (count, seed) in hellos.iter_mut().zip(&seeds) {
             *count += u32::from(hello_targets.contains(seed));
         }
-        assert_eq!(entry.hello_targets(round, true).len(), 4);
+        assert_eq!(caller_host.hello_targets(round, true).len(), 4);
     }
     assert_eq!(hellos, [8, 4, 4, 4]);
     let control = hosts(&host(8, 5, true));
--- a/crates/kumquatdrum_process/src/clock.rs
+++ b/crates/kumquatdrum_process/src/clock.rs
@@ -4,8 +4,8 @@
 
 use kumquatdrum_types::Moment;
 
-/// Reading of a new clock. Above zero, so that a host can represent moments from before its start
-/// when it receives information that is older than itself.
+/// The reading of a new clock. It is above zero, since other hosts report events from before this
+/// host's start.
 const START: Moment = Moment::from_millis(60_000);
 
 /// A monotonic clock that counts from its creation.
@@ -15,7 +15,7 @@
 }
 
 impl Clock {
-    /// Creates a clock, which counts from now on.
+    /// Creates a clock that starts to count now.
     pub fn start() -> Self {
         Self {
             started: Instant::now(),
@@ -27,7 +27,7 @@
         START + self.started.elapsed()
     }
 
-    /// Converts a moment for the runtime's timers, at most a day ahead.
+    /// Converts a moment to an instant of the runtime's timers, at most a day ahead.
     pub fn instant(&self, moment: Moment) -> tokio::time::Instant {
         const MAX_AHEAD: Duration = Duration::from_secs(86_400);
         let ahead = (moment - self.now()).min(MAX_AHEAD);
@@ -35,7 +35,8 @@
     }
 }
 
-/// Returns the wall-clock time in milliseconds since the Unix epoch, for records and logs only.
+/// Returns the wall-clock time in milliseconds since the Unix epoch. It may jump, so durations are
+/// measured with [`Clock`].
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/kumquatdrum_process/src/drain.rs
+++ b/crates/kumquatdrum_process/src/drain.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::Notify;
 
-/// Readiness and shutdown state of the process.
+/// The readiness and shutdown state of the process.
 ///
 /// ```
 /// let drain = kumquatdrum_process::Drain::default();
@@ -18,9 +18,10 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Drain {
-    ready: AtomicBool,
-    draining: AtomicBool,
-    work: AtomicI64,
+    is_ready: AtomicBool,
+    is_draining: AtomicBool,
+    work_count: AtomicI64,
+    /// Notified when the shutdown begins and when the last work ends.
     changed: Notify,
 }
 
@@ -31,37 +32,37 @@
 impl Drain {
     /// Returns whether the load balancer should route callers to this host.
     pub fn is_ready(&self) -> bool {
-        self.ready.load(Ordering::Relaxed) && !self.is_draining()
+        self.is_ready.load(Ordering::Relaxed) && !self.is_draining()
     }
 
     /// Returns whether the shutdown has begun.
     pub fn is_draining(&self) -> bool {
-        self.draining.load(Ordering::Relaxed)
+        self.is_draining.load(Ordering::Relaxed)
     }
 
     /// Sets whether the host can serve callers.
-    pub fn set_ready(&self, ready: bool) {
-        self.ready.store(ready, Ordering::Relaxed);
+    pub fn set_ready(&self, is_ready: bool) {
+        self.is_ready.store(is_ready, Ordering::Relaxed);
     }
 
     /// Begins the shutdown: the health check fails, while requests are still served.
     pub fn begin(&self) {
-        self.draining.store(true, Ordering::Relaxed);
+        self.is_draining.store(true, Ordering::Relaxed);
         self.changed.notify_waiters();
     }
 
-    /// Counts a piece of work as under way until the returned guard is dropped.
+    /// Counts a piece of work as in flight until the returned guard is dropped.
     pub fn begin_work(self: &Arc<Self>) -> Work {
-        self.work.fetch_add(1, Ordering::Relaxed);
+        self.work_count.fetch_add(1, Ordering::Relaxed);
         Work(Arc::clone(self))
     }
 
-    /// Returns the number of pieces of work under way.
+    /// Returns the number of pieces of work in flight.
     pub fn under_way(&self) -> i64 {
-        self.work.load(Ordering::Relaxed)
+        self.work_count.load(Ordering::Relaxed)
     }
 
-    /// Waits until no work is under way.
+    /// Waits until no work is in flight.
     pub async fn wait_until_idle(&self) {
         loop {
             let changed = self.changed.notified();
@@ -75,7 +76,7 @@
 
 impl Drop for Work {
     fn drop(&mut self) {
-        let before = self.0.work.fetch_sub(1, Ordering::Relaxed);
+        let before = self.0.work_count.fetch_sub(1, Ordering::Relaxed);
         if before == 1 {
             self.0.changed.notify_waiters();
         }
--- a/crates/kumquatdrum_process/src/metrics.rs
+++ b/crates/kumquatdrum_process/src/metrics.rs
@@ -1,10 +1,10 @@
-//! The daemon's metrics in the prometheus format; docs/OPERATORS.md lists them.
+//! The daemon's metrics in the Prometheus format; docs/OPERATORS.md lists them.
 
 use prometheus::{Histogram, IntCounter, IntCounterVec, IntGauge, IntGaugeVec};
 
 use crate::Registry;
 
-/// Bucket bounds of the first-token histogram.
+/// The bucket bounds of the first-token histogram.
 const FIRST_TOKEN_BOUNDS_SECONDS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 3.0, 10.0, 60.0,
 ];
@@ -33,7 +33,7 @@
     pub body_bytes: IntGauge,
     /// Seconds from a request's arrival to its first token.
     pub first_token: Histogram,
-    /// Version of the declaration in force on this host.
+    /// The version of the declaration that is active on this host.
     pub version: IntGauge,
     /// 1 if this host can't reach a majority of the control replicas, else 0.
     pub cut_off: IntGauge,
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Returns all metrics in the prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         self.registry.text()
     }
--- a/crates/kumquatdrum_process/src/monitoring.rs
+++ b/crates/kumquatdrum_process/src/monitoring.rs
@@ -1,4 +1,4 @@
-//! The platform's listener: health and liveness checks, metrics.
+//! The monitoring listener: health checks, liveness checks and metrics.
 
 use std::sync::Arc;
 
@@ -7,7 +7,8 @@
 
 use crate::{Drain, Metrics};
 
-/// Tells the load balancer whether to route callers here: 200 `ready`, or 503 with the reason.
+/// Answers the load balancer's health check: 200 if this host accepts callers, or 503 with the
+/// reason.
 #[get("/health")]
 fn health(drain: &State<Arc<Drain>>) -> (Status, &'static str) {
     match (drain.is_ready(), drain.is_draining()) {
@@ -17,7 +18,7 @@
     }
 }
 
-/// Answers as long as the process runs.
+/// Answers a liveness check, which succeeds as long as the process runs.
 #[get("/live")]
 fn live() -> &'static str {
     "live\n"
@@ -28,7 +29,7 @@
     (ContentType::Plain, metrics.text())
 }
 
-/// Returns the routes of the platform's listener. The rocket instance that mounts them must manage
+/// Returns the routes of the monitoring listener. The Rocket instance that mounts them must manage
 /// an `Arc<Drain>` and an `Arc<Metrics>`.
 pub fn routes() -> Vec<Route> {
     routes![health, live, metrics]
--- a/crates/kumquatdrum_process/src/registry.rs
+++ b/crates/kumquatdrum_process/src/registry.rs
@@ -1,4 +1,4 @@
-//! A registry of prometheus metrics.
+//! A registry of Prometheus metrics.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -54,7 +54,7 @@
         self.register(HistogramVec::new(options(name, help, bounds), labels)?)
     }
 
-    /// Returns all metrics in the prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut buffer = Vec::new();
         let encoded = TextEncoder::new().encode(&self.0.gather(), &mut buffer);
--- a/crates/kumquatdrum_process/src/signal.rs
+++ b/crates/kumquatdrum_process/src/signal.rs
@@ -14,8 +14,8 @@
     }
 }
 
-/// Returns the stream of SIGHUP signals, which ask for a reload of the settings file. Once called,
-/// SIGHUP does not terminate the process.
+/// Returns the stream of SIGHUP signals, which request a reload of the settings file. After the
+/// first call, SIGHUP does not terminate the process.
 pub fn reload_signals() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
--- a/crates/kumquatdrum_process/src/sockets.rs
+++ b/crates/kumquatdrum_process/src/sockets.rs
@@ -1,7 +1,7 @@
 //! Detects closed caller connections in the kernel's socket tables.
 //!
-//! rocket keeps running a handler whose caller has disconnected, and reports this only on the next
-//! write. An answer in one piece has no write before its end, so the socket tables are read instead.
+//! Rocket keeps running a handler whose caller has disconnected, and reports this only on the next
+//! write. A response sent in one piece has no earlier write, so the socket tables are read instead.
 
 use std::collections::HashSet;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -9,15 +9,16 @@
 use std::time::{Duration, Instant};
 
 const SOCKET_TABLES: [&str; 2] = ["/proc/net/tcp", "/proc/net/tcp6"];
+/// The state of an established connection in a socket table.
 const ESTABLISHED: &str = "01";
-/// Time for which the tables that were read last are reused.
+/// How long the connections are cached before the tables are read again.
 const MAX_AGE: Duration = Duration::from_millis(250);
 
 /// The established connections of one listener.
 #[derive(Debug)]
 pub struct Connections {
     port: u16,
-    /// The remote addresses, and when they were read.
+    /// The time of the last read and the remote addresses found.
     cache: Mutex<Option<(Instant, HashSet<SocketAddr>)>>,
 }
 
--- a/crates/kumquatdrum_registry/src/announcement.rs
+++ b/crates/kumquatdrum_registry/src/announcement.rs
@@ -8,7 +8,7 @@
 /// A periodic announcement by an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Identifies the endpoint; may stay the same across restarts.
+    /// The endpoint's id, which may stay the same across restarts.
     pub id: EndpointId,
     /// The incarnation: the start time in Unix milliseconds by the endpoint's clock.
     pub started: u64,
--- a/crates/kumquatdrum_registry/tests/registry.rs
+++ b/crates/kumquatdrum_registry/tests/registry.rs
@@ -50,7 +50,7 @@
         Change::Stale
     );
     assert_eq!(usable(&registry), []);
-    // A later announcement of the same incarnation does not either.
+    // Nor does a later announcement of the same incarnation.
     registry.announce(NOW, announcement("a", 1, 4));
     assert_eq!(usable(&registry), []);
 }
--- a/crates/kumquatdrum_routes/tests/distribution.rs
+++ b/crates/kumquatdrum_routes/tests/distribution.rs
@@ -49,27 +49,27 @@
 
 #[test]
 fn shares_are_even_and_a_lost_host_moves_only_its_share() {
-    let (control, entries) = (hosts("control", 6), hosts("entry", 640));
+    let (control, caller_hosts) = (hosts("control", 6), hosts("entry", 640));
     let sender = |host: &HostId, control: &[HostId]| {
         let sender = distribution::sender(host, control);
         sender.cloned().expect("a sender")
     };
     for host in &control {
-        let share = entries
+        let share = caller_hosts
             .iter()
-            .filter(|entry| sender(entry, &control) == *host);
+            .filter(|caller_host| sender(caller_host, &control) == *host);
         let share = share.count();
         // The average is 107.
         assert!((70..150).contains(&share), "{host} sends to {share} of 640");
     }
     let (lost, remaining) = control.split_first().expect("six control hosts");
-    for entry in &entries {
-        let before = sender(entry, &control);
+    for caller_host in &caller_hosts {
+        let before = sender(caller_host, &control);
         if before != *lost {
-            assert_eq!(sender(entry, remaining), before);
+            assert_eq!(sender(caller_host, remaining), before);
         }
     }
-    assert_eq!(distribution::sender(&entries[0], &[]), None);
+    assert_eq!(distribution::sender(&caller_hosts[0], &[]), None);
 }
 
 // Guards against a leader that loses its quorum because heartbeats queue behind records on its
@@ -81,7 +81,7 @@
 const CALLER_LINK_BYTES_PER_MS: usize = 20_000_000 / 8 / 1_000;
 /// The interval between a leader's heartbeats; it steps down after six go unanswered.
 const HEARTBEAT_MS: usize = 100;
-/// The number of hosts that one of six control hosts sends to in a fleet of 85.
+/// The number of hosts that one of six control hosts sends to in a cluster of 85.
 const HOSTS_PER_SENDER: usize = 16;
 
 /// Simulates setup changes of `bytes` bytes each. Returns the longest delay of a heartbeat and the
--- a/crates/kumquatdrum_routes/tests/setup.rs
+++ b/crates/kumquatdrum_routes/tests/setup.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_key_finds_its_workspace() {
+fn a_key_maps_to_its_workspace() {
     let mut setup = setup(Vec::new());
     setup.workspaces = Some(vec![workspace("one", &["k"]), workspace("two", &["l"])]);
     let table = Table::new(setup);
