--- a/crates/kumquatdrum_daemon/src/admission.rs
+++ b/crates/kumquatdrum_daemon/src/admission.rs
@@ -26,7 +26,7 @@
     requested.unwrap_or(default).min(cap)
 }
 
-/// Whether a request is idempotent. The caller's header overrides the declaration.
+/// Returns whether a request is idempotent. The caller's header overrides the declaration.
 pub fn is_idempotent(service: &Service, method: &str, path: &str, requested: Option<bool>) -> bool {
     requested.unwrap_or_else(|| kumquatdrum_declaration::is_idempotent(service, method, path))
 }
--- a/crates/kumquatdrum_daemon/src/cancellation.rs
+++ b/crates/kumquatdrum_daemon/src/cancellation.rs
@@ -14,7 +14,7 @@
 /// A cancel to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cancel {
-    /// The engine.
+    /// The engine that received the attempt.
     pub target: Target,
     /// The attempt to cancel.
     pub attempt: AttemptId,
@@ -66,7 +66,7 @@
         self.pending.swap_remove(attempt);
     }
 
-    /// Removes all attempts of an engine up to and including a boot that has ended.
+    /// Removes all attempts of an engine up to and including an incarnation that has ended.
     pub fn remove_engine(&mut self, endpoint: &EndpointId, boot: BootId) {
         self.pending.retain(|_, pending| {
             pending.target.endpoint != *endpoint || pending.target.boot > boot
@@ -94,7 +94,7 @@
         self.pending.len()
     }
 
-    /// Whether all cancels are confirmed.
+    /// Returns whether all cancels are confirmed.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
--- a/crates/kumquatdrum_daemon/src/lib.rs
+++ b/crates/kumquatdrum_daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! Core: life cycle, admission and cancellation of requests on one daemon.
+//! Life cycle, admission and cancellation of requests on one daemon.
 
 pub mod admission;
 pub mod body;
--- a/crates/kumquatdrum_daemon/src/lifecycle.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle.rs
@@ -5,7 +5,7 @@
 //! * "not run" is reported only if nothing was sent, or if the engine confirmed that the attempt
 //!   never started and never will;
 //! * a request that isn't idempotent goes to a second endpoint only after such a confirmation;
-//! * an answer that has partly reached the caller is resumed, never restarted elsewhere.
+//! * a response that has partly reached the caller is resumed, never restarted elsewhere.
 
 mod event;
 mod machine;
--- a/crates/kumquatdrum_daemon/src/lifecycle/event.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/event.rs
@@ -13,19 +13,19 @@
     Placed(Target, AttemptId),
     /// The router refused the request.
     Refused(Refusal, Option<Duration>),
-    /// The key was claimed for this attempt.
+    /// The idempotency key was claimed for this attempt.
     Claimed,
-    /// The key is confirmed to be unclaimed by this attempt.
+    /// The idempotency key couldn't be claimed for this attempt.
     ClaimRefused(Refusal, Option<Duration>),
-    /// The head of the answer arrived.
+    /// The response head arrived.
     Accepted,
-    /// The answer has arrived up to this number of tokens, or of pieces from a plain service.
+    /// The response has arrived up to this number of tokens, or of chunks from a plain service.
     Progress(u64),
-    /// The answer is complete.
+    /// The response is complete.
     Finished,
-    /// The exchange ended without a complete answer.
+    /// The exchange ended without a complete response.
     Fault(Fault),
-    /// The engine answered a probe with the attempt's status.
+    /// The engine responded to a probe with the attempt's status.
     Probed(Status),
     /// The engine confirmed a cancel, with the attempt's status before it.
     Cancelled(Status),
@@ -62,7 +62,7 @@
     Dispatch(Target, AttemptId),
     /// Request the attempt's status over a new connection.
     Probe(Target, AttemptId),
-    /// Drop the exchange and resume the answer over a new connection from this token.
+    /// Drop the exchange and resume the response over a new connection from this token.
     Resume(Target, AttemptId, u64),
     /// Cancel the attempt and report the confirmation.
     Cancel(Target, AttemptId),
@@ -75,11 +75,11 @@
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole answer was delivered.
+    /// The whole response was delivered.
     Finished,
     /// No attempt ran or will run.
     NotRun {
-        /// The reason.
+        /// The reason that no attempt ran.
         refusal: Refusal,
         /// When to retry, if a retry can succeed.
         retry_after: Option<Duration>,
@@ -99,7 +99,7 @@
     Deadline,
     /// The endpoint failed, restarted or lost the attempt.
     EndpointLost,
-    /// The endpoint answered with an error.
+    /// The endpoint responded with an error.
     Rejected {
         /// The HTTP status.
         status: u16,
--- a/crates/kumquatdrum_daemon/src/lifecycle/machine.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/machine.rs
@@ -26,7 +26,7 @@
     target: Target,
     id: AttemptId,
     is_accepted: bool,
-    /// Whether the exchange that carried the answer has ended.
+    /// Whether the exchange that carried the response has ended.
     is_broken: bool,
     tokens: u64,
 }
@@ -62,7 +62,7 @@
     /// Whether the attempt belongs to an earlier request with the same key.
     is_attached: bool,
     excluded: Vec<EndpointId>,
-    /// Whether part of the answer has reached the caller.
+    /// Whether part of the response has reached the caller.
     has_delivered: bool,
     /// Whether an attempt is known to have started.
     has_run: bool,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Whether the request has ended.
+    /// Returns whether the request has ended.
     pub fn has_ended(&self) -> bool {
         self.phase == Phase::Ended
     }
@@ -252,7 +252,7 @@
         self.give_up(self.last_cause.clone())
     }
 
-    /// Resumes the answer if the connection has ended or doesn't deliver what the engine generated.
+    /// Resumes the response if its connection has ended or lags behind the generated tokens.
     fn resume_if_stalled(&mut self, attempt: &Attempt, status: &Status) -> Vec<Output> {
         let is_connected = attempt.is_accepted && !attempt.is_broken;
         let is_finished = status.state == Stage::Finished;
@@ -365,8 +365,8 @@
         }
     }
 
-    /// Places the request again without using the retry budget: the last attempt cost no endpoint
-    /// any work.
+    /// Places the request again without using the retry budget, because the last attempt never
+    /// started.
     fn place_again(&mut self) -> Vec<Output> {
         if self.dispatches >= self.policy.max_attempts {
             return self.give_up(self.last_cause.clone());
@@ -377,7 +377,8 @@
         }]
     }
 
-    /// Retries at another endpoint. The last attempt must not have run, or must be repeatable.
+    /// Retries at another endpoint. The last attempt must not have run, or the request must be
+    /// idempotent.
     fn retry_elsewhere(&mut self) -> Vec<Output> {
         self.exclude_endpoint();
         if self.dispatches >= self.policy.max_attempts {
@@ -439,7 +440,7 @@
         let mut outputs = match (self.phase, self.attempt.clone()) {
             (Phase::Placing | Phase::Claiming, _) | (_, None) => vec![Output::Withdraw],
             _ if self.is_attached => Vec::new(),
-            // The answer to a keyed request is kept for the caller's next try.
+            // A request with an idempotency key continues, so that a retry receives its response.
             _ if self.policy.has_key => return Vec::new(),
             (_, Some(attempt)) => vec![Output::Abandon(attempt.target, attempt.id)],
         };
--- a/crates/kumquatdrum_daemon/src/lifecycle/policy.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/policy.rs
@@ -11,7 +11,7 @@
     pub idle_timeout: Duration,
     /// The probe interval while the engine is unreachable.
     pub unreachable_interval: Duration,
-    /// The probe interval while the engine reports the attempt as alive.
+    /// The probe interval while the engine reports the attempt as waiting, running or finished.
     pub alive_interval: Duration,
 }
 
@@ -36,7 +36,7 @@
     pub has_key: bool,
     /// Whether the endpoint supports probe, cancel and resume; plain services don't.
     pub is_resumable: bool,
-    /// Whether the answer is streamed to the caller.
+    /// Whether the response is streamed to the caller.
     pub is_streamed: bool,
     /// The maximum number of dispatches.
     pub max_attempts: u32,
--- a/crates/kumquatdrum_daemon/tests/flight_world.rs
+++ b/crates/kumquatdrum_daemon/tests/flight_world.rs
@@ -1,5 +1,5 @@
-//! Seeded simulation of request life cycles with engines that lose messages, delay and restart.
-//! Each reported ending is compared with the attempts that the engines really ran.
+//! Seeded simulation of request life cycles with losses, delays and engine restarts: the ending
+//! reported to the caller must match the attempts that the engines ran.
 
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
 const STEP: Duration = Duration::from_millis(50);
 const ENGINES: u64 = 3;
 
-/// One attempt as its engine sees it.
+/// State of one attempt at its engine.
 struct Attempt {
     id: AttemptId,
     engine: usize,
-    /// When the dispatch reaches the engine, if ever.
+    /// Time at which the dispatch reaches the engine; `None` if it is lost.
     arrives_at: Option<Moment>,
     is_blocked: bool,
-    /// The boot in which the engine started the attempt.
+    /// Incarnation of the engine that started the attempt.
     started: Option<BootId>,
     tokens: u64,
     is_cancelled: bool,
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn a_disconnected_caller_cancels_an_unkeyed_attempt() {
+fn a_disconnect_cancels_an_attempt_without_an_idempotency_key() {
     let policy = Policy {
         has_key: false,
         ..policy(0)
--- a/crates/kumquatdrum_declaration/src/idempotency.rs
+++ b/crates/kumquatdrum_declaration/src/idempotency.rs
@@ -4,7 +4,7 @@
 
 const SAFE_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 
-/// Whether a call of a service is idempotent.
+/// Returns whether a call of a service is idempotent.
 ///
 /// The first matching rule decides, or else the kind of the service. A path that isn't in normal
 /// form (dot segments, empty segments, needless percent encoding) may evade the rules, so its call
@@ -55,7 +55,7 @@
         .any(|listed| listed.as_ref().eq_ignore_ascii_case(method))
 }
 
-/// Whether a path is in normal form, so that all endpoints interpret it alike.
+/// Returns whether a path is in normal form, so that all endpoints interpret it alike.
 pub(crate) fn is_normalised(path: &str) -> bool {
     let path = path.strip_prefix('/').unwrap_or(path);
     let path = path.strip_suffix('/').unwrap_or(path);
@@ -66,7 +66,7 @@
     (is_root || !has_odd_segment) && !path.contains(['\\', ';']) && !has_needless_encoding(path)
 }
 
-/// Whether a percent-encoded byte needs no encoding, is a separator or is malformed.
+/// Returns whether a percent-encoded byte needs no encoding, is a separator or is malformed.
 fn has_needless_encoding(path: &str) -> bool {
     path.split('%').skip(1).any(|rest| {
         let byte = rest
--- a/crates/kumquatdrum_declaration/src/index.rs
+++ b/crates/kumquatdrum_declaration/src/index.rs
@@ -34,11 +34,11 @@
     /// ```
     pub fn new(declaration: Arc<Declaration>) -> Self {
         let keys = declaration.workspaces.iter().enumerate();
-        let keys = keys.flat_map(|(place, workspace)| {
+        let keys = keys.flat_map(|(position, workspace)| {
             workspace
                 .keys
                 .iter()
-                .map(move |key| (key.sha256.clone(), place))
+                .map(move |key| (key.sha256.clone(), position))
         });
         Self {
             keys: index_first(keys),
@@ -65,21 +65,21 @@
     pub fn workspace_by_digest(&self, sha256: &str) -> Option<&Workspace> {
         self.keys
             .get(sha256)
-            .map(|&place| &self.declaration.workspaces[place])
+            .map(|&position| &self.declaration.workspaces[position])
     }
 
     /// Returns a workspace by name.
     pub fn workspace(&self, name: &str) -> Option<&Workspace> {
         self.workspaces
             .get(name)
-            .map(|&place| &self.declaration.workspaces[place])
+            .map(|&position| &self.declaration.workspaces[position])
     }
 
     /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services
             .get(name)
-            .map(|&place| &self.declaration.services[place])
+            .map(|&position| &self.declaration.services[position])
     }
 
     /// Returns a service by name if the workspace can call it.
@@ -93,7 +93,7 @@
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models
             .get(name)
-            .map(|&place| &self.declaration.models[place])
+            .map(|&position| &self.declaration.models[position])
     }
 
     /// Returns the model of a service; `None` for a plain service.
@@ -108,14 +108,14 @@
     pub fn priority(&self, name: &str) -> Option<&Priority> {
         self.priorities
             .get(name)
-            .map(|&place| &self.declaration.priorities[place])
+            .map(|&position| &self.declaration.priorities[position])
     }
 
     /// Returns a declared endpoint by name.
     pub fn endpoint(&self, name: &str) -> Option<&Endpoint> {
         self.endpoints
             .get(name)
-            .map(|&place| &self.declaration.endpoints[place])
+            .map(|&position| &self.declaration.endpoints[position])
     }
 }
 
@@ -131,8 +131,8 @@
     N: std::hash::Hash + Eq,
 {
     let mut map = IndexMap::new();
-    for (name, place) in pairs {
-        map.entry(name).or_insert(place);
+    for (name, position) in pairs {
+        map.entry(name).or_insert(position);
     }
     map
 }
--- a/crates/kumquatdrum_declaration/src/lib.rs
+++ b/crates/kumquatdrum_declaration/src/lib.rs
@@ -1,4 +1,4 @@
-//! Core: types, parser, checks and diff of the declaration file, which operators write.
+//! Types, parser, checks and diff of the declaration file, which operators write.
 
 pub mod check;
 pub mod diff;
--- a/crates/kumquatdrum_membership/benches/gossip.rs
+++ b/crates/kumquatdrum_membership/benches/gossip.rs
@@ -187,7 +187,9 @@
                 .unwrap_or(0),
         );
         let replica = cluster.control_replicas[replicas - 1].clone();
-        assert!(cluster.run_until(limit, |cluster| cluster.knows_everywhere(&replica, version)));
+        assert!(cluster.run_until(limit, |cluster| {
+            cluster.knows_version_is_everywhere(&replica, version)
+        }));
         known.push((cluster.network.now - start).as_millis());
         cluster.run(Duration::from_secs(3));
     }
--- a/crates/kumquatdrum_membership/src/data_centre.rs
+++ b/crates/kumquatdrum_membership/src/data_centre.rs
@@ -86,9 +86,9 @@
             return None;
         }
         self.next_report = now + SUMMARY_INTERVAL;
-        let is_answering = now - self.last_heard <= SUMMARY_INTERVAL * 2;
+        let is_responsive = now - self.last_heard <= SUMMARY_INTERVAL * 2;
         match &self.relay {
-            Some(relay) if is_answering && hosts.contains(&relay) => Some(relay.clone()),
+            Some(relay) if is_responsive && hosts.contains(&relay) => Some(relay.clone()),
             _ => {
                 self.attempts += 1;
                 Some(hosts[(self.attempts - 1) % hosts.len()].clone())
--- a/crates/kumquatdrum_membership/src/event.rs
+++ b/crates/kumquatdrum_membership/src/event.rs
@@ -16,12 +16,12 @@
         from: HostId,
         /// Incarnation of the sending daemon.
         boot: BootId,
-        /// Message.
+        /// Received message.
         message: Message,
     },
     /// A dispatch failed in a way that indicates a faulty endpoint.
     DispatchFailed {
-        /// Endpoint.
+        /// Endpoint of the failed dispatch.
         endpoint: EndpointId,
     },
     /// Propagation status to piggyback on pushes to the other hosts of the data centre.
@@ -37,19 +37,19 @@
     Send {
         /// Receiving host.
         to: HostId,
-        /// Message.
+        /// Message to send.
         message: Message,
     },
     /// An endpoint changed.
     Endpoint {
-        /// Endpoint.
+        /// Endpoint that changed.
         id: EndpointId,
         /// Kind of change.
         change: Change,
     },
     /// A host's condition changed.
     Host {
-        /// Host.
+        /// Host whose condition changed.
         id: HostId,
         /// New condition.
         condition: Condition,
@@ -74,19 +74,19 @@
         /// Propagation status.
         status: Status,
     },
-    /// Acknowledge an announcement to its endpoint. Leaving notices are acknowledged once enough
-    /// hosts have confirmed them.
+    /// Tell an endpoint that its announcement was accepted. Leaving notices are acknowledged once
+    /// enough hosts have confirmed them.
     AckAnnounce {
-        /// Endpoint.
+        /// Endpoint that sent the announcement.
         endpoint: EndpointId,
         /// Incarnation of the endpoint.
         boot: BootId,
         /// Sequence number of the announcement.
         sequence: u64,
     },
-    /// Refuse an announcement to its endpoint.
+    /// Tell an endpoint that its announcement was refused.
     RefuseAnnounce {
-        /// Endpoint.
+        /// Endpoint that sent the announcement.
         endpoint: EndpointId,
         /// Incarnation of the endpoint.
         boot: BootId,
--- a/crates/kumquatdrum_membership/src/host.rs
+++ b/crates/kumquatdrum_membership/src/host.rs
@@ -12,7 +12,7 @@
 pub enum Condition {
     /// Heartbeats arrive at this host or at another host of the data centre.
     Alive,
-    /// No heartbeat has arrived recently, at this host or at any host that it hears from.
+    /// No heartbeat has arrived recently, at this host or at any host that reports to it.
     Suspect,
     /// The host was suspect for longer than [`DEAD_AFTER`].
     Dead,
@@ -52,7 +52,7 @@
 /// Evidence from other hosts about a host that is silent towards this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Evidence {
-    /// At least one host has heard from it recently.
+    /// At least one host has received a message from it recently.
     Heard,
     /// All hosts that reported recently list it as silent, or no host reported.
     Silent,
@@ -76,14 +76,14 @@
     }
 
     /// Resets the state that belongs to the daemon's previous incarnation.
-    pub(crate) fn restart(&mut self) {
+    pub(crate) fn reset_for_boot(&mut self) {
         self.silent_hosts.clear();
         self.last_push_received = 0;
         self.backlog.clear();
         self.differs_since = None;
     }
 
-    /// Returns whether nothing was heard from the host for [`SILENT_AFTER`].
+    /// Returns whether the host has sent no message for [`SILENT_AFTER`].
     pub(crate) fn is_silent(&self, now: Moment) -> bool {
         now - self.last_heard > SILENT_AFTER
     }
--- a/crates/kumquatdrum_membership/src/machine.rs
+++ b/crates/kumquatdrum_membership/src/machine.rs
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Records that a host was heard. Returns `false` for an earlier incarnation of its daemon.
+    /// Records a message from a host. Returns `false` for an earlier incarnation of its daemon.
     fn record_contact(
         &mut self,
         now: Moment,
@@ -308,15 +308,15 @@
         }
         let is_new = boot > host.boot;
         if is_new {
-            host.restart();
+            host.reset_for_boot();
             host.boot = boot;
         }
         host.last_heard = now;
-        let was = std::mem::replace(&mut host.condition, Condition::Alive);
-        if was != Condition::Alive {
+        let previous_condition = std::mem::replace(&mut host.condition, Condition::Alive);
+        if previous_condition != Condition::Alive {
             out.push(condition_output(from, Condition::Alive));
         }
-        if is_new || was == Condition::Dead {
+        if is_new || previous_condition == Condition::Dead {
             self.enqueue_summaries_for(from);
         }
         true
@@ -347,15 +347,15 @@
 
     /// Starts all timers and requests the tables of two hosts.
     fn handle_first_tick(&mut self, now: Moment, out: &mut Vec<Output>) {
-        self.stagger(now);
+        self.stagger_pushes(now);
         for host in self.hosts.values_mut() {
             host.last_heard = now;
         }
         for data_centre in self.remote_data_centres.values_mut() {
             data_centre.reset_for_takeover(now);
         }
-        let neighbours: Vec<HostId> = self.hosts.keys().take(2).cloned().collect();
-        for to in neighbours {
+        let receivers: Vec<HostId> = self.hosts.keys().take(2).cloned().collect();
+        for to in receivers {
             self.send_digest(to, out);
         }
     }
--- a/crates/kumquatdrum_membership/src/message.rs
+++ b/crates/kumquatdrum_membership/src/message.rs
@@ -21,7 +21,7 @@
         boot: BootId,
     },
     /// Keys of the sender's whole table. The receiver sends the records that the sender lacks and
-    /// requests those that it lacks itself.
+    /// requests those that the receiver lacks.
     Digest {
         /// Endpoints that accept new work.
         staying: Vec<Key>,
--- a/crates/kumquatdrum_membership/src/propagation/event.rs
+++ b/crates/kumquatdrum_membership/src/propagation/event.rs
@@ -9,7 +9,7 @@
 pub enum Input {
     /// A host was discovered, or its liveness changed.
     Host {
-        /// Host.
+        /// Host that was discovered or changed.
         host: HostId,
         /// Data centre of the host.
         data_centre: DataCentre,
@@ -28,7 +28,7 @@
         from: HostId,
         /// Incarnation of the sending daemon.
         boot: BootId,
-        /// Status.
+        /// Received status.
         status: Status,
     },
     /// A message from a peer arrived.
@@ -37,7 +37,7 @@
         from: HostId,
         /// Incarnation of the sending daemon.
         boot: BootId,
-        /// Message.
+        /// Received message.
         message: Message,
     },
     /// Timer tick, expected about every 40 ms.
@@ -51,7 +51,7 @@
     Send {
         /// Receiving host.
         to: HostId,
-        /// Message.
+        /// Message to send.
         message: Message,
     },
     /// A version, higher than all previous ones, is now in force on this host.
@@ -66,7 +66,7 @@
     Status(Status),
     /// The known version of a host increased.
     Installed {
-        /// Host.
+        /// Host with the new version.
         host: HostId,
         /// Version in force on the host.
         version: Version,
@@ -78,9 +78,9 @@
     },
     /// Two hosts have different texts for the same version, which violates an invariant.
     Conflict {
-        /// Version.
+        /// Version with two texts.
         version: Version,
-        /// Host with the other text.
+        /// Host whose text differs from this host's.
         from: HostId,
     },
 }
--- a/crates/kumquatdrum_membership/src/propagation/machine.rs
+++ b/crates/kumquatdrum_membership/src/propagation/machine.rs
@@ -161,7 +161,7 @@
     }
 
     pub(super) fn status(&self, now: Moment) -> Status {
-        let heard = if self.control_replicas.contains(&self.config.host) {
+        let last_contact = if self.control_replicas.contains(&self.config.host) {
             self.own_majority_at
         } else {
             self.direct_majority_at
@@ -171,7 +171,7 @@
             version: self.version(),
             digest_prefix: self.current().map_or(0, Setup::digest_prefix),
             is_ready: self.is_ready(),
-            majority_age_millis: heard.map(age),
+            majority_age_millis: last_contact.map(age),
         }
     }
 
--- a/crates/kumquatdrum_membership/src/propagation/message.rs
+++ b/crates/kumquatdrum_membership/src/propagation/message.rs
@@ -48,13 +48,13 @@
     pub majority_age_millis: Option<u32>,
 }
 
-/// Version with its text or a delta.
+/// Version with its complete text or a delta.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
-    /// Version.
+    /// Transferred version.
     pub version: Version,
     /// Digest of the complete text.
     pub digest: String,
-    /// Text or delta.
+    /// Complete text or a delta.
     pub text: Text,
 }
--- a/crates/kumquatdrum_membership/src/propagation/mod.rs
+++ b/crates/kumquatdrum_membership/src/propagation/mod.rs
@@ -1,9 +1,9 @@
 //! Propagation of the setup in force to all hosts.
 //!
 //! A control replica that has applied a version notifies its data centre and one host of each other
-//! data centre. A host that lacks the version requests it and receives a delta to the version that
-//! it has. Statuses and periodic exchanges compensate for lost messages. A host never returns to a
-//! lower version.
+//! data centre. A host that lacks the version requests it and receives a delta from the version
+//! that it has. Statuses and periodic exchanges compensate for lost messages. A host never
+//! returns to a lower version.
 
 mod delta;
 mod event;
--- a/crates/kumquatdrum_membership/src/propagation/notification.rs
+++ b/crates/kumquatdrum_membership/src/propagation/notification.rs
@@ -70,7 +70,7 @@
         let Some(notification) = self.notifications.get_mut(id) else {
             return;
         };
-        // A retry goes to another host, because the contact may have died.
+        // A retry goes to another host, because the contact may be dead.
         let since = match notification.count {
             0 => moment_before(now, EXCHANGE_INTERVAL * 2),
             _ => Moment::NEVER,
--- a/crates/kumquatdrum_membership/src/propagation/text.rs
+++ b/crates/kumquatdrum_membership/src/propagation/text.rs
@@ -62,7 +62,7 @@
 }
 
 impl Text {
-    /// Returns the delta to a base, or the complete text unless the delta is shorter.
+    /// Returns the delta from a base, or the complete text unless the delta is shorter.
     ///
     /// ```
     /// use kumquatdrum_membership::propagation::{Setup, Text};
--- a/crates/kumquatdrum_membership/src/propagation/topology.rs
+++ b/crates/kumquatdrum_membership/src/propagation/topology.rs
@@ -8,12 +8,12 @@
 pub(crate) struct Topology {
     local: HostId,
     data_centre: DataCentre,
-    hosts: IndexMap<HostId, Neighbour>,
+    hosts: IndexMap<HostId, Host>,
     remote_data_centres: IndexMap<DataCentre, Remote>,
 }
 
 #[derive(Debug)]
-struct Neighbour {
+struct Host {
     data_centre: DataCentre,
     is_alive: bool,
 }
@@ -47,11 +47,11 @@
                 .or_default();
             remote.hosts.push(host.clone());
         }
-        let neighbour = Neighbour {
+        let state = Host {
             data_centre,
             is_alive,
         };
-        self.hosts.insert(host, neighbour);
+        self.hosts.insert(host, state);
     }
 
     pub(crate) fn is_local(&self, host: &HostId) -> bool {
@@ -59,7 +59,7 @@
             || self
                 .hosts
                 .get(host)
-                .is_some_and(|neighbour| neighbour.data_centre == self.data_centre)
+                .is_some_and(|state| state.data_centre == self.data_centre)
     }
 
     /// Returns the other live hosts of the data centre.
@@ -85,10 +85,10 @@
 
     /// Records a message from a host of another data centre.
     pub(crate) fn record_contact(&mut self, now: Moment, from: &HostId) {
-        let Some(neighbour) = self.hosts.get(from) else {
+        let Some(state) = self.hosts.get(from) else {
             return;
         };
-        if let Some(remote) = self.remote_data_centres.get_mut(&neighbour.data_centre) {
+        if let Some(remote) = self.remote_data_centres.get_mut(&state.data_centre) {
             remote.contact = Some((from.clone(), now));
         }
     }
--- a/crates/kumquatdrum_membership/src/push.rs
+++ b/crates/kumquatdrum_membership/src/push.rs
@@ -31,7 +31,7 @@
     }
 
     /// Distributes the first pushes over one interval.
-    pub(crate) fn stagger(&mut self, now: Moment) {
+    pub(crate) fn stagger_pushes(&mut self, now: Moment) {
         let interval = self.push_interval();
         let count = self.hosts.len().max(1) as u32;
         for (index, host) in self.hosts.values_mut().enumerate() {
--- a/crates/kumquatdrum_membership/src/relay.rs
+++ b/crates/kumquatdrum_membership/src/relay.rs
@@ -35,7 +35,7 @@
 }
 
 impl Membership {
-    /// Records that a remote host was heard. Returns `false` for an earlier incarnation of its
+    /// Records a message from a remote host. Returns `false` for an earlier incarnation of its
     /// daemon or an unknown host.
     pub(crate) fn record_remote_contact(&mut self, from: &HostId, boot: BootId) -> bool {
         match self.remote_hosts.get_mut(from) {
--- a/crates/kumquatdrum_membership/src/timing.rs
+++ b/crates/kumquatdrum_membership/src/timing.rs
@@ -48,7 +48,7 @@
 pub const NOTICE_COPIES: usize = 2;
 /// Interval at which unconfirmed leaving notices are resent.
 pub const NOTICE_RETRY: Duration = Duration::from_millis(200);
-/// Time after which leaving notices are left to anti-entropy.
+/// Time after which a leaving notice is no longer resent; anti-entropy then spreads it.
 pub const NOTICE_EXPIRY: Duration = Duration::from_secs(5);
 
 /// Time for which two tables must differ before they are compared.
--- a/crates/kumquatdrum_membership/tests/it/cluster.rs
+++ b/crates/kumquatdrum_membership/tests/it/cluster.rs
@@ -14,7 +14,7 @@
 pub const TICK: Duration = Duration::from_millis(40);
 
 pub struct Daemon {
-    pub core: Membership,
+    pub membership: Membership,
     pub member: Member,
     pub is_up: bool,
     pub frozen_until: Moment,
@@ -96,7 +96,7 @@
 
     fn add(&mut self, member: Member) {
         let daemon = Daemon {
-            core: Membership::new(member.clone(), []),
+            membership: Membership::new(member.clone(), []),
             member: member.clone(),
             is_up: true,
             frozen_until: Moment::ZERO,
@@ -123,7 +123,7 @@
     pub fn start(&mut self, host: &HostId, others: Vec<Member>) {
         let daemon = &mut self.daemons[host];
         daemon.member.boot.0 += 1;
-        daemon.core = Membership::new(daemon.member.clone(), others);
+        daemon.membership = Membership::new(daemon.member.clone(), others);
         daemon.is_up = true;
     }
 
@@ -188,7 +188,7 @@
             return;
         }
         let mut out = Vec::new();
-        daemon.core.step(now, input, &mut out);
+        daemon.membership.step(now, input, &mut out);
         let boot = daemon.member.boot;
         for output in out {
             match output {
@@ -279,13 +279,13 @@
 
     /// Returns the liveness of an endpoint on a host.
     pub fn liveness(&self, host: &HostId, endpoint: &str) -> Option<Liveness> {
-        let record = self.daemons[host].core.endpoint(&endpoint.into())?;
+        let record = self.daemons[host].membership.endpoint(&endpoint.into())?;
         Some(record.liveness)
     }
 
     /// Returns whether a host would dispatch new work to an endpoint.
-    pub fn takes_work(&self, host: &HostId, endpoint: &str) -> bool {
-        let record = self.daemons[host].core.endpoint(&endpoint.into());
+    pub fn accepts_work(&self, host: &HostId, endpoint: &str) -> bool {
+        let record = self.daemons[host].membership.endpoint(&endpoint.into());
         record.is_some_and(|record| {
             record.liveness == Liveness::Alive && !record.announcement.leaving
         })
--- a/crates/kumquatdrum_membership/tests/it/endpoints.rs
+++ b/crates/kumquatdrum_membership/tests/it/endpoints.rs
@@ -16,7 +16,7 @@
     cluster.add_endpoint(announcement("engine", "ikeja"), &receiver);
     cluster.run(seconds(6));
     for host in cluster.hosts_of("ikeja") {
-        assert!(cluster.takes_work(&host, "engine"), "seed {seed}");
+        assert!(cluster.accepts_work(&host, "engine"), "seed {seed}");
     }
     cluster
 }
@@ -43,7 +43,7 @@
     let passed = cluster.network.now - start;
     cluster.run(LEAVING_TIMEOUT.saturating_sub(passed));
     for host in cluster.hosts_of("ikeja") {
-        let is_informed = host == *receiver || !cluster.takes_work(&host, "engine");
+        let is_informed = host == *receiver || !cluster.accepts_work(&host, "engine");
         assert!(is_informed, "{context}: {host} still dispatches work");
     }
 }
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_leaving_notice_counts_after_a_later_renewal() {
+fn a_leaving_notice_is_applied_after_a_later_renewal() {
     let mut cluster = steady_cluster(1, RELIABLE, 2);
     let (receiver, other) = (cluster.host(0), cluster.host(1));
     cluster.endpoints["engine"].is_up = false;
@@ -101,11 +101,11 @@
             }),
         },
     );
-    assert!(!cluster.takes_work(&other, "engine"));
+    assert!(!cluster.accepts_work(&other, "engine"));
 }
 
 #[test]
-fn a_leaving_notice_is_repeated_at_another_host_if_its_receiver_dies_unacknowledged() {
+fn a_leaving_notice_is_resent_to_another_host_if_its_receiver_dies_before_acknowledging() {
     let mut cluster = steady_cluster(3, RELIABLE, 9);
     let (first, second) = (cluster.host(4), cluster.host(5));
     let mut notice = cluster.endpoints["engine"].announcement.clone();
@@ -130,7 +130,7 @@
             hosts
                 .iter()
                 .filter(|host| **host != receiver)
-                .all(|host| !cluster.takes_work(host, "engine"))
+                .all(|host| !cluster.accepts_work(host, "engine"))
         };
         assert!(cluster.run_until(seconds(4), is_informed), "seed {seed}");
     }
@@ -156,14 +156,14 @@
     cluster.run(seconds(2));
     cluster.endpoints["engine"].announcement.leaving = false;
     cluster.run(seconds(2));
-    assert!(!cluster.takes_work(&host, "engine"));
-    assert!(!cluster.takes_work(&other, "engine"));
+    assert!(!cluster.accepts_work(&host, "engine"));
+    assert!(!cluster.accepts_work(&other, "engine"));
     let next = &mut cluster.endpoints["engine"].announcement;
     next.boot = BootId(2);
     next.sequence = 0;
     cluster.run(seconds(2));
-    assert!(cluster.takes_work(&host, "engine"));
-    assert!(cluster.takes_work(&other, "engine"));
+    assert!(cluster.accepts_work(&host, "engine"));
+    assert!(cluster.accepts_work(&other, "engine"));
 }
 
 #[test]
@@ -209,7 +209,7 @@
     let receiver = cluster.host(0);
     cluster.kill(&receiver);
     cluster.endpoints["engine"].is_up = false;
-    // Longer than an endpoint may be silent whose receiver is alive.
+    // Longer than the time after which an endpoint with a live receiver is suspect.
     cluster.run(Duration::from_millis(5_500));
     let other = cluster.host(7);
     let endpoint = &mut cluster.endpoints["engine"];
@@ -218,19 +218,19 @@
     cluster.run(seconds(3));
     for host in cluster.hosts_of("ikeja").iter().skip(1) {
         assert!(!cluster.changes(host, "engine").contains(&Change::Suspect));
-        assert!(cluster.takes_work(host, "engine"));
+        assert!(cluster.accepts_work(host, "engine"));
     }
 }
 
 #[test]
-fn a_stalled_daemon_suspects_nobody_after_it_resumes() {
+fn a_stalled_daemon_raises_no_suspicion_after_it_resumes() {
     let mut cluster = steady_cluster(1, RELIABLE, 3);
     let frozen = cluster.host(2);
     let events = cluster.daemons[&frozen].events.len();
     cluster.daemons[&frozen].frozen_until = cluster.network.now + seconds(30);
     cluster.run(seconds(36));
-    let woken = cluster.daemons[&frozen].events[events..].iter();
-    for (_, event) in woken {
+    let later_events = cluster.daemons[&frozen].events[events..].iter();
+    for (_, event) in later_events {
         let is_bad = matches!(
             event,
             Output::Host { .. }
@@ -241,7 +241,7 @@
         );
         assert!(!is_bad, "{event:?}");
     }
-    assert!(cluster.takes_work(&frozen, "engine"));
+    assert!(cluster.accepts_work(&frozen, "engine"));
 }
 
 #[test]
@@ -307,17 +307,17 @@
         endpoint: EndpointId::new("engine"),
     };
     cluster.input(&host, failed.clone());
-    assert!(cluster.takes_work(&host, "engine"));
+    assert!(cluster.accepts_work(&host, "engine"));
     cluster.input(&host, failed.clone());
     cluster.input(&host, failed);
-    assert!(!cluster.takes_work(&host, "engine"));
+    assert!(!cluster.accepts_work(&host, "engine"));
     cluster.run(seconds(1));
     assert!(
-        !cluster.takes_work(&host, "engine"),
+        !cluster.accepts_work(&host, "engine"),
         "suspicion was lifted too early"
     );
     cluster.run(seconds(3));
-    assert!(cluster.takes_work(&host, "engine"));
+    assert!(cluster.accepts_work(&host, "engine"));
     assert!(
         cluster
             .changes(&host, "engine")
@@ -331,14 +331,14 @@
     let host = cluster.host(0);
     cluster.endpoints["engine"].is_up = false;
     cluster.run(seconds(3));
-    assert!(cluster.takes_work(&host, "engine"));
+    assert!(cluster.accepts_work(&host, "engine"));
     cluster.input(
         &host,
         Input::DispatchFailed {
             endpoint: EndpointId::new("engine"),
         },
     );
-    assert!(!cluster.takes_work(&host, "engine"));
+    assert!(!cluster.accepts_work(&host, "engine"));
 }
 
 #[test]
@@ -370,7 +370,7 @@
         cluster.run(seconds(1));
     }
     let record = cluster.daemons[&other]
-        .core
+        .membership
         .endpoint(&EndpointId::new("engine"));
     let known = load_of(&record.unwrap().announcement.kind).unwrap();
     assert_eq!((known.sequence, known.running), (500, 3));
@@ -388,7 +388,7 @@
     cluster
 }
 
-/// Checks the size of pushes and that all of 25 hosts know all of 300 endpoints as alive.
+/// Checks the size of pushes, and that 300 endpoints are alive and never suspect on all 25 hosts.
 fn check_large_cluster(receivers: usize) {
     let mut cluster = large_cluster(1, receivers);
     cluster.run(seconds(9));
@@ -396,9 +396,9 @@
     cluster.run(seconds(5));
     assert!(cluster.largest_push <= 1_600, "{}", cluster.largest_push);
     for (host, daemon) in &cluster.daemons {
-        assert_eq!(daemon.core.endpoints().count(), 300, "{host}");
+        assert_eq!(daemon.membership.endpoints().count(), 300, "{host}");
         let is_alive = |record: &kumquatdrum_membership::Record| record.liveness == Liveness::Alive;
-        assert!(daemon.core.endpoints().all(is_alive), "{host}");
+        assert!(daemon.membership.endpoints().all(is_alive), "{host}");
         let is_suspicion = |(_, event): &(_, Output)| {
             matches!(
                 event,
@@ -413,7 +413,7 @@
 }
 
 #[test]
-fn pushes_keep_to_their_bytes_and_nobody_is_suspected_at_the_target_size() {
+fn pushes_stay_within_their_size_limit_and_no_endpoint_is_suspected_at_the_target_size() {
     check_large_cluster(25);
 }
 
@@ -434,6 +434,6 @@
     cluster.announce(&receiver, notice);
     cluster.run(LEAVING_TIMEOUT);
     for host in cluster.hosts_of("hall-raatuse") {
-        assert!(!cluster.takes_work(&host, "engine-250"), "{host}");
+        assert!(!cluster.accepts_work(&host, "engine-250"), "{host}");
     }
 }
--- a/crates/kumquatdrum_membership/tests/it/hosts.rs
+++ b/crates/kumquatdrum_membership/tests/it/hosts.rs
@@ -11,7 +11,7 @@
 const DATA_CENTRES: [&str; 3] = ["ikeja", "lekki", "marina"];
 
 fn condition(cluster: &Cluster, on: &HostId, of: &HostId) -> Condition {
-    let mut hosts = cluster.daemons[on].core.hosts();
+    let mut hosts = cluster.daemons[on].membership.hosts();
     let peer = hosts.find(|peer| peer.member.host == *of);
     peer.expect("known").condition
 }
@@ -129,19 +129,19 @@
     cluster.run(seconds(16));
     for daemon in cluster.daemons.values() {
         let others: Vec<u32> = daemon
-            .core
+            .membership
             .summaries()
             .map(|summary| summary.services[0].alive)
             .collect();
         assert_eq!(others, [5, 5], "summaries of the two others");
-        assert_eq!(daemon.core.cut_off().count(), 0);
+        assert_eq!(daemon.membership.cut_off().count(), 0);
     }
     cluster.cut_off("lekki");
     cluster.run(seconds(60));
     for host in cluster.hosts_of("lekki") {
         for number in 0..5 {
             let name = format!("lekki-engine-{number}");
-            assert!(cluster.takes_work(&host, &name), "{host} {name}");
+            assert!(cluster.accepts_work(&host, &name), "{host} {name}");
         }
         for other in ["ikeja", "marina"] {
             assert!(
@@ -155,7 +155,7 @@
     }
     for host in cluster.hosts_of("ikeja") {
         let cut_off: Vec<&str> = cluster.daemons[&host]
-            .core
+            .membership
             .cut_off()
             .map(DataCentre::as_str)
             .collect();
@@ -164,7 +164,7 @@
     cluster.network.heal();
     cluster.run(seconds(8));
     for daemon in cluster.daemons.values() {
-        assert_eq!(daemon.core.cut_off().count(), 0);
+        assert_eq!(daemon.membership.cut_off().count(), 0);
     }
 }
 
@@ -190,7 +190,7 @@
     cluster.kill(&relay);
     cluster.run(seconds(30));
     let next = cluster.hosts_of("ikeja")[1].clone();
-    assert!(cluster.daemons[&next].core.is_relay());
+    assert!(cluster.daemons[&next].membership.is_relay());
     for host in cluster.hosts_of("lekki") {
         assert!(
             !has_reported(&cluster, &host, "ikeja", Reachability::CutOff),
@@ -218,11 +218,11 @@
     cluster.run(seconds(60));
     for (host, daemon) in &cluster.daemons {
         let is_known = daemon
-            .core
+            .membership
             .hosts()
             .any(|peer| peer.member.host == unlisted.host);
         assert!(is_known || *host == unlisted.host, "{host}");
-        assert_eq!(daemon.core.hosts().count(), 9, "{host}");
+        assert_eq!(daemon.membership.hosts().count(), 9, "{host}");
     }
     let is_reported = cluster.daemons[&cluster.host(0)]
         .events
@@ -243,7 +243,7 @@
     cluster.restart(&moved);
     cluster.run(Duration::from_secs(40));
     for (host, daemon) in cluster.daemons.iter().filter(|(host, _)| **host != moved) {
-        let mut hosts = daemon.core.hosts();
+        let mut hosts = daemon.membership.hosts();
         let peer = hosts.find(|peer| peer.member.host == moved).unwrap();
         assert_eq!(peer.member.address, address, "{host}");
     }
--- a/crates/kumquatdrum_membership/tests/it/propagation.rs
+++ b/crates/kumquatdrum_membership/tests/it/propagation.rs
@@ -51,13 +51,13 @@
 }
 
 #[test]
-fn a_version_is_in_force_everywhere_within_a_second_and_control_replicas_know() {
+fn a_version_is_in_force_everywhere_within_a_second_and_control_replicas_record_it() {
     let mut cluster = steady_cluster(1, RELIABLE);
     let version = accept(&mut cluster);
     let is_done = |cluster: &Cluster| cluster.is_everywhere(version);
     assert!(cluster.run_until(seconds(1), is_done));
     let replica = cluster.control_replicas[1].clone();
-    let is_known = |cluster: &Cluster| cluster.knows_everywhere(&replica, version);
+    let is_known = |cluster: &Cluster| cluster.knows_version_is_everywhere(&replica, version);
     assert!(cluster.run_until(Duration::from_millis(500), is_known));
 }
 
@@ -89,15 +89,15 @@
     cluster.run(seconds(1));
     let version = accept(&mut cluster);
     cluster.start(&host);
-    let is_ready = |cluster: &Cluster| cluster.hosts[&host].core.is_ready();
+    let is_ready = |cluster: &Cluster| cluster.hosts[&host].propagation.is_ready();
     assert!(!is_ready(&cluster));
     assert!(cluster.run_until(seconds(3), is_ready));
-    assert_eq!(cluster.hosts[&host].core.version(), version);
+    assert_eq!(cluster.hosts[&host].propagation.version(), version);
     assert_eq!(first_confirmation(&cluster, &host), Some(true));
 }
 
 #[test]
-fn a_host_that_restarts_while_cut_off_serves_its_neighbours_version_unconfirmed() {
+fn a_host_that_restarts_while_cut_off_serves_an_unconfirmed_version_from_its_data_centre() {
     let mut cluster = steady_cluster(1, RELIABLE);
     let host = cluster.host(8);
     cluster.cut_off("dc-02");
@@ -106,7 +106,7 @@
     cluster.kill(&host);
     cluster.start(&host);
     cluster.run(seconds(8));
-    assert_eq!(cluster.hosts[&host].core.version(), Version(1));
+    assert_eq!(cluster.hosts[&host].propagation.version(), Version(1));
     assert_eq!(first_confirmation(&cluster, &host), Some(false));
 }
 
@@ -121,11 +121,11 @@
     cluster.kill(&host);
     cluster.start(&host);
     cluster.run(seconds(60));
-    assert!(!cluster.hosts[&host].core.is_ready());
+    assert!(!cluster.hosts[&host].propagation.is_ready());
 }
 
 #[test]
-fn a_cut_off_data_centre_reports_since_when_and_catches_up() {
+fn a_cut_off_data_centre_reports_the_time_of_the_cut_off_and_catches_up() {
     let mut cluster = steady_cluster(1, RELIABLE);
     cluster.run(seconds(5));
     let cut_at = cluster.network.now;
@@ -134,19 +134,19 @@
     let version = accept(&mut cluster);
     cluster.run(seconds(3));
     for (id, host) in &cluster.hosts {
-        let since = host.core.cut_off_since();
+        let since = host.propagation.cut_off_since();
         let is_inside = host.data_centre.as_str() == "dc-02";
         assert_eq!(since.is_some(), is_inside, "{id}");
         let is_close = since.is_none_or(|since| since - cut_at < seconds(1));
         assert!(is_close, "{id}: {since:?}");
         let expected = if is_inside { Version(1) } else { version };
-        assert_eq!(host.core.version(), expected, "{id}");
+        assert_eq!(host.propagation.version(), expected, "{id}");
     }
     cluster.network.heal();
     cluster.run(seconds(6));
     assert!(cluster.is_everywhere(version));
     for (id, host) in &cluster.hosts {
-        assert_eq!(host.core.cut_off_since(), None, "{id}");
+        assert_eq!(host.propagation.cut_off_since(), None, "{id}");
     }
 }
 
@@ -160,22 +160,30 @@
     cluster.run(seconds(11));
     for (id, host) in &cluster.hosts {
         let is_inside = host.data_centre.as_str() == "dc-03";
-        assert_eq!(host.core.cut_off_since().is_some(), is_inside, "{id}");
+        assert_eq!(
+            host.propagation.cut_off_since().is_some(),
+            is_inside,
+            "{id}"
+        );
     }
     cluster.run(seconds(5));
     let version = accept(&mut cluster);
     cluster.run(seconds(6));
     for (id, host) in &cluster.hosts {
         let is_inside = host.data_centre.as_str() == "dc-03";
-        assert_eq!(host.core.cut_off_since().is_some(), is_inside, "{id}");
-        assert_eq!(host.core.version() != version, is_inside, "{id}");
+        assert_eq!(
+            host.propagation.cut_off_since().is_some(),
+            is_inside,
+            "{id}"
+        );
+        assert_eq!(host.propagation.version() != version, is_inside, "{id}");
     }
     cluster.network.heal();
     cluster.run(seconds(4));
     assert!(cluster.is_everywhere(version));
     cluster.run(seconds(2));
     for (id, host) in &cluster.hosts {
-        assert_eq!(host.core.cut_off_since(), None, "{id}");
+        assert_eq!(host.propagation.cut_off_since(), None, "{id}");
     }
 }
 
@@ -202,7 +210,7 @@
             message: Message::Transfer(transfer),
         };
         cluster.input(&host, input);
-        assert_eq!(cluster.hosts[&host].core.version(), Version(1));
+        assert_eq!(cluster.hosts[&host].propagation.version(), Version(1));
     }
 }
 
@@ -214,8 +222,9 @@
         cluster.run(seconds(8));
         let relay = HostId::new("dc-03-00");
         let version = accept(&mut cluster);
-        let has_it = |cluster: &Cluster| cluster.hosts[&relay].core.version() == version;
-        assert!(cluster.run_until(seconds(2), has_it));
+        let has_version =
+            |cluster: &Cluster| cluster.hosts[&relay].propagation.version() == version;
+        assert!(cluster.run_until(seconds(2), has_version));
         cluster.kill(&relay);
         let is_done = |cluster: &Cluster| cluster.is_everywhere(version);
         assert!(cluster.run_until(seconds(4), is_done), "seed {seed}");
@@ -297,7 +306,7 @@
         assert!(cluster.run_until(seconds(8), is_done), "seed {seed}");
         check(&cluster, seed);
         let replica = cluster.control_replicas[0].clone();
-        let is_known = |cluster: &Cluster| cluster.knows_everywhere(&replica, version);
+        let is_known = |cluster: &Cluster| cluster.knows_version_is_everywhere(&replica, version);
         assert!(cluster.run_until(seconds(8), is_known), "seed {seed}");
     }
 }
@@ -312,7 +321,7 @@
         cluster.run(seconds(5));
         let version = cluster.accept(text(2));
         cluster.apply(&cluster.control_replicas[leader].clone());
-        // The followers learn of the commit with the next heartbeat, after the propagation.
+        // The followers receive the commit with the next heartbeat, after the propagation.
         cluster.run(Duration::from_millis(100));
         cluster.apply_all();
         let is_done = |cluster: &Cluster| cluster.is_everywhere(version);
--- a/crates/kumquatdrum_membership/tests/it/propagation_cluster.rs
+++ b/crates/kumquatdrum_membership/tests/it/propagation_cluster.rs
@@ -15,7 +15,7 @@
 const TICKS_PER_STATUS: u32 = 25;
 
 pub struct Host {
-    pub core: Propagation,
+    pub propagation: Propagation,
     pub data_centre: DataCentre,
     pub boot: BootId,
     pub is_up: bool,
@@ -87,7 +87,7 @@
             stored: None,
         };
         let state = Host {
-            core: Propagation::new(config),
+            propagation: Propagation::new(config),
             data_centre,
             boot: BootId(0),
             is_up: true,
@@ -109,7 +109,7 @@
         state.is_up = true;
         state.status = None;
         state.events.clear();
-        state.core = Propagation::new(Config {
+        state.propagation = Propagation::new(Config {
             host: host.clone(),
             data_centre: state.data_centre.clone(),
             boot: state.boot,
@@ -183,11 +183,11 @@
             return;
         }
         let boot = state.boot;
-        let before = state.core.version();
+        let before = state.propagation.version();
         let mut out = Vec::new();
-        state.core.step(now, input, &mut out);
+        state.propagation.step(now, input, &mut out);
         assert!(
-            state.core.version() >= before,
+            state.propagation.version() >= before,
             "{host} returned to a lower version"
         );
         for output in out {
@@ -289,7 +289,7 @@
     /// Reports a majority at a replica that is up to date and in contact with one.
     fn input_majority(&mut self, replica: &HostId) {
         let accepted = self.accepted.last().map_or(Version(0), |last| last.version);
-        if self.has_majority(replica) && self.hosts[replica].core.version() == accepted {
+        if self.has_majority(replica) && self.hosts[replica].propagation.version() == accepted {
             self.input(replica, Input::Majority);
         }
     }
@@ -337,12 +337,12 @@
 
     pub fn is_everywhere(&self, version: Version) -> bool {
         let mut up = self.hosts.values().filter(|host| host.is_up);
-        up.all(|host| host.core.version() == version && host.core.is_ready())
+        up.all(|host| host.propagation.version() == version && host.propagation.is_ready())
     }
 
     /// Returns whether a host knows that all hosts have a version.
-    pub fn knows_everywhere(&self, host: &HostId, version: Version) -> bool {
-        let installations = self.hosts[host].core.installations();
+    pub fn knows_version_is_everywhere(&self, host: &HostId, version: Version) -> bool {
+        let installations = self.hosts[host].propagation.installations();
         let count = installations
             .filter(|(_, known)| known.version == version)
             .count();
--- a/crates/kumquatdrum_membership/tests/it/schedules.rs
+++ b/crates/kumquatdrum_membership/tests/it/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults: records never go back, and all hosts agree after healing.
+//! Random schedules of faults: records never revert, and all hosts agree after healing.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -18,7 +18,7 @@
 
 fn check(cluster: &Cluster, known: &mut Known, seed: u64) {
     for (host, daemon) in &cluster.daemons {
-        for record in daemon.core.endpoints() {
+        for record in daemon.membership.endpoints() {
             let now = &record.announcement;
             let key = (host.clone(), daemon.member.boot, now.endpoint.clone());
             let current = (now.boot, now.sequence, now.leaving);
@@ -28,9 +28,9 @@
             };
             let is_forward = (boot, sequence) <= (now.boot, now.sequence);
             assert!(is_forward, "seed {seed}: {host} reverted to {now:?}");
-            let stays = boot != now.boot || !leaving || now.leaving;
+            let keeps_leaving = boot != now.boot || !leaving || now.leaving;
             assert!(
-                stays,
+                keeps_leaving,
                 "seed {seed}: {host} lost the leaving flag of {now:?}"
             );
         }
@@ -74,12 +74,12 @@
 }
 
 #[test]
-fn records_never_go_back_and_converge_after_healing_seeds_0_to_49() {
+fn records_never_revert_and_converge_after_healing_seeds_0_to_49() {
     run_seeds(0..50);
 }
 
 #[test]
-fn records_never_go_back_and_converge_after_healing_seeds_50_to_99() {
+fn records_never_revert_and_converge_after_healing_seeds_50_to_99() {
     run_seeds(50..100);
 }
 
@@ -103,10 +103,10 @@
         check(&cluster, &mut known, seed);
         for endpoint in cluster.endpoints.values() {
             let id = endpoint.announcement.endpoint.as_str();
-            let takes_work = endpoint.is_up && !endpoint.announcement.leaving;
+            let accepts_work = endpoint.is_up && !endpoint.announcement.leaving;
             for host in cluster.hosts_of("ikeja") {
                 let context = format!("seed {seed}: {id} on {host}");
-                assert_eq!(cluster.takes_work(&host, id), takes_work, "{context}");
+                assert_eq!(cluster.accepts_work(&host, id), accepts_work, "{context}");
                 let is_gone = !matches!(
                     cluster.liveness(&host, id),
                     Some(Liveness::Alive | Liveness::Suspect)
--- a/crates/kumquatdrum_orders/src/bucket.rs
+++ b/crates/kumquatdrum_orders/src/bucket.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Whether a load is permitted now.
+    /// Returns whether a load is permitted now.
     pub fn has_token(&self, now: Moment) -> bool {
         now >= self.next_token_at
     }
--- a/crates/kumquatdrum_orders/src/endpoint.rs
+++ b/crates/kumquatdrum_orders/src/endpoint.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct Probe {
     pub sent_at: Moment,
-    /// Sent before this term or to an earlier boot of the engine; the report is discarded.
+    /// Sent before this term or to an earlier incarnation of the engine; the report is discarded.
     pub is_stale: bool,
 }
 
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Resets the state for a new boot of the engine, keeping what is in flight.
+    /// Resets the state for a new incarnation of the engine, but keeps the order and probe in
+    /// flight.
     pub fn reset_for_boot(&mut self, now: Moment, boot: BootId, service: ServiceName) {
         let pending = self.pending_order.take();
         let probe = self.probe.take();
@@ -72,7 +73,7 @@
         self.mark_probe_stale();
     }
 
-    /// Discards what was learnt in an earlier term.
+    /// Resets the state for a new term, but keeps the order and probe in flight.
     pub fn reset(&mut self, now: Moment) {
         self.reset_for_boot(now, self.boot, self.service.clone());
     }
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Whether no order and no probe is in flight.
+    /// Returns whether no order and no probe is in flight.
     pub const fn is_idle(&self) -> bool {
         self.pending_order.is_none() && self.probe.is_none()
     }
 
-    /// Whether the engine may refuse requests because of a model load.
+    /// Returns whether the engine may refuse requests because of a model load.
     pub fn is_loading(&self) -> bool {
         let loads = |order: &Order| matches!(order.action, Action::LoadModel { .. });
         let reported = |(report, _): &(Report, Moment)| report.role == Role::Loading;
@@ -97,13 +98,13 @@
             || self.report.as_ref().is_some_and(reported)
     }
 
-    /// Whether the last report says standby and no order is in flight.
+    /// Returns whether the last report shows the standby role and no order is in flight.
     pub fn is_standby(&self) -> bool {
         let reported = |(report, _): &(Report, Moment)| report.role == Role::Standby;
         self.pending_order.is_none() && self.report.as_ref().is_some_and(reported)
     }
 
-    /// Whether the last report says that the engine serves `model`.
+    /// Returns whether the last report shows that the engine serves `model`.
     pub fn is_serving(&self, model: &str) -> bool {
         let Some((report, _)) = &self.report else {
             return false;
--- a/crates/kumquatdrum_orders/src/input.rs
+++ b/crates/kumquatdrum_orders/src/input.rs
@@ -49,7 +49,7 @@
     Announced {
         /// The engine's name.
         endpoint: EndpointId,
-        /// The engine's boot.
+        /// The engine's incarnation.
         boot: BootId,
         /// The service that the engine announces.
         service: ServiceName,
--- a/crates/kumquatdrum_orders/src/lib.rs
+++ b/crates/kumquatdrum_orders/src/lib.rs
@@ -1,4 +1,4 @@
-//! Core: orders that bring engines to the models and adapters of the declaration.
+//! Orders that make engines load and serve the models and adapters of the declaration.
 //!
 //! [`Reconciler`] runs on the control leader. It compares the declaration in force with the
 //! engines' reports and issues orders for the difference. It has no clock and does no I/O.
--- a/crates/kumquatdrum_orders/src/order.rs
+++ b/crates/kumquatdrum_orders/src/order.rs
@@ -62,14 +62,14 @@
     Loading,
 }
 
-/// An order to one boot of an engine.
+/// An order to one incarnation of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// The order's identifier.
     pub id: OrderId,
-    /// The engine that is ordered.
+    /// The engine that receives the order.
     pub endpoint: EndpointId,
-    /// The boot that the order is for; an engine on any other boot refuses it.
+    /// The incarnation that the order is for; any other incarnation refuses it.
     pub boot: BootId,
     /// The ordered change.
     pub action: Action,
@@ -81,7 +81,7 @@
 /// An engine's report of its loaded model, adapters and role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The engine's boot.
+    /// The engine's incarnation.
     pub boot: BootId,
     /// The loaded model; `None` before the first load.
     pub model: Option<ModelName>,
@@ -94,7 +94,7 @@
 }
 
 impl Order {
-    /// Whether the order can still be sent. Checked right before the bytes are written.
+    /// Returns whether the order can still be sent. Checked right before the bytes are written.
     ///
     /// ```
     /// use kumquatdrum_orders::{Action, Order, OrderId};
@@ -115,12 +115,12 @@
 }
 
 impl Action {
-    /// Whether the action reads from the weight store.
+    /// Returns whether the action reads from the weight store.
     pub(crate) const fn is_load(&self) -> bool {
         matches!(self, Self::LoadModel { .. } | Self::LoadAdapter(_))
     }
 
-    /// Whether a report shows the action's effect.
+    /// Returns whether a report shows the action's effect.
     pub(crate) fn is_done(&self, report: &Report) -> bool {
         match self {
             // Reports hold no fencing token; the order's answer confirms it.
--- a/crates/kumquatdrum_orders/src/output.rs
+++ b/crates/kumquatdrum_orders/src/output.rs
@@ -41,9 +41,9 @@
 /// An entry of the audit log about one order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// The step.
+    /// The step in the order's life cycle.
     pub event: Event,
-    /// The engine that is ordered.
+    /// The engine that receives the order.
     pub endpoint: EndpointId,
     /// The order's identifier; `None` if no order was issued.
     pub order: Option<OrderId>,
--- a/crates/kumquatdrum_orders/src/reconciler.rs
+++ b/crates/kumquatdrum_orders/src/reconciler.rs
@@ -443,7 +443,7 @@
     }
 }
 
-/// Whether the backoff after an action's last failure is over.
+/// Returns whether the backoff after an action's last failure is over.
 fn can_retry(now: Moment, endpoint: &Endpoint, action: &Action) -> bool {
     let last = endpoint.last_attempt.as_ref();
     let mut last = last
--- a/crates/kumquatdrum_orders/src/rule.rs
+++ b/crates/kumquatdrum_orders/src/rule.rs
@@ -13,7 +13,7 @@
     index.model_of(index.service(service.as_str())?)
 }
 
-/// Whether an engine refuses old fencing tokens. Undeclared engines count as ignoring them.
+/// Returns whether an engine refuses old fencing tokens; `false` for undeclared engines.
 pub fn checks_fencing(index: &Index, id: &EndpointId) -> bool {
     index
         .endpoint(id.as_str())
@@ -21,11 +21,11 @@
 }
 
 /// Returns the next action that brings an engine to its declared model; `None` if it is as
-/// declared or loading. `count_engaged` counts the engines that serve the model or may soon.
+/// declared or loading. `count_active` counts the engines that serve the model or may soon.
 pub fn next_action(
     report: &Report,
     model: &Model,
-    count_engaged: impl Fn() -> u32,
+    count_active: impl Fn() -> u32,
 ) -> Option<Action> {
     match report.role {
         Role::Loading => None,
@@ -33,7 +33,7 @@
             model: model.name.clone(),
             version: model.version.clone(),
         }),
-        Role::Standby if count_engaged() < model.replicas => Some(Action::ChangeRole {
+        Role::Standby if count_active() < model.replicas => Some(Action::ChangeRole {
             role: Role::Serving,
         }),
         _ => load_missing_adapter(report, model).or_else(|| unload_surplus_adapter(report, model)),
--- a/crates/kumquatdrum_orders/src/settings.rs
+++ b/crates/kumquatdrum_orders/src/settings.rs
@@ -18,7 +18,7 @@
     pub initial_backoff: Duration,
     /// The upper bound of the backoff.
     pub max_backoff: Duration,
-    /// The probe interval of engines whose model differs from the declaration somewhere.
+    /// The probe interval of engines whose model isn't yet as declared on all of its engines.
     pub changing_probe_interval: Duration,
     /// The probe interval of all other engines.
     pub idle_probe_interval: Duration,
--- a/crates/kumquatdrum_orders/src/view.rs
+++ b/crates/kumquatdrum_orders/src/view.rs
@@ -8,7 +8,7 @@
 use crate::{Action, Reconciler, Report, rule};
 
 impl Reconciler {
-    /// Whether orders of earlier leaders can't take effect at an engine any more.
+    /// Returns whether orders of earlier leaders can no longer take effect at an engine.
     pub(crate) fn is_takeover_complete(
         &self,
         now: Moment,
@@ -47,15 +47,15 @@
 
     /// Counts the engines of a model that serve or may soon serve: all but those known to be on
     /// standby.
-    fn count_engaged(&self, model: &Model) -> u32 {
-        let is_engaged = |(id, endpoint): &(&EndpointId, &Endpoint)| {
+    fn count_active(&self, model: &Model) -> u32 {
+        let is_active = |(id, endpoint): &(&EndpointId, &Endpoint)| {
             let target = self
                 .index()
                 .and_then(|index| rule::target(index, id, endpoint));
             let is_assigned = target.is_some_and(|target| target.name == model.name);
             is_assigned && endpoint.is_present && !endpoint.is_standby()
         };
-        self.endpoints.iter().filter(is_engaged).count() as u32
+        self.endpoints.iter().filter(is_active).count() as u32
     }
 
     /// Returns the next action for an engine, whether or not it can be ordered now.
@@ -66,7 +66,7 @@
     ) -> Option<(&Model, Action)> {
         let model = rule::target(self.index()?, id, endpoint)?;
         let (report, _) = endpoint.report.as_ref()?;
-        let action = rule::next_action(report, model, || self.count_engaged(model))?;
+        let action = rule::next_action(report, model, || self.count_active(model))?;
         Some((model, action))
     }
 
@@ -82,7 +82,7 @@
         models
     }
 
-    /// Returns the model that an engine should serve and the one that it has loaded.
+    /// Returns the model that an engine should serve and the one that it has loaded, if any.
     pub(crate) fn models_of<'a>(
         &'a self,
         id: &EndpointId,
@@ -93,8 +93,8 @@
             .and_then(|index| rule::target(index, id, endpoint));
         let target = target.map(|model| &model.name);
         let report = endpoint.report.as_ref();
-        let held = report.and_then(|(report, _)| report.model.as_ref());
-        target.into_iter().chain(held)
+        let loaded = report.and_then(|(report, _)| report.model.as_ref());
+        target.into_iter().chain(loaded)
     }
 
     /// Returns the time after which an order to an engine must not be sent.
@@ -123,7 +123,7 @@
         (is_load && is_declared && endpoint.is_serving(model.as_str())).then_some(model)
     }
 
-    /// Whether an action takes down the last engine that is known to serve its model.
+    /// Returns whether an action takes down the last engine that is known to serve its model.
     pub(crate) fn is_last_replica(
         &self,
         now: Moment,
@@ -134,17 +134,17 @@
         let Some(model) = self.displaced_model(endpoint, action) else {
             return false;
         };
-        let remains = |(other, state): (&EndpointId, &Endpoint)| {
+        let is_remaining = |(other, state): (&EndpointId, &Endpoint)| {
             other != id
                 && !state.is_loading()
                 && state.is_serving(model.as_str())
                 && self.valid_report(now, state).is_some()
                 && self.is_takeover_complete(now, other, state)
         };
-        !self.endpoints.iter().any(remains)
+        !self.endpoints.iter().any(is_remaining)
     }
 
-    /// Whether another replica of the model that an action takes down is already loading.
+    /// Returns whether another replica of the model that an action takes down is already loading.
     pub(crate) fn is_other_replica_loading(
         &self,
         id: &EndpointId,
@@ -158,7 +158,9 @@
         others.any(|(other, state)| {
             state.is_present
                 && state.is_loading()
-                && self.models_of(other, state).any(|held| held == model)
+                && self
+                    .models_of(other, state)
+                    .any(|other_model| other_model == model)
         })
     }
 }
--- a/crates/kumquatdrum_orders/tests/convergence.rs
+++ b/crates/kumquatdrum_orders/tests/convergence.rs
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn the_model_with_the_fewest_replicas_goes_first() {
+fn the_model_with_the_lowest_share_of_serving_replicas_is_loaded_first() {
     for seed in 0..10 {
         let mut all = engines(3, |_| true);
         for index in 0..2 {
--- a/crates/kumquatdrum_orders/tests/support/mod.rs
+++ b/crates/kumquatdrum_orders/tests/support/mod.rs
@@ -107,7 +107,7 @@
     }
 }
 
-/// A host that can lead, with a clock of its own rate.
+/// A host that can lead, with its own clock offset and rate.
 pub struct Leader {
     pub reconciler: Reconciler,
     pub rate_permille: u64,
@@ -143,7 +143,7 @@
     pub at: u64,
     pub endpoint: EndpointId,
     pub order: Order,
-    /// Other engines that served the model at that time; `None` if the order took down no replica.
+    /// Number of other engines that served the model; `None` if the order took down no replica.
     pub remaining: Option<usize>,
 }
 
@@ -340,7 +340,9 @@
     fn deliver_packet(&mut self, packet: Packet) {
         match packet {
             Packet::Unsent(index, order) => self.send(index, order),
-            Packet::Order(index, order, answered) => self.deliver_order(index, &order, answered),
+            Packet::Order(index, order, is_answered) => {
+                self.deliver_order(index, &order, is_answered);
+            }
             Packet::Answer(index, id, answer) => {
                 self.step_leader(index, Input::Answered(id, answer));
             }
@@ -358,27 +360,27 @@
         }
         self.sent.push((self.now, order.clone()));
         let is_partitioned = self.partition == Some((index, order.endpoint.clone()));
-        let lost = is_partitioned || self.roll(self.faults.lost_orders);
-        let answered = !lost && !self.roll(self.faults.lost_answers);
+        let is_lost = is_partitioned || self.roll(self.faults.lost_orders);
+        let is_answered = !is_lost && !self.roll(self.faults.lost_answers);
         let delay = self.random_below(DELIVERY_TIMEOUT_MS - STEP_MS);
-        if !answered {
+        if !is_answered {
             let reason = "timeout".to_owned();
             let answer = Answer::Lost { reason };
             self.schedule(DELIVERY_TIMEOUT_MS, Packet::Answer(index, order.id, answer));
         }
-        if !lost {
-            self.schedule(delay, Packet::Order(index, order, answered));
+        if !is_lost {
+            self.schedule(delay, Packet::Order(index, order, is_answered));
         }
     }
 
-    fn deliver_order(&mut self, index: usize, order: &Order, answered: bool) {
+    fn deliver_order(&mut self, index: usize, order: &Order, is_answered: bool) {
         let now = self.now;
         let id = order.endpoint.clone();
-        let taken = self.engines[&id].model.clone();
-        let taken = taken.filter(|model| self.engines[&id].is_serving(now, model));
+        let served_model = self.engines[&id].model.clone();
+        let served_model = served_model.filter(|model| self.engines[&id].is_serving(now, model));
         let is_load = matches!(order.action, Action::LoadModel { .. });
         let others = self.engines.iter().filter(|(other, _)| **other != id);
-        let remaining = taken.filter(|_| is_load).map(|model| {
+        let remaining = served_model.filter(|_| is_load).map(|model| {
             let serving = others.filter(|(_, engine)| engine.is_serving(now, &model));
             serving.count()
         });
@@ -397,7 +399,7 @@
                 remaining,
             });
         }
-        if answered {
+        if is_answered {
             self.schedule(STEP_MS, Packet::Answer(index, order.id, answer));
         }
     }
@@ -406,9 +408,12 @@
         let engine = &self.engines[&id];
         let is_up = self.now >= engine.down_until;
         let report = is_up.then(|| engine.report());
-        let lost = self.roll(self.faults.lost_probes);
+        let is_lost = self.roll(self.faults.lost_probes);
         let delay = self.random_below(50);
-        self.schedule(delay, Packet::Report(index, id, report.filter(|_| !lost)));
+        self.schedule(
+            delay,
+            Packet::Report(index, id, report.filter(|_| !is_lost)),
+        );
     }
 
     pub fn count_step_downs(&self) -> usize {
--- a/crates/kumquatdrum_orders/tests/takeover.rs
+++ b/crates/kumquatdrum_orders/tests/takeover.rs
@@ -11,7 +11,7 @@
     seed: u64,
     count: usize,
     checks_fencing: impl Fn(usize) -> bool,
-    transfer: bool,
+    is_transfer: bool,
     successor_ms: u64,
 ) -> Simulation {
     let engines = engines(count, checks_fencing);
@@ -33,14 +33,14 @@
         assert!(simulation.now < 120_000, "seed {seed}: no load was ordered");
     }
     simulation.leaders[0].renews_lease = false;
-    // Leaves the successor a change that needs no token of the weight store.
+    // Leaves the successor an adapter to unload, which needs no token of the weight store.
     let (_, last) = simulation.engines.last_mut().expect("some engines");
     "2".clone_into(&mut last.version);
     last.loading = None;
     last.adapters = ["nails", "surplus"].map(adapter).to_vec();
     let voter_rate = 955 + simulation.random_below(91);
     // A transfer releases the lease at once; otherwise a voter's election timeout must pass.
-    let election = if transfer {
+    let election = if is_transfer {
         0
     } else {
         ELECTION_MS * 1_000 / voter_rate
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn engines_that_check_refuse_a_woken_leader_and_it_steps_down() {
+fn engines_that_check_fencing_tokens_refuse_a_resumed_leader_and_it_steps_down() {
     let mut stepped_down = 0;
     for seed in 0..40 {
         let simulation = freeze_and_resume(seed, 4, |_| true, seed % 2 == 0, 26_000);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn mixed_engines_never_lose_their_last_replica_over_a_takeover() {
+fn a_model_on_mixed_engines_never_loses_its_last_replica_during_a_takeover() {
     for seed in 0..40 {
         let simulation = freeze_and_resume(seed, 2, |index| index % 2 == 0, seed % 3 == 0, 45_000);
         assert_eq!(count_superseded_effects(&simulation), 0, "seed {seed}");
--- a/crates/kumquatdrum_peer/src/client.rs
+++ b/crates/kumquatdrum_peer/src/client.rs
@@ -94,7 +94,7 @@
             Some(entry) if body.len() <= BODY_LIMIT_BYTES => entry.peer.push(channel, body),
             _ => 1,
         };
-        self.local.counters.dropped(channel, dropped);
+        self.local.counters.record_dropped(channel, dropped);
     }
 
     /// Sends a request and waits for its response for at most `limit`.
--- a/crates/kumquatdrum_peer/src/counters.rs
+++ b/crates/kumquatdrum_peer/src/counters.rs
@@ -52,14 +52,14 @@
         }
     }
 
-    pub(crate) fn sent(&self, channel: Channel, messages: usize, bytes: usize) {
+    pub(crate) fn record_sent(&self, channel: Channel, messages: usize, bytes: usize) {
         let cell = &self.channels[channel.index()];
         cell.messages_sent
             .fetch_add(messages as u64, Ordering::Relaxed);
         cell.bytes_sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    pub(crate) fn received(&self, channel: Channel, messages: usize, bytes: usize) {
+    pub(crate) fn record_received(&self, channel: Channel, messages: usize, bytes: usize) {
         let cell = &self.channels[channel.index()];
         cell.messages_received
             .fetch_add(messages as u64, Ordering::Relaxed);
@@ -67,7 +67,7 @@
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    pub(crate) fn dropped(&self, channel: Channel, messages: usize) {
+    pub(crate) fn record_dropped(&self, channel: Channel, messages: usize) {
         self.channels[channel.index()]
             .messages_dropped
             .fetch_add(messages as u64, Ordering::Relaxed);
--- a/crates/kumquatdrum_peer/src/handler.rs
+++ b/crates/kumquatdrum_peer/src/handler.rs
@@ -10,9 +10,9 @@
 
 /// Processes messages from peers that have been authenticated by the cluster secret.
 pub trait Handler: Send + Sync {
-    /// Processes a message without response. Must not block.
+    /// Processes a message that has no response. Must not block.
     fn deliver(&self, from: &Identity, channel: Channel, body: Bytes);
 
-    /// Responds to a request. The future is dropped if the caller disconnects.
+    /// Responds to a request. The future is dropped if the peer disconnects.
     fn answer(&self, from: &Identity, channel: Channel, body: Bytes) -> Answer<'_>;
 }
--- a/crates/kumquatdrum_peer/src/peer.rs
+++ b/crates/kumquatdrum_peer/src/peer.rs
@@ -76,14 +76,14 @@
         let size = frame.encoded_len();
         let sent = async {
             let mut connection = self.link.connection().await?;
-            self.local.counters.sent(channel, count, size);
+            self.local.counters.record_sent(channel, count, size);
             let call = connection.client.send(Request::new(frame));
             let response = timeout(limit, call).await;
             self.handle_response(&connection, response, limit).await
         };
         let result = sent.await;
         if result.is_err() {
-            self.local.counters.dropped(channel, count);
+            self.local.counters.record_dropped(channel, count);
         }
         self.log_transition(result);
     }
@@ -125,7 +125,9 @@
             Purpose::Request,
         );
         let code = request.code.clone();
-        self.local.counters.sent(channel, 1, request.encoded_len());
+        self.local
+            .counters
+            .record_sent(channel, 1, request.encoded_len());
         let rest = limit.saturating_sub(start.elapsed());
         let response = timeout(rest, connection.client.ask(Request::new(request))).await;
         // A timeout doesn't discard the connection because the handler may be slow; pings detect
@@ -135,7 +137,7 @@
                 self.handle_response(&connection, Ok(response), limit)
                     .await?
             }
-            Err(_) => return Err(self.timeout(limit)),
+            Err(_) => return Err(self.timeout_error(limit)),
         };
         self.accept(response, &code)
     }
@@ -145,13 +147,15 @@
         let accepted = frame::accept(&self.local, response, Purpose::Response(request_code));
         match accepted {
             Ok(accepted) if accepted.from.host == self.host => {
-                self.local.counters.received(accepted.channel, 1, size);
+                self.local
+                    .counters
+                    .record_received(accepted.channel, 1, size);
                 Ok(accepted.bodies.into_iter().next().unwrap_or_default())
             }
             Ok(accepted) => {
-                Err(self.refused(format!("response came from host {}", accepted.from.host)))
+                Err(self.refusal_error(format!("response came from host {}", accepted.from.host)))
             }
-            Err(violation) => Err(self.refused(format!("invalid response: {violation}"))),
+            Err(violation) => Err(self.refusal_error(format!("invalid response: {violation}"))),
         }
     }
 
@@ -164,7 +168,7 @@
         let error = match response {
             Ok(Ok(response)) => return Ok(response.into_inner()),
             Ok(Err(status)) if status.code() == Code::Unauthenticated => {
-                return Err(self.refused(status.message().to_owned()));
+                return Err(self.refusal_error(status.message().to_owned()));
             }
             Ok(Err(status)) if status.code() == Code::Aborted => {
                 return Err(Error::Failed {
@@ -176,20 +180,20 @@
                 host: self.host.clone(),
                 reason: status.message().to_owned(),
             },
-            Err(_) => self.timeout(limit),
+            Err(_) => self.timeout_error(limit),
         };
         self.link.discard(connection).await;
         Err(error)
     }
 
-    fn timeout(&self, limit: Duration) -> Error {
+    fn timeout_error(&self, limit: Duration) -> Error {
         Error::Timeout {
             host: self.host.clone(),
             timeout: limit,
         }
     }
 
-    fn refused(&self, reason: String) -> Error {
+    fn refusal_error(&self, reason: String) -> Error {
         Error::Refused {
             host: self.host.clone(),
             reason,
--- a/crates/kumquatdrum_peer/src/server.rs
+++ b/crates/kumquatdrum_peer/src/server.rs
@@ -96,7 +96,7 @@
             .map_err(|violation| self.refuse(violation, &claimed, address))?;
         self.local
             .counters
-            .received(accepted.channel, accepted.bodies.len(), size);
+            .record_received(accepted.channel, accepted.bodies.len(), size);
         Ok(accepted)
     }
 
@@ -150,7 +150,9 @@
     ) -> Frame {
         let purpose = Purpose::Response(request_code);
         let frame = frame::build(&self.local, to, channel, vec![body], purpose);
-        self.local.counters.sent(channel, 1, frame.encoded_len());
+        self.local
+            .counters
+            .record_sent(channel, 1, frame.encoded_len());
         frame
     }
 }
--- a/crates/kumquatdrum_types/src/exchange.rs
+++ b/crates/kumquatdrum_types/src/exchange.rs
@@ -146,7 +146,8 @@
     Failed,
     /// Cancelled on request.
     Cancelled,
-    /// Unknown to this incarnation of the engine; after a cancel, the engine also rejects it.
+    /// Unknown to this incarnation of the engine; after a cancel, the engine also rejects a
+    /// late dispatch of it.
     NeverSeen,
 }
 
--- a/crates/kumquatdrum_types/src/id.rs
+++ b/crates/kumquatdrum_types/src/id.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-macro_rules! name {
+macro_rules! define_identifier {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -45,39 +45,39 @@
     };
 }
 
-name!(
+define_identifier!(
     /// Name of an entry host, as given in its settings.
     HostId
 );
-name!(
+define_identifier!(
     /// Name of a data centre.
     DataCentre
 );
-name!(
+define_identifier!(
     /// Name of a workspace in the declaration.
     WorkspaceName
 );
-name!(
+define_identifier!(
     /// Name of a service in the declaration: a model served by engines, or a plain service.
     ServiceName
 );
-name!(
+define_identifier!(
     /// Name of a model in the declaration.
     ModelName
 );
-name!(
+define_identifier!(
     /// Name that an endpoint announces.
     EndpointId
 );
-name!(
+define_identifier!(
     /// Idempotency key of a caller, unique within its workspace.
     IdempotencyKey
 );
-name!(
+define_identifier!(
     /// Identifier of a request, assigned by the entry host that received it.
     RequestId
 );
-name!(
+define_identifier!(
     /// Identifier of one dispatch of a request to one endpoint, echoed by the endpoint.
     AttemptId
 );
--- a/crates/kumquatdrum_types/src/load.rs
+++ b/crates/kumquatdrum_types/src/load.rs
@@ -16,8 +16,8 @@
     pub prefill_tokens: u64,
     /// KV cache in use, in tokens.
     pub memory_used_tokens: u64,
-    /// Highest attempt counter included in this report for each owner, as `(owner, counter)`. The
-    /// reader adds the attempts that an owner dispatched later.
+    /// Highest attempt counter included in this report for each owner, as `(owner, counter)`. A
+    /// host adds the attempts that it dispatched after its counter.
     pub seen: Vec<(String, u64)>,
 }
 
--- a/crates/kumquatdrum_types/src/outcome.rs
+++ b/crates/kumquatdrum_types/src/outcome.rs
@@ -22,7 +22,7 @@
 pub enum Refusal {
     /// The request is malformed; a retry fails in the same way.
     BadRequest,
-    /// The key is unknown, or belongs to another kind of listener.
+    /// The key is unknown, or isn't valid on this listener.
     Unauthorized,
     /// The service doesn't exist or isn't available to the workspace.
     UnknownService,
