--- a/crates/kumquatdrum_caller/src/admission.rs
+++ b/crates/kumquatdrum_caller/src/admission.rs
@@ -105,7 +105,7 @@
     Problem(Problem),
 }
 
-/// The replies to one request. Dropping it tells the daemon that the caller disconnected.
+/// The replies to one request. Dropping it reports to the daemon that the caller disconnected.
 #[derive(Debug)]
 pub struct Exchange {
     /// Request id.
--- a/crates/kumquatdrum_caller/src/routes.rs
+++ b/crates/kumquatdrum_caller/src/routes.rs
@@ -94,7 +94,7 @@
 #[derive(Clone)]
 struct Keys(Arc<dyn Admission>);
 
-/// The idempotency key of a request and the workspace it belongs to, if it has one.
+/// The idempotency key of a request with its workspace, or `None` if the request has no key.
 struct Key(Option<(WorkspaceName, String)>);
 
 impl Key {
@@ -135,8 +135,8 @@
     let Some(text) = request.headers().get_one(name) else {
         return Ok(None);
     };
-    let read = text.trim().parse().map(Some);
-    read.map_err(|_| invalid(caller, format!("header {name} must be a whole number")))
+    let parsed = text.trim().parse().map(Some);
+    parsed.map_err(|_| invalid(caller, format!("header {name} must be a whole number")))
 }
 
 fn parse_flag(caller: &Caller, request: &Request<'_>, name: &str) -> Result<Option<bool>, Problem> {
@@ -367,7 +367,7 @@
     }
 }
 
-/// Returns the problem for an exchange that ended without a final reply, which is a bug.
+/// Returns the problem for an exchange without a final reply: a bug, or a disconnected caller.
 fn internal_problem(exchange: &Exchange) -> Problem {
     let mut problem = Problem::refused(Refusal::Draining, None, Some(exchange.request.clone()));
     problem.class = kumquatdrum_types::FailureClass::Unknown;
--- a/crates/kumquatdrum_caller/tests/wire.rs
+++ b/crates/kumquatdrum_caller/tests/wire.rs
@@ -3,7 +3,7 @@
 use arbtest::{arbitrary, arbtest};
 use kumquatdrum_caller::wire;
 
-const SIZE: u64 = 1_024;
+const ENTROPY_BYTES: u64 = 1_024;
 const SEEDS: u64 = 400;
 
 /// Fragments that are joined to bodies close to valid JSON.
@@ -60,7 +60,7 @@
             }
             Ok(())
         })
-        .seed(SIZE | index << 32);
+        .seed(ENTROPY_BYTES | index << 32);
     }
 }
 
@@ -85,6 +85,6 @@
             );
             Ok(())
         })
-        .seed(SIZE | index << 32);
+        .seed(ENTROPY_BYTES | index << 32);
     }
 }
--- a/crates/kumquatdrum_engine/src/http.rs
+++ b/crates/kumquatdrum_engine/src/http.rs
@@ -48,6 +48,7 @@
     started: bool,
 }
 
+/// Returns the default for error bodies without the field, as the attempt may have run.
 const fn assume_started() -> bool {
     true
 }
--- a/crates/kumquatdrum_engine/tests/sse.rs
+++ b/crates/kumquatdrum_engine/tests/sse.rs
@@ -3,7 +3,7 @@
 use arbtest::arbtest;
 use kumquatdrum_engine::sse::Reader;
 
-const SIZE: u64 = 2_048;
+const ENTROPY_BYTES: u64 = 2_048;
 const SEEDS: u64 = 300;
 
 #[test]
@@ -32,7 +32,7 @@
             assert_eq!(found, expected);
             Ok(())
         })
-        .seed(SIZE | index << 32);
+        .seed(ENTROPY_BYTES | index << 32);
     }
 }
 
@@ -50,6 +50,6 @@
             }
             Ok(())
         })
-        .seed(SIZE | index << 32);
+        .seed(ENTROPY_BYTES | index << 32);
     }
 }
--- a/crates/kumquatdrum_host/benches/control.rs
+++ b/crates/kumquatdrum_host/benches/control.rs
@@ -115,9 +115,9 @@
 }
 
 async fn measure_idle(hosts: &[Host]) {
-    let (before, busy) = (sent_traffic(hosts), cpu_seconds());
+    let (before, cpu_before) = (sent_traffic(hosts), cpu_seconds());
     tokio::time::sleep(IDLE_TIME).await;
-    let share = (cpu_seconds() - busy) / IDLE_TIME.as_secs_f64() / hosts.len() as f64;
+    let share = (cpu_seconds() - cpu_before) / IDLE_TIME.as_secs_f64() / hosts.len() as f64;
     println!(
         "idle host: {:.2}% of a core, {:.1} MiB resident ({} MiB for all hosts)",
         100.0 * share,
@@ -150,7 +150,7 @@
 
 async fn measure_claims(hosts: &[Host], claimers: usize) {
     let until = Instant::now() + CLAIM_TIME;
-    let busy = cpu_seconds();
+    let cpu_before = cpu_seconds();
     let tasks: Vec<_> = (0..claimers)
         .map(|claimer| {
             let control = Arc::clone(hosts[claimer % hosts.len()].control());
@@ -174,7 +174,7 @@
     for task in tasks {
         times.extend(task.await.unwrap_or_default());
     }
-    let spent = cpu_seconds() - busy;
+    let spent = cpu_seconds() - cpu_before;
     println!(
         "claims: {:.0}/s by {claimers} concurrent claimers, {:.0} us of CPU time per claim",
         times.len() as f64 / CLAIM_TIME.as_secs_f64(),
--- a/crates/kumquatdrum_host/src/caches.rs
+++ b/crates/kumquatdrum_host/src/caches.rs
@@ -23,7 +23,7 @@
     last: u64,
 }
 
-/// Polls until `stopped` resolves.
+/// Polls until `stopped` turns true.
 pub async fn run(context: Arc<Context>, mut stopped: watch::Receiver<bool>) {
     let mut cursors: IndexMap<EndpointId, Cursor> = IndexMap::new();
     loop {
--- a/crates/kumquatdrum_host/src/canceller.rs
+++ b/crates/kumquatdrum_host/src/canceller.rs
@@ -53,7 +53,7 @@
         self.queue.lock().is_empty()
     }
 
-    /// Sends cancels until `stopped` resolves.
+    /// Sends cancels until `stopped` turns true.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
         let mut cancels = JoinSet::new();
         loop {
@@ -79,7 +79,7 @@
 
     async fn cancel(&self, cancel: Cancel) {
         if let Ok(status) = self.engine.cancel(&cancel.target, &cancel.attempt).await {
-            // A different boot of the engine doesn't hold the attempt either.
+            // Every status confirms the cancel: a restarted engine doesn't hold the attempt either.
             let _ = status;
             self.queue.lock().confirm(&cancel.attempt);
         }
--- a/crates/kumquatdrum_host/src/control/proxy.rs
+++ b/crates/kumquatdrum_host/src/control/proxy.rs
@@ -28,17 +28,17 @@
     total: Duration,
 }
 
-/// Long enough for operators' requests to outlast an election.
+/// The timeouts of operators' requests, long enough to outlast an election.
 const OPERATOR_TIMEOUTS: Timeouts = Timeouts {
     attempt: Duration::from_millis(1_500),
     total: Duration::from_secs(5),
 };
-/// Shorter for keyed requests, whose callers can retry.
+/// The timeouts of keyed requests, which are shorter because callers can retry.
 const CALLER_TIMEOUTS: Timeouts = Timeouts {
     attempt: Duration::from_millis(700),
     total: Duration::from_millis(1_500),
 };
-/// The wait after all replicas have failed.
+/// The delay before the replicas are tried again after all have failed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Forwards requests to the leading replica.
@@ -73,8 +73,9 @@
         }
     }
 
-    /// Retries until a replica responds as the leader, which is safe because all requests are
-    /// idempotent. Returns [`Failure::Unknown`] if an attempt may have taken effect.
+    /// Tries the replicas until one responds as the leader or the time is up. Retries are safe
+    /// because all requests are idempotent. Returns [`Failure::Unknown`] if an attempt may have
+    /// taken effect.
     async fn request(&self, request: Request) -> Outcome {
         let is_claim = matches!(request, Request::Claim(_) | Request::Key(..));
         if is_claim && self.members.is_cut_off() {
--- a/crates/kumquatdrum_host/src/control/replica.rs
+++ b/crates/kumquatdrum_host/src/control/replica.rs
@@ -96,7 +96,7 @@
     stamper: Stamper,
     next_tick: Moment,
     published: Version,
-    /// Whether the log holds an entry that this release can't apply.
+    /// Whether the log or a snapshot holds data that this release can't read.
     is_halted: bool,
     last_token: u64,
     waiters: IndexMap<Token, Waiters>,
@@ -193,7 +193,7 @@
                 _ = majority.tick() => self.report_majority(),
                 _ = stopped.wait_for(|stopped| *stopped) => break,
             }
-            // Events that have arrived together share one log entry.
+            // Claims that have arrived together share one log entry, and so do settlements.
             while let Ok(event) = events.try_recv() {
                 self.handle_event(event);
             }
@@ -300,7 +300,7 @@
                 self.step(Input::Snapshot { index, data });
             }
             Output::BecameLeader { term } => {
-                // Time under another leader was counted by that leader's stamps.
+                // Each term of leadership needs its own stamper.
                 self.stamper = Stamper::default();
                 self.dependencies.metrics.leader.set(1);
                 info!(self.dependencies.logger, ""; "event" => "became_leader", "term" => %term);
@@ -371,7 +371,7 @@
         }
     }
 
-    /// Reports that this replica is in contact with a majority and up to date, if it is.
+    /// Reports contact with a majority if this replica leads or follows a leader and is up to date.
     fn report_majority(&self) {
         let status = self.dependencies.node.status();
         let is_leader = status.role == RoleName::Leader;
@@ -389,7 +389,7 @@
             ProposalOutcome::Committed { index } => {
                 self.answers.swap_remove(&index).ok_or(Failure::Unknown)
             }
-            ProposalOutcome::NotLeader { leader } => Err(not_current(leader)),
+            ProposalOutcome::NotLeader { leader } => Err(not_leader(leader)),
             ProposalOutcome::Busy => Err(Failure::Unavailable),
             ProposalOutcome::Unknown => Err(Failure::Unknown),
         };
@@ -415,12 +415,12 @@
 
     fn handle_read_refused(&mut self, token: Token, leader: Option<ReplicaId>) {
         if let Some((_, sender)) = self.reads.swap_remove(&token) {
-            let _ = sender.send(Err(not_current(leader)));
+            let _ = sender.send(Err(not_leader(leader)));
         }
     }
 }
 
-fn not_current(leader: Option<ReplicaId>) -> Failure {
+fn not_leader(leader: Option<ReplicaId>) -> Failure {
     Failure::NotLeader {
         leader: leader.map(|leader| leader.host),
     }
--- a/crates/kumquatdrum_host/src/embedded.rs
+++ b/crates/kumquatdrum_host/src/embedded.rs
@@ -32,7 +32,7 @@
 }
 
 impl Specification {
-    /// Specifies a host.
+    /// Creates a specification.
     pub fn new(host: impl AsRef<str>, data_centre: impl AsRef<str>, is_replica: bool) -> Self {
         Self {
             host: HostId::new(host),
@@ -96,7 +96,7 @@
     Ok(hosts)
 }
 
-/// Sets the addresses of running hosts on each other.
+/// Sets the peer addresses of all other hosts on each host.
 pub fn connect(hosts: &[Host]) {
     for host in hosts {
         for other in hosts {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Applies a declaration to a base version and waits until it is in force on all hosts.
+/// Applies a declaration that replaces version `base`, and waits until it is in force on all hosts.
 pub async fn apply(hosts: &[Host], base: Version, text: &str) -> Result<ApplyAnswer, Failure> {
     let first = hosts.first().ok_or(Failure::Unavailable)?;
     let request = ApplyRequest::new("embedded", base, text);
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sets the port of the callers' listener.
+    /// Sets the port of the callers' listener, which enables [`Admission::is_connected`].
     pub fn set_port(&self, port: u16) {
         let _ = self.connections.set(Connections::on_port(port));
     }
@@ -63,35 +63,41 @@
         Problem::refused(refusal, None, request.cloned())
     }
 
-    fn admit(&self, caller: Caller, ask: Submission) -> Result<Job, Problem> {
+    fn admit(&self, caller: Caller, submission: Submission) -> Result<Job, Problem> {
         let current = self.current(Some(&caller.request))?;
         let index = &current.index;
         let refuse = |refusal| self.refuse(refusal, Some(&caller.request));
         let workspace = index.workspace(caller.workspace.as_str());
         let workspace = workspace.ok_or_else(|| refuse(Refusal::Unauthorized))?;
         let service = index
-            .service_for(workspace, &ask.service)
-            .filter(|service| index.model_of(service).is_some() == ask.is_model_request)
+            .service_for(workspace, &submission.service)
+            .filter(|service| index.model_of(service).is_some() == submission.is_model_request)
             .ok_or_else(|| refuse(Refusal::UnknownService))?;
-        let deadline = admission::resolve_deadline(service, ask.deadline);
-        let prompt_tokens = Self::estimate_prompt_tokens(index, service, &ask);
+        let deadline = admission::resolve_deadline(service, submission.deadline);
+        let prompt_tokens = Self::estimate_prompt_tokens(index, service, &submission);
         let model = index.model_of(service);
         if model.is_some_and(|model| prompt_tokens > model.max_prompt_tokens) {
             return Err(refuse(Refusal::PromptTooLong));
         }
-        let routing =
-            self.build_routing(&caller, &ask, index, workspace, prompt_tokens, deadline)?;
+        let routing = self.build_routing(
+            &caller,
+            &submission,
+            index,
+            workspace,
+            prompt_tokens,
+            deadline,
+        )?;
         let policy = Policy {
             deadline: routing.deadline,
             is_idempotent: admission::is_idempotent(
                 service,
-                &ask.method,
-                &ask.path,
-                ask.is_idempotent,
+                &submission.method,
+                &submission.path,
+                submission.is_idempotent,
             ),
-            has_key: ask.key.is_some(),
-            is_resumable: ask.is_model_request,
-            is_streamed: ask.is_streamed || !ask.is_model_request,
+            has_key: submission.key.is_some(),
+            is_resumable: submission.is_model_request,
+            is_streamed: submission.is_streamed || !submission.is_model_request,
             max_attempts: MAX_ATTEMPTS,
         };
         let tokens = prompt_tokens + routing.expected_output_tokens;
@@ -101,10 +107,10 @@
             problem.retry_after_ms = Some(refused.retry_after.as_millis() as u64);
             problem
         })?;
-        let key = ask
+        let key = submission
             .key
             .as_ref()
-            .map(|key| self.build_key(&caller, &ask, key, service, deadline));
+            .map(|key| self.build_key(&caller, &submission, key, service, deadline));
         Ok(Job {
             service: service.name.clone(),
             workspace: workspace.name.clone(),
@@ -115,16 +121,16 @@
             allocation: caller.allocation,
             work: self.context.drain.begin_work(),
             permit,
-            ask,
+            submission,
         })
     }
 
-    fn estimate_prompt_tokens(index: &Index, service: &Service, ask: &Submission) -> u64 {
-        let counted = ask.prompt_tokens.unwrap_or_default();
+    fn estimate_prompt_tokens(index: &Index, service: &Service, submission: &Submission) -> u64 {
+        let counted = submission.prompt_tokens.unwrap_or_default();
         match index.model_of(service) {
             _ if counted > 0 => counted,
             Some(model) => {
-                admission::estimate_tokens(ask.prompt.len(), model.bytes_per_token_milli)
+                admission::estimate_tokens(submission.prompt.len(), model.bytes_per_token_milli)
             }
             None => 0,
         }
@@ -133,13 +139,16 @@
     fn build_routing(
         &self,
         caller: &Caller,
-        ask: &Submission,
+        submission: &Submission,
         index: &Index,
         workspace: &Workspace,
         prompt_tokens: u64,
         deadline: Duration,
     ) -> Result<routing::Request, Problem> {
-        let named = ask.priority.as_deref().or(workspace.priority.as_deref());
+        let named = submission
+            .priority
+            .as_deref()
+            .or(workspace.priority.as_deref());
         let priority = match named.map(|name| index.priority(name)) {
             None => routing::Priority::default(),
             Some(Some(priority)) => routing::Priority {
@@ -159,11 +168,13 @@
             weight: workspace.weight,
             priority,
             prompt_tokens,
-            expected_output_tokens: ask.max_tokens.unwrap_or(admission::DEFAULT_OUTPUT_TOKENS),
-            prefix: hash_prefix(ask),
+            expected_output_tokens: submission
+                .max_tokens
+                .unwrap_or(admission::DEFAULT_OUTPUT_TOKENS),
+            prefix: hash_prefix(submission),
             deadline: self.context.clock.now() + deadline,
             excluded: Vec::new(),
-            kind: if ask.is_model_request {
+            kind: if submission.is_model_request {
                 routing::RequestKind::Model
             } else {
                 routing::RequestKind::Plain
@@ -174,16 +185,16 @@
     fn build_key(
         &self,
         caller: &Caller,
-        ask: &Submission,
+        submission: &Submission,
         key: &str,
         service: &Service,
         deadline: Duration,
     ) -> Key {
         let parts = [
             service.name.as_str().as_bytes(),
-            ask.method.as_bytes(),
-            ask.path.as_bytes(),
-            &ask.body,
+            submission.method.as_bytes(),
+            submission.path.as_bytes(),
+            &submission.body,
         ];
         let claim = Claim {
             workspace: caller.workspace.clone(),
@@ -197,7 +208,7 @@
         Key {
             claim,
             service: service.name.clone(),
-            is_resumable: ask.is_model_request,
+            is_resumable: submission.is_model_request,
         }
     }
 }
@@ -221,8 +232,8 @@
         })
     }
 
-    fn submit(&self, caller: Caller, ask: Submission) -> Result<Exchange, Problem> {
-        let job = self.admit(caller, ask)?;
+    fn submit(&self, caller: Caller, submission: Submission) -> Result<Exchange, Problem> {
+        let job = self.admit(caller, submission)?;
         let request = job.request.clone();
         let (sender, replies) = mpsc::channel(REPLY_BUFFER);
         let driver = Driver::new(Arc::clone(&self.context), job, sender);
@@ -269,8 +280,9 @@
     }
 }
 
-fn hash_prefix(ask: &Submission) -> Vec<routing::BlockHash> {
-    let blocks = kumquatdrum_daemon::prefix::hash_blocks(&ask.body[ask.prompt.clone()]);
+fn hash_prefix(submission: &Submission) -> Vec<routing::BlockHash> {
+    let blocks =
+        kumquatdrum_daemon::prefix::hash_blocks(&submission.body[submission.prompt.clone()]);
     blocks.into_iter().map(routing::BlockHash).collect()
 }
 
--- a/crates/kumquatdrum_host/src/gauges.rs
+++ b/crates/kumquatdrum_host/src/gauges.rs
@@ -10,7 +10,7 @@
 
 const COPY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Copies until `stopped` resolves.
+/// Copies until `stopped` turns true.
 pub async fn run(
     context: Arc<Context>,
     counters: Arc<Counters>,
--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -134,7 +134,8 @@
         let peers_address = peers.local_addr().unwrap_or(settings.listen.peers);
         let members = Arc::new(build_members(&settings, boot, peers_address, dependencies));
         tasks.spawn(members.clone().run(stop.clone()));
-        let replica = match start_replica(&settings, clock, &members, &metrics, &client, &logger)? {
+        let replica = match restore_replica(&settings, clock, &members, &metrics, &client, &logger)?
+        {
             Some((handle, replica, received)) => {
                 tasks.spawn(replica.run(received, stop.clone()));
                 Some(handle)
@@ -251,7 +252,7 @@
         self.client.shutdown().await;
     }
 
-    /// Returns the bytes of request bodies that this host holds.
+    /// Returns the number of body bytes that this host holds.
     pub fn body_bytes(&self) -> u64 {
         self.context.body_budget.used()
     }
@@ -424,10 +425,11 @@
     }
 }
 
+/// A replica with its handle and the receiver of its events.
 type Task = (Handle, Replica, mpsc::UnboundedReceiver<Event>);
 
 /// Restores the replica of a host with a data folder.
-fn start_replica(
+fn restore_replica(
     settings: &Settings,
     clock: Clock,
     members: &Arc<Members>,
@@ -438,22 +440,22 @@
     let Some(folder) = &settings.data else {
         return Ok(None);
     };
-    let disk = |error: &dyn std::fmt::Display| StartError::Disk(error.to_string());
+    let disk_error = |error: &dyn std::fmt::Display| StartError::Disk(error.to_string());
     let store =
         kumquatdrum_disk::Folder::open(folder, &settings.host, Incarnation(random::number()));
-    let store = store.map_err(|error| disk(&error))?;
-    let stored = store.load().map_err(|error| disk(&error))?;
+    let store = store.map_err(|error| disk_error(&error))?;
+    let stored = store.load().map_err(|error| disk_error(&error))?;
     let member = kumquatdrum_consensus::Member {
         id: store.identity().replica(),
         data_centre: settings.data_centre.clone(),
     };
-    let mut node = kumquatdrum_consensus::Settings::new(member);
-    node.initial_hosts.clone_from(&settings.replicas);
+    let mut node_settings = kumquatdrum_consensus::Settings::new(member);
+    node_settings.initial_hosts.clone_from(&settings.replicas);
     let (handle, events, received) = Handle::new();
     let report: WriteCallback = Box::new(move |written| events.send(Event::from(written)).is_ok());
     let dependencies = control::Dependencies {
-        node: Node::new(node, stored, clock.now(), random::number()),
-        writer: Writer::start(Box::new(store), report).map_err(|error| disk(&error))?,
+        node: Node::new(node_settings, stored, clock.now(), random::number()),
+        writer: Writer::start(Box::new(store), report).map_err(|error| disk_error(&error))?,
         client: client.clone(),
         members: members.clone(),
         clock,
--- a/crates/kumquatdrum_host/src/host/components.rs
+++ b/crates/kumquatdrum_host/src/host/components.rs
@@ -35,13 +35,13 @@
 
 impl Components {
     pub(super) fn new(settings: &Settings, logger: &slog::Logger) -> Result<Self, StartError> {
-        let http = |error: reqwest::Error| StartError::Http(error.to_string());
+        let http_error = |error: reqwest::Error| StartError::Http(error.to_string());
         let logger = logger.new(o!("host" => settings.host.to_string()));
         let clock = Clock::start();
         let boot = BootId(unix_ms());
         let metrics = Metrics::new().map_err(|error| StartError::Metrics(error.to_string()))?;
         let metrics = Arc::new(metrics);
-        let engine = Arc::new(kumquatdrum_engine::Client::new().map_err(http)?);
+        let engine = Arc::new(kumquatdrum_engine::Client::new().map_err(http_error)?);
         let routers = Routers::new(clock, settings.host.clone(), list_owners(settings), boot.0);
         let local = build_local(settings, boot, &logger);
         let client = Arc::new(Client::new(local.clone()));
@@ -55,7 +55,7 @@
                 clock,
                 engine.clone(),
             )),
-            plain: Arc::new(kumquatdrum_service::Client::new().map_err(http)?),
+            plain: Arc::new(kumquatdrum_service::Client::new().map_err(http_error)?),
             drain: Arc::default(),
             in_force: Arc::default(),
             routers: Arc::new(routers),
--- a/crates/kumquatdrum_host/src/in_force.rs
+++ b/crates/kumquatdrum_host/src/in_force.rs
@@ -39,7 +39,8 @@
         self.current.read().clone()
     }
 
-    /// Puts a version in force if it is higher than the current one. Returns whether it was.
+    /// Puts a version in force if it is higher than the current one, and returns whether it was
+    /// higher.
     pub fn offer(&self, offer: Offer) -> bool {
         let known = self.current().map(|current| current.offer.version);
         if known.is_some_and(|known| known >= offer.version) {
--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -23,8 +23,8 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a claim or settlement is retried.
 const RETRY_PERIOD: Duration = Duration::from_secs(24 * 3_600);
-/// The maximum number of attempts per request that are searched at engines.
-const MAX_ATTEMPTS: u32 = 4;
+/// The maximum number of attempts per request that are searched for at engines.
+const MAX_PROBED_ATTEMPTS: u32 = 4;
 
 /// The idempotency key of one request with its claim.
 #[derive(Debug, Clone)]
@@ -123,7 +123,7 @@
     ) -> Option<(Target, AttemptId)> {
         let targets = context.routers.targets(&self.service);
         let pairs = targets.iter().flat_map(|target| {
-            (0..MAX_ATTEMPTS).map(move |number| {
+            (0..MAX_PROBED_ATTEMPTS).map(move |number| {
                 let attempt = AttemptId::new(format!("{request}.k{number}"));
                 (target.clone(), attempt)
             })
@@ -150,11 +150,11 @@
             Ending::NotRun { .. } => AttemptStatus::NotRun,
             Ending::Failed(_) | Ending::Unknown(_) | Ending::CallerGone => AttemptStatus::Unknown,
         };
-        let job = context.requests.spawn({
+        let task = context.requests.spawn({
             let context = Arc::clone(context);
             async move { self.settle_with_retries(&context, settled).await }
         });
-        let _ = timeout(SETTLE_TIMEOUT, job).await;
+        let _ = timeout(SETTLE_TIMEOUT, task).await;
     }
 
     async fn settle_with_retries(self, context: &Context, settled: AttemptStatus) {
--- a/crates/kumquatdrum_host/src/lib.rs
+++ b/crates/kumquatdrum_host/src/lib.rs
@@ -1,4 +1,5 @@
-//! The daemon of one host: listeners, timers, storage and tasks around the core crates.
+//! The daemon of one host: listeners, timers, storage and tasks around the state machines of the
+//! other crates.
 
 pub mod announce;
 pub mod caches;
--- a/crates/kumquatdrum_host/src/members.rs
+++ b/crates/kumquatdrum_host/src/members.rs
@@ -1,4 +1,4 @@
-//! Runs the membership and setup propagation cores and applies their outputs to the host.
+//! Runs the state machines of membership and setup propagation and applies their outputs.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 
 type AnnouncementId = (EndpointId, BootId, u64);
 
-/// The dependencies of the members.
+/// The dependencies of [`Members`].
 pub struct Dependencies {
     /// The daemon's clock.
     pub clock: Clock,
@@ -59,7 +59,7 @@
     pub logger: slog::Logger,
 }
 
-struct Cores {
+struct State {
     membership: Membership,
     propagation: Propagation,
     unacknowledged: IndexMap<AnnouncementId, oneshot::Sender<bool>>,
@@ -71,22 +71,22 @@
 pub struct Members {
     local: Member,
     dependencies: Dependencies,
-    cores: Mutex<Cores>,
-    /// Owners of attempts that may have to be cancelled.
-    orphans: Mutex<VecDeque<Orphan>>,
-    orphan_added: Notify,
+    state: Mutex<State>,
+    /// The sources of orphaned attempts that aren't handled yet.
+    orphan_sources: Mutex<VecDeque<OrphanSource>>,
+    orphan_source_added: Notify,
 }
 
 /// A source of orphaned attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Orphan {
+pub enum OrphanSource {
     /// A host of the data centre died, and its attempts at engines are orphaned.
     Host(HostId),
     /// An engine joined that may hold attempts of an earlier boot of this host.
     Engine(EndpointId),
 }
 
-/// An input for one of the cores.
+/// An input for one of the state machines.
 enum Step {
     Membership(Input),
     Propagation(propagation::Input),
@@ -113,7 +113,7 @@
             propagation.step(now, build_host_input(member, true), &mut out);
         }
         propagation.step(now, propagation::Input::Control(replicas), &mut out);
-        let cores = Cores {
+        let state = State {
             membership: Membership::new(local.clone(), others),
             propagation,
             unacknowledged: IndexMap::new(),
@@ -123,9 +123,9 @@
         Self {
             local,
             dependencies,
-            cores: Mutex::new(cores),
-            orphans: Mutex::default(),
-            orphan_added: Notify::new(),
+            state: Mutex::new(state),
+            orphan_sources: Mutex::default(),
+            orphan_source_added: Notify::new(),
         }
     }
 
@@ -134,13 +134,13 @@
         &self.local.data_centre
     }
 
-    /// Ticks the cores until `stopped` resolves.
+    /// Ticks the state machines until `stopped` turns true.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
-        let mut slots = tokio::time::interval(timing::TICK_INTERVAL);
-        slots.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut ticks = tokio::time::interval(timing::TICK_INTERVAL);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = slots.tick() => {
+                _ = ticks.tick() => {
                     self.step([Step::Membership(Input::Tick), Step::Propagation(propagation::Input::Tick)]);
                 }
                 _ = stopped.wait_for(|stopped| *stopped) => return,
@@ -157,10 +157,10 @@
             announcement.sequence,
         );
         let (sender, accepted) = oneshot::channel();
-        self.cores.lock().unacknowledged.insert(id.clone(), sender);
+        self.state.lock().unacknowledged.insert(id.clone(), sender);
         self.step([Step::Membership(Input::Announce(announcement))]);
         let accepted = tokio::time::timeout(ANNOUNCEMENT_TIMEOUT, accepted).await;
-        self.cores.lock().unacknowledged.swap_remove(&id);
+        self.state.lock().unacknowledged.swap_remove(&id);
         matches!(accepted, Ok(Ok(true)))
     }
 
@@ -213,22 +213,22 @@
 
     fn step(&self, steps: impl IntoIterator<Item = Step>) {
         let now = self.dependencies.clock.now();
-        let mut cores = self.cores.lock();
+        let mut state = self.state.lock();
         let mut steps: VecDeque<Step> = steps.into_iter().collect();
         while let Some(step) = steps.pop_front() {
             match step {
                 Step::Membership(input) => {
                     let mut out = Vec::new();
-                    cores.membership.step(now, input, &mut out);
+                    state.membership.step(now, input, &mut out);
                     for output in out {
-                        steps.extend(self.execute_membership(&mut cores, output));
+                        steps.extend(self.execute_membership(&mut state, output));
                     }
                 }
                 Step::Propagation(input) => {
                     let mut out = Vec::new();
-                    cores.propagation.step(now, input, &mut out);
+                    state.propagation.step(now, input, &mut out);
                     for output in out {
-                        steps.extend(self.execute_propagation(&mut cores, output));
+                        steps.extend(self.execute_propagation(&mut state, output));
                     }
                 }
             }
@@ -246,11 +246,11 @@
         }
     }
 
-    fn execute_membership(&self, cores: &mut Cores, output: Output) -> Option<Step> {
+    fn execute_membership(&self, state: &mut State, output: Output) -> Option<Step> {
         match output {
             Output::Send { to, message } => self.send(&to, Channel::Membership, &message),
-            Output::Endpoint { id, change } => self.update_endpoint(cores, &id, change),
-            Output::Host { id, condition } => return self.update_host(cores, &id, condition),
+            Output::Endpoint { id, change } => self.update_endpoint(state, &id, change),
+            Output::Host { id, condition } => return self.update_host(state, &id, condition),
             Output::DataCentre { id, reachability } => {
                 warn!(self.dependencies.logger, ""; "event" => "data_centre_reach",
                     "data_centre" => %id, "reach" => ?reachability);
@@ -272,7 +272,7 @@
                 endpoint,
                 boot,
                 sequence,
-            } => acknowledge(cores, (endpoint, boot, sequence), true),
+            } => acknowledge(state, (endpoint, boot, sequence), true),
             Output::RefuseAnnounce {
                 endpoint,
                 boot,
@@ -281,21 +281,21 @@
             } => {
                 warn!(self.dependencies.logger, ""; "event" => "announcement_refused",
                     "endpoint" => %endpoint, "boot" => %boot, "reason" => ?reason);
-                acknowledge(cores, (endpoint, boot, sequence), false);
+                acknowledge(state, (endpoint, boot, sequence), false);
             }
             Output::Summary(_) => {}
         }
         None
     }
 
-    fn update_endpoint(&self, cores: &mut Cores, id: &EndpointId, change: Change) {
+    fn update_endpoint(&self, state: &mut State, id: &EndpointId, change: Change) {
         let health = match change {
             Change::Renewed(announcement) => {
                 self.dependencies.routers.announce(&announcement);
                 return;
             }
             Change::Joined(announcement) => {
-                self.add_endpoint(cores, id, &announcement);
+                self.add_endpoint(state, id, &announcement);
                 return;
             }
             Change::Suspect => Health::Suspect,
@@ -305,24 +305,24 @@
         };
         info!(self.dependencies.logger, ""; "event" => "endpoint_changed", "endpoint" => %id,
             "health" => ?health);
-        let Some((service, boot)) = cores.services.get(id).cloned() else {
+        let Some((service, boot)) = state.services.get(id).cloned() else {
             return;
         };
         self.dependencies.routers.set_health(&service, id, health);
         if health == Health::Gone {
             self.dependencies.canceller.remove_engine(id, boot);
             self.dependencies.reservations.remove_engine(id);
-            cores.services.swap_remove(id);
+            state.services.swap_remove(id);
         }
-        self.count_endpoints(cores);
+        self.count_endpoints(state);
     }
 
-    fn add_endpoint(&self, cores: &mut Cores, id: &EndpointId, announcement: &Announcement) {
+    fn add_endpoint(&self, state: &mut State, id: &EndpointId, announcement: &Announcement) {
         info!(self.dependencies.logger, ""; "event" => "endpoint_joined", "endpoint" => %id,
             "service" => %announcement.service, "boot" => %announcement.boot,
             "address" => %announcement.address);
         let entry = (announcement.service.clone(), announcement.boot);
-        let previous = cores.services.insert(id.clone(), entry);
+        let previous = state.services.insert(id.clone(), entry);
         if let Some((service, boot)) = previous.filter(|(_, boot)| *boot < announcement.boot) {
             self.dependencies
                 .routers
@@ -337,13 +337,13 @@
                 .routers
                 .set_health(service, id, Health::Leaving);
         }
-        self.push_orphan(Orphan::Engine(id.clone()));
-        self.count_endpoints(cores);
+        self.push_orphan_source(OrphanSource::Engine(id.clone()));
+        self.count_endpoints(state);
     }
 
-    fn count_endpoints(&self, cores: &Cores) {
+    fn count_endpoints(&self, state: &State) {
         let count = |condition: control::Condition| {
-            let records = cores.membership.endpoints();
+            let records = state.membership.endpoints();
             records
                 .filter(|record| endpoint_condition(record) == condition)
                 .count() as i64
@@ -360,10 +360,10 @@
             .set(count(control::Condition::Leaving));
     }
 
-    fn update_host(&self, cores: &Cores, id: &HostId, condition: Condition) -> Option<Step> {
+    fn update_host(&self, state: &State, id: &HostId, condition: Condition) -> Option<Step> {
         info!(self.dependencies.logger, ""; "event" => "host_changed", "other" => %id,
             "condition" => ?condition);
-        let views: Vec<_> = cores.membership.hosts().collect();
+        let views: Vec<_> = state.membership.hosts().collect();
         let is_local = |view: &&kumquatdrum_membership::Peer<'_>| {
             view.member.data_centre == self.local.data_centre
         };
@@ -377,19 +377,19 @@
             .set_owners(owners.chain([self.local.host.to_string()]).collect());
         let view = views.iter().find(|view| view.member.host == *id)?;
         if condition == Condition::Dead && view.member.data_centre == self.local.data_centre {
-            self.push_orphan(Orphan::Host(id.clone()));
+            self.push_orphan_source(OrphanSource::Host(id.clone()));
         }
         let is_alive = condition == Condition::Alive;
         Some(Step::Propagation(build_host_input(view.member, is_alive)))
     }
 
-    fn execute_propagation(&self, cores: &mut Cores, output: propagation::Output) -> Option<Step> {
+    fn execute_propagation(&self, state: &mut State, output: propagation::Output) -> Option<Step> {
         match output {
             propagation::Output::Send { to, message } => self.send(&to, Channel::Setup, &message),
             propagation::Output::InForce(setup) => self.put_in_force(setup),
             propagation::Output::Ready { is_confirmed } => {
                 info!(self.dependencies.logger, ""; "event" => "ready", "is_confirmed" => is_confirmed);
-                cores.is_ready = true;
+                state.is_ready = true;
             }
             propagation::Output::Status(status) => {
                 return Some(Step::Membership(Input::SetupStatus(status)));
@@ -407,7 +407,7 @@
                     "version" => %version, "from" => %from);
             }
         }
-        let is_ready = cores.is_ready && cores.propagation.version() > Version(0);
+        let is_ready = state.is_ready && state.propagation.version() > Version(0);
         self.dependencies.drain.set_ready(is_ready);
         None
     }
@@ -430,31 +430,31 @@
         }
     }
 
-    fn push_orphan(&self, orphan: Orphan) {
-        self.orphans.lock().push_back(orphan);
-        self.orphan_added.notify_one();
+    fn push_orphan_source(&self, source: OrphanSource) {
+        self.orphan_sources.lock().push_back(source);
+        self.orphan_source_added.notify_one();
     }
 
-    /// Waits for the next orphan.
-    pub async fn next_orphan(&self) -> Orphan {
+    /// Waits for the next source of orphaned attempts.
+    pub async fn next_orphan_source(&self) -> OrphanSource {
         loop {
-            if let Some(orphan) = self.orphans.lock().pop_front() {
-                return orphan;
+            if let Some(source) = self.orphan_sources.lock().pop_front() {
+                return source;
             }
-            self.orphan_added.notified().await;
+            self.orphan_source_added.notified().await;
         }
     }
 
     /// Whether this host cancels the orphaned attempts of dead hosts of its data centre: it is the
     /// first live host by name.
     pub fn is_reaper(&self) -> bool {
-        self.cores.lock().membership.is_relay()
+        self.state.lock().membership.is_relay()
     }
 
     /// Returns the hosts that aren't known to be dead, including this one.
     pub fn live_hosts(&self) -> Vec<HostId> {
-        let cores = self.cores.lock();
-        let others = cores.membership.hosts();
+        let state = self.state.lock();
+        let others = state.membership.hosts();
         let live = others.filter(|view| view.condition != Condition::Dead);
         let live = live.map(|view| view.member.host.clone());
         live.chain([self.local.host.clone()]).collect()
@@ -462,12 +462,12 @@
 
     /// Whether this host has lost contact with the majority of the replicas.
     pub fn is_cut_off(&self) -> bool {
-        self.cores.lock().propagation.cut_off_since().is_some()
+        self.state.lock().propagation.cut_off_since().is_some()
     }
 
     /// Returns the time of the last contact with a majority; now, unless this host is cut off.
     pub fn last_majority_unix_ms(&self) -> Option<u64> {
-        let since = self.cores.lock().propagation.cut_off_since();
+        let since = self.state.lock().propagation.cut_off_since();
         let ago = since.map_or(Duration::ZERO, |since| {
             self.dependencies.clock.now() - since
         });
@@ -476,7 +476,7 @@
 
     /// Returns the data centres without a reachable host.
     pub fn unreachable_data_centres(&self) -> Vec<DataCentre> {
-        self.cores.lock().membership.cut_off().cloned().collect()
+        self.state.lock().membership.cut_off().cloned().collect()
     }
 }
 
@@ -488,8 +488,8 @@
     }
 }
 
-fn acknowledge(cores: &mut Cores, id: AnnouncementId, is_accepted: bool) {
-    if let Some(sender) = cores.unacknowledged.swap_remove(&id) {
+fn acknowledge(state: &mut State, id: AnnouncementId, is_accepted: bool) {
+    if let Some(sender) = state.unacknowledged.swap_remove(&id) {
         let _ = sender.send(is_accepted);
     }
 }
--- a/crates/kumquatdrum_host/src/members/report.rs
+++ b/crates/kumquatdrum_host/src/members/report.rs
@@ -11,26 +11,28 @@
 impl Members {
     /// Returns the status of all hosts, including this one.
     pub fn host_statuses(&self, node: Option<&NodeStatus>, replicas: &[HostId]) -> Vec<HostStatus> {
-        let cores = self.cores.lock();
-        let versions: IndexMap<_, _> = cores.propagation.installations().collect();
+        let state = self.state.lock();
+        let versions: IndexMap<_, _> = state.propagation.installations().collect();
         let status = |member: &Member, is_reachable: bool| HostStatus {
             host: member.host.clone(),
             data_centre: member.data_centre.clone(),
             replica: replica_role(&member.host, node, replicas),
             reachable: is_reachable,
-            version: versions.get(&member.host).map(|holding| holding.version),
+            version: versions
+                .get(&member.host)
+                .map(|installation| installation.version),
         };
         let mut local = status(&self.local, true);
-        local.version = Some(cores.propagation.version());
-        let others = cores.membership.hosts();
+        local.version = Some(state.propagation.version());
+        let others = state.membership.hosts();
         let others = others.map(|view| status(view.member, view.condition != Condition::Dead));
         std::iter::once(local).chain(others).collect()
     }
 
     /// Returns the status of the data centre's endpoints, including declared but unknown ones.
     pub fn endpoint_statuses(&self) -> Vec<EndpointStatus> {
-        let cores = self.cores.lock();
-        let known = cores.membership.endpoints().map(|record| EndpointStatus {
+        let state = self.state.lock();
+        let known = state.membership.endpoints().map(|record| EndpointStatus {
             endpoint: record.announcement.endpoint.clone(),
             service: record.announcement.service.clone(),
             data_centre: record.announcement.data_centre.clone(),
@@ -43,7 +45,7 @@
             declared.filter(|endpoint| endpoint.data_centre == self.local.data_centre)
         });
         for endpoint in expected {
-            if cores.membership.endpoint(&endpoint.name).is_none() {
+            if state.membership.endpoint(&endpoint.name).is_none() {
                 statuses.push(EndpointStatus {
                     endpoint: endpoint.name.clone(),
                     service: endpoint.service.clone(),
@@ -57,8 +59,8 @@
 
     /// Returns the announcements of the data centre's endpoints that are alive and not leaving.
     pub fn live_endpoints(&self) -> Vec<Announcement> {
-        let cores = self.cores.lock();
-        let records = cores.membership.endpoints();
+        let state = self.state.lock();
+        let records = state.membership.endpoints();
         let alive =
             records.filter(|record| endpoint_condition(record) == control::Condition::Alive);
         alive.map(|record| record.announcement.clone()).collect()
--- a/crates/kumquatdrum_host/src/orders.rs
+++ b/crates/kumquatdrum_host/src/orders.rs
@@ -29,7 +29,7 @@
     calls: JoinSet<Input>,
 }
 
-/// Runs until `stopped` resolves. A host without a replica never leads.
+/// Runs until `stopped` turns true. A host without a replica never leads.
 pub async fn run(
     context: Arc<Context>,
     members: Arc<Members>,
--- a/crates/kumquatdrum_host/src/orphans.rs
+++ b/crates/kumquatdrum_host/src/orphans.rs
@@ -11,23 +11,23 @@
 use tokio::sync::watch;
 
 use crate::context::Context;
-use crate::members::{Members, Orphan};
+use crate::members::{Members, OrphanSource};
 
-/// Cancels orphaned attempts until `stopped` resolves.
+/// Cancels orphaned attempts until `stopped` turns true.
 pub async fn run(context: Arc<Context>, members: Arc<Members>, mut stopped: watch::Receiver<bool>) {
     loop {
-        let orphan = tokio::select! {
-            orphan = members.next_orphan() => orphan,
+        let source = tokio::select! {
+            source = members.next_orphan_source() => source,
             _ = stopped.wait_for(|stopped| *stopped) => return,
         };
-        match orphan {
-            Orphan::Host(host) if members.is_reaper() => {
+        match source {
+            OrphanSource::Host(host) if members.is_reaper() => {
                 for (_, target) in context.engines() {
                     cancel_orphans(&context, &target, &host, |_| true).await;
                 }
             }
-            Orphan::Host(_) => {}
-            Orphan::Engine(engine) => {
+            OrphanSource::Host(_) => {}
+            OrphanSource::Engine(engine) => {
                 let prefix = format!("{}-{:x}-", context.settings.host, context.boot.0);
                 let mut engines = context.engines();
                 engines.retain(|(_, target)| target.endpoint == engine);
--- a/crates/kumquatdrum_host/src/quota.rs
+++ b/crates/kumquatdrum_host/src/quota.rs
@@ -18,10 +18,10 @@
 use crate::members::Members;
 use kumquatdrum_process::clock::Clock;
 
-/// The maximum number of hosts that act as stewards, so that demands can be sent in few messages.
+/// The maximum number of hosts that act as coordinators, which bounds the messages with demands.
 const MAX_COORDINATORS: usize = 9;
 
-/// A message between hosts about limits.
+/// A message between hosts about workspace limits.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
     Demands(Vec<Demand>),
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Sends demands and applies the declared limits until `stopped` resolves.
+    /// Sends demands and applies the declared limits until `stopped` turns true.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
         let mut version = self.in_force.subscribe();
         let mut interval = tokio::time::interval(DEMAND_INTERVAL);
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -75,7 +75,7 @@
     reservation_lost: Option<oneshot::Receiver<()>>,
     priority: u8,
     dispatches: u32,
-    /// The number of tokens or pieces received from the current attempt.
+    /// The number of tokens or body chunks received from the current attempt.
     received: u64,
     usage: Usage,
     arrived: Moment,
@@ -223,7 +223,7 @@
         self.context.metrics.attempts.inc();
         debug!(self.context.logger, ""; "event" => "dispatched", "request" => %self.job.request,
             "attempt" => %attempt, "endpoint" => %target.endpoint);
-        let mut headers = self.job.ask.headers.clone();
+        let mut headers = self.job.submission.headers.clone();
         if self.reserved_attempt.as_ref() == Some(&attempt) {
             headers.push((RESERVATION_HEADER.to_owned(), attempt.to_string()));
             self.context
@@ -235,10 +235,10 @@
             attempt,
             owner: self.context.settings.host.clone(),
             owner_attempt: self.attempt.unwrap_or_default(),
-            method: self.job.ask.method.clone(),
-            path: self.job.ask.path.clone(),
+            method: self.job.submission.method.clone(),
+            path: self.job.submission.path.clone(),
             headers,
-            body: self.job.ask.body.clone(),
+            body: self.job.submission.body.clone(),
             prompt_tokens: self.job.routing.prompt_tokens,
             priority: self.priority,
             time_left: self.job.policy.deadline - self.context.clock.now(),
@@ -263,7 +263,7 @@
         }
     }
 
-    fn progress(&self, progress: Progress) {
+    fn report_progress(&self, progress: Progress) {
         if let Some(attempt) = self.attempt {
             self.context
                 .routers
@@ -419,7 +419,7 @@
         };
         match event {
             Event::Accepted(head) => {
-                self.progress(Progress::Started);
+                self.report_progress(Progress::Started);
                 if !self.job.policy.is_resumable {
                     self.pending = Some(Reply::Head(head));
                 }
@@ -454,8 +454,7 @@
         }
     }
 
-    /// Reports a failure of the endpoint to membership, which suspects it after several in a short
-    /// time.
+    /// Reports a failure of the endpoint, which becomes suspect after several within a short time.
     fn report_failure_if(&self, has_failed: bool) {
         if let Some(target) = self.target.as_ref().filter(|_| has_failed) {
             self.context.members.report_failure(&target.endpoint);
@@ -466,7 +465,7 @@
         self.received += 1;
         if !self.has_first_token {
             self.has_first_token = true;
-            self.progress(Progress::FirstToken);
+            self.report_progress(Progress::FirstToken);
             let latency = self.context.clock.now() - self.arrived;
             self.context
                 .metrics
--- a/crates/kumquatdrum_host/src/request/job.rs
+++ b/crates/kumquatdrum_host/src/request/job.rs
@@ -17,12 +17,12 @@
     /// The workspace of the caller.
     pub workspace: WorkspaceName,
     /// The request as the caller sent it.
-    pub ask: Submission,
-    /// The service.
+    pub submission: Submission,
+    /// The name of the service.
     pub service: ServiceName,
     /// The request to the router; excluded endpoints are set for each attempt.
     pub routing: routing::Request,
-    /// The policy of its life cycle.
+    /// The policy of the request's life cycle.
     pub policy: Policy,
     /// The idempotency key, if the request has one.
     pub key: Option<Key>,
--- a/crates/kumquatdrum_host/src/reservations.rs
+++ b/crates/kumquatdrum_host/src/reservations.rs
@@ -24,7 +24,7 @@
     pub lost: oneshot::Receiver<()>,
 }
 
-struct Pending {
+struct Entry {
     targets: IndexMap<EndpointId, Target>,
     /// The engine that the attempt was dispatched to, where it holds the memory itself.
     head: Option<EndpointId>,
@@ -35,7 +35,7 @@
 #[derive(Default)]
 struct State {
     table: gang::Reservations,
-    pending: IndexMap<AttemptId, Pending>,
+    entries: IndexMap<AttemptId, Entry>,
 }
 
 /// All reservations of this host.
@@ -49,7 +49,7 @@
 }
 
 impl Reservations {
-    /// Creates a set without reservations.
+    /// Creates an empty set of reservations.
     pub fn new(host: HostId, clock: Clock, engine: Arc<dyn Engine>) -> Self {
         Self {
             host,
@@ -68,12 +68,12 @@
         parts: Vec<(Target, u64)>,
         expires: Moment,
     ) -> Handle {
-        let (ready, is_ready) = oneshot::channel();
-        let (lost, is_lost) = oneshot::channel();
+        let (ready, ready_receiver) = oneshot::channel();
+        let (lost, lost_receiver) = oneshot::channel();
         let targets = parts
             .iter()
             .map(|(target, _)| (target.endpoint.clone(), target.clone()));
-        let entry = Pending {
+        let entry = Entry {
             targets: targets.collect(),
             head: None,
             ready: Some(ready),
@@ -84,20 +84,20 @@
             tokens,
         });
         let mut state = self.state.lock();
-        state.pending.insert(attempt.clone(), entry);
+        state.entries.insert(attempt.clone(), entry);
         let now = self.clock.now();
         let outputs = state.table.begin(now, attempt.clone(), parts, expires);
         self.execute(&mut state, outputs);
         self.wake.notify_one();
         Handle {
-            ready: is_ready,
-            lost: is_lost,
+            ready: ready_receiver,
+            lost: lost_receiver,
         }
     }
 
     /// Records the engine that an attempt was dispatched to.
     pub fn set_head(&self, attempt: &AttemptId, head: &EndpointId) {
-        if let Some(entry) = self.state.lock().pending.get_mut(attempt) {
+        if let Some(entry) = self.state.lock().entries.get_mut(attempt) {
             entry.head = Some(head.clone());
         }
     }
@@ -123,15 +123,15 @@
         self.wake.notify_one();
     }
 
-    /// Renews, retries and expires reservations until `stopped` resolves.
+    /// Renews, retries and expires reservations until `stopped` turns true.
     pub async fn run(self: Arc<Self>, mut stopped: watch::Receiver<bool>) {
         loop {
             let next = {
                 let mut state = self.state.lock();
                 let outputs = state.table.tick(self.clock.now());
                 self.execute(&mut state, outputs);
-                let State { table, pending } = &mut *state;
-                pending.retain(|attempt, _| table.contains(attempt));
+                let State { table, entries } = &mut *state;
+                entries.retain(|attempt, _| table.contains(attempt));
                 table.next_wake()
             };
             while self.calls.lock().try_join_next().is_some() {}
@@ -150,13 +150,13 @@
         for output in outputs {
             match output {
                 Output::Ready(attempt) => {
-                    let entry = state.pending.get_mut(&attempt);
+                    let entry = state.entries.get_mut(&attempt);
                     if let Some(ready) = entry.and_then(|entry| entry.ready.take()) {
                         let _ = ready.send(());
                     }
                 }
                 Output::Failed(attempt) => {
-                    let Some(entry) = state.pending.get_mut(&attempt) else {
+                    let Some(entry) = state.entries.get_mut(&attempt) else {
                         continue;
                     };
                     // Dropping the `ready` sender reports that the reservation failed.
@@ -182,7 +182,7 @@
         reservation: gang::Reservation,
         ttl: Duration,
     ) {
-        let Some(entry) = state.pending.get(attempt) else {
+        let Some(entry) = state.entries.get(attempt) else {
             return;
         };
         let is_head = entry.head.as_ref() == Some(&reservation.engine);
@@ -212,7 +212,7 @@
     }
 
     fn send_release(self: &Arc<Self>, state: &State, attempt: AttemptId, engine: EndpointId) {
-        let entry = state.pending.get(&attempt);
+        let entry = state.entries.get(&attempt);
         let Some(target) = entry.and_then(|entry| entry.targets.get(&engine).cloned()) else {
             return;
         };
--- a/crates/kumquatdrum_host/src/routers.rs
+++ b/crates/kumquatdrum_host/src/routers.rs
@@ -256,7 +256,7 @@
             .unwrap_or_default()
     }
 
-    /// Ticks the routers until `stopped` resolves.
+    /// Ticks the routers until `stopped` turns true.
     pub async fn run(self: Arc<Self>, mut stopped: tokio::sync::watch::Receiver<bool>) {
         let mut tasks = tokio::task::JoinSet::new();
         for index in 0..SHARDS {
--- a/crates/kumquatdrum_host/tests/keys.rs
+++ b/crates/kumquatdrum_host/tests/keys.rs
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_belongs_to_one_request() {
+async fn a_key_reused_for_another_request_is_refused() {
     let system = System::start(3).await;
     let engine = start_slow_engine(&system).await;
     assert_eq!(
--- a/crates/kumquatdrum_host/tests/support/mod.rs
+++ b/crates/kumquatdrum_host/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts, simulated endpoints and callers for end-to-end tests on loopback in one process.
+//! Hosts, stand-in endpoints and callers for end-to-end tests on loopback in one process.
 
 #![allow(dead_code)]
 
@@ -195,7 +195,7 @@
     json!({"model": MODEL_SERVICE, "prompt": prompt, "max_tokens": max_tokens, "stream": stream})
 }
 
-/// Returns the complete answer of a simulated engine to a prompt.
+/// Returns the complete answer of a stand-in engine to a prompt.
 pub fn answer(prompt: &str, tokens: u32) -> String {
     let digest = digest::hex(prompt.as_bytes());
     (0..tokens)
--- a/crates/kumquatdrum_operator/src/report.rs
+++ b/crates/kumquatdrum_operator/src/report.rs
@@ -26,7 +26,7 @@
     Accepted {
         /// Version of the applied declaration.
         version: Version,
-        /// Rollout of the version, if the request asked to wait for it.
+        /// Rollout of the version, if the request has a maximum wait.
         #[serde(rename = "spread", default, skip_serializing_if = "Option::is_none")]
         rollout: Option<Rollout>,
     },
--- a/crates/kumquatdrum_operator/tests/support/mod.rs
+++ b/crates/kumquatdrum_operator/tests/support/mod.rs
@@ -42,7 +42,7 @@
     pub h2_versions: Mutex<VecDeque<Option<u64>>>,
     /// Maximum number of audit entries in a page, regardless of the requested limit.
     pub max_page_size: usize,
-    /// Whether revision declarations and audit pages are modified.
+    /// Whether declarations and audit pages are modified before they are returned.
     pub is_tampering: bool,
 }
 
--- a/crates/kumquatdrum_testing/src/announcer.rs
+++ b/crates/kumquatdrum_testing/src/announcer.rs
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct Announcer {
     leaving: watch::Sender<bool>,
-    notified: watch::Receiver<bool>,
+    leaving_accepted: watch::Receiver<bool>,
     progress: Arc<Mutex<Progress>>,
     task: JoinHandle<()>,
 }
@@ -62,7 +62,7 @@
     /// Starts to announce; the task ends when the stand-in is dead.
     pub fn start(options: Options, source: Box<Source>, gate: Gate) -> Self {
         let (leaving, leave) = watch::channel(false);
-        let (notify, notified) = watch::channel(false);
+        let (accepted, leaving_accepted) = watch::channel(false);
         let progress = Arc::new(Mutex::new(Progress::default()));
         let worker = Worker {
             options,
@@ -70,10 +70,10 @@
             client: reqwest::Client::new(),
             progress: Arc::clone(&progress),
         };
-        let task = tokio::spawn(run(worker, gate, leave, notify));
+        let task = tokio::spawn(run(worker, gate, leave, accepted));
         Self {
             leaving,
-            notified,
+            leaving_accepted,
             progress,
             task,
         }
@@ -82,7 +82,7 @@
     /// Sends the leaving notice and waits until an entry host has accepted it.
     pub async fn leave(&self) {
         self.leaving.send_replace(true);
-        let _ = self.notified.clone().wait_for(|done| *done).await;
+        let _ = self.leaving_accepted.clone().wait_for(|done| *done).await;
     }
 
     /// Returns the number of announcements that an entry host has accepted.
@@ -100,12 +100,12 @@
     worker: Worker,
     gate: Gate,
     mut leave: watch::Receiver<bool>,
-    notify: watch::Sender<bool>,
+    accepted: watch::Sender<bool>,
 ) {
     let mut death = gate.clone();
     tokio::select! {
         () = death.wait_until_dead() => {}
-        () = announce(worker, gate, &mut leave, &notify) => {}
+        () = announce(worker, gate, &mut leave, &accepted) => {}
     }
 }
 
@@ -113,18 +113,18 @@
     worker: Worker,
     mut gate: Gate,
     leave: &mut watch::Receiver<bool>,
-    notify: &watch::Sender<bool>,
+    accepted: &watch::Sender<bool>,
 ) {
     if worker.options.hosts.is_empty() {
         let _ = leave.wait_for(|leaving| *leaving).await;
-        notify.send_replace(true);
+        accepted.send_replace(true);
         return;
     }
     while gate.wait_until_running().await.is_ok() {
         let leaving = *leave.borrow_and_update();
         let delivered = worker.send(leaving).await;
         if leaving && delivered {
-            notify.send_replace(true);
+            accepted.send_replace(true);
         }
         tokio::select! {
             () = tokio::time::sleep(worker.options.interval) => {}
@@ -138,7 +138,7 @@
     async fn send(&self, leaving: bool) -> bool {
         for _ in &self.options.hosts {
             let mut announcement = (self.source)();
-            let host = self.number(&mut announcement);
+            let host = self.assign_sequence(&mut announcement);
             announcement.leaving = leaving;
             if self.post(host, &announcement).await {
                 self.progress.lock().delivered += 1;
@@ -150,7 +150,7 @@
     }
 
     /// Sets the next sequence number and returns the host to try.
-    fn number(&self, announcement: &mut Announcement) -> SocketAddr {
+    fn assign_sequence(&self, announcement: &mut Announcement) -> SocketAddr {
         let mut progress = self.progress.lock();
         progress.sequence += 1;
         announcement.sequence = progress.sequence;
--- a/crates/kumquatdrum_testing/src/engine/http.rs
+++ b/crates/kumquatdrum_testing/src/engine/http.rs
@@ -355,7 +355,7 @@
     }
 }
 
-/// Freeing is idempotent; `freed` tells whether anything was held.
+/// Returns the response to a release. Releasing is idempotent; `freed` is whether anything was held.
 fn freed_reply(freed: bool) -> Reply {
     Reply::Json(Status::Ok, json!({"freed": freed}))
 }
--- a/crates/kumquatdrum_testing/src/engine/shared.rs
+++ b/crates/kumquatdrum_testing/src/engine/shared.rs
@@ -260,7 +260,7 @@
     }
 }
 
-/// Returns the identifier of an attempt that doesn't exist, and a digest of no prompt.
+/// Returns the identifier of an attempt that doesn't exist, and a digest that belongs to no prompt.
 fn fabricated_attempt(id: &AttemptId) -> (AttemptId, String) {
     let name = format!("crossed-{id}");
     let digest = digest::hex(name.as_bytes());
--- a/crates/kumquatdrum_testing/src/model/attempt.rs
+++ b/crates/kumquatdrum_testing/src/model/attempt.rs
@@ -8,7 +8,7 @@
 pub struct Request {
     /// Unique identifier; a known one is refused.
     pub id: AttemptId,
-    /// The host that sent it.
+    /// The host that sent the request.
     pub owner: String,
     /// The owner's attempt counter.
     pub counter: u64,
--- a/crates/kumquatdrum_testing/src/model/scheduler.rs
+++ b/crates/kumquatdrum_testing/src/model/scheduler.rs
@@ -340,7 +340,7 @@
         Ok(())
     }
 
-    /// Returns the stage of an attempt.
+    /// Returns the stage of an attempt, and whether it has run.
     pub fn summary(&self, id: &AttemptId) -> Summary {
         let kept = self.attempts.get(id).map(|attempt| Summary {
             state: attempt.state,
--- a/crates/kumquatdrum_testing/src/process.rs
+++ b/crates/kumquatdrum_testing/src/process.rs
@@ -27,7 +27,7 @@
     pub listen: SocketAddr,
     /// Listening address of the control port; port 0 picks a free port.
     pub control: SocketAddr,
-    /// Incarnation of the stand-in; the wall clock in microseconds if `None`.
+    /// Boot id of the stand-in; the wall clock in microseconds if `None`.
     pub boot: Option<BootId>,
     /// How the stand-in is announced.
     pub announcer: announcer::Options,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the incarnation to announce.
+    /// Returns the boot id to announce.
     pub(crate) fn boot(&self) -> BootId {
         self.boot.unwrap_or_else(wall_clock_boot)
     }
--- a/crates/kumquatdrum_testing/src/server.rs
+++ b/crates/kumquatdrum_testing/src/server.rs
@@ -55,7 +55,7 @@
         let launch = rocket.launch();
         let (failure, failed) = oneshot::channel();
         let task = tokio::spawn(async move {
-            // A Rocket error that is dropped without being inspected prints itself.
+            // `launch_error` inspects the error, as Rocket prints errors that are dropped uninspected.
             let ended = launch.await.map(drop).map_err(launch_error);
             let _ = failure.send(ended);
         });
