--- a/crates/kumquatdrum_placement/src/balancer.rs
+++ b/crates/kumquatdrum_placement/src/balancer.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Records a failure of the endpoint; returns whether it is ejected.
+    /// Records a failure; returns whether it ejects the endpoint.
     pub fn record_failure(&mut self, now: Moment, key: EndpointKey, failure: Failure) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return false;
--- a/crates/kumquatdrum_placement/src/candidate.rs
+++ b/crates/kumquatdrum_placement/src/candidate.rs
@@ -5,11 +5,12 @@
 
 use crate::{Cost, DataCentreKey, EndpointKey, Health, JobId};
 
-/// The share of memory that may be allocated: answers can grow beyond their estimates.
+/// The share of memory that may be allocated; the rest is left for answers that grow beyond their
+/// estimates.
 const USABLE_MEMORY_SHARE: f64 = 0.97;
 
-/// The share of an answer's longest pause at which it counts as disrupted: the engine may add short
-/// prefills to the same pass.
+/// The share of an answer's maximum pause above which it counts as disrupted; the rest is left for
+/// short prefills that the engine adds to the same pass.
 const DISRUPTED_PAUSE_SHARE: f64 = 0.75;
 
 /// The planner's state for one engine.
@@ -20,17 +21,18 @@
     pub(crate) health: Health,
     /// The estimated end of all prefills assigned to the engine.
     pub(crate) prefill_until: Moment,
-    /// The estimated end of its long prefills, see [`crate::Plan::has_long_prefill`].
+    /// The estimated end of all long prefills assigned to the engine, see
+    /// [`crate::Plan::has_long_prefill`].
     pub(crate) long_prefill_until: Moment,
     /// The number of jobs with unfinished prefill on the engine.
     pub(crate) prefills: usize,
-    /// Jobs that the engine answers.
+    /// Jobs whose answers the engine decodes, including those still in prefill.
     pub(crate) decodes: IndexMap<JobId, Decode>,
     /// Allocated tokens of memory.
     pub(crate) used_tokens: u64,
 }
 
-/// A job that an engine answers.
+/// A job whose answer an engine decodes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Decode {
     pub(crate) max_pause_ms: f64,
@@ -43,9 +45,11 @@
 pub(crate) struct Candidate<'a> {
     pub(crate) key: EndpointKey,
     pub(crate) endpoint: &'a Endpoint,
+    /// The prefill backlog plus the health penalty.
     pub(crate) backlog_ms: f64,
-    /// Time left in long prefills; a new one would run before them.
+    /// The remaining time of the engine's long prefills, which a new one would delay.
     pub(crate) long_prefill_ms: f64,
+    /// The duration of a decode pass.
     pub(crate) pass_ms: f64,
     pub(crate) free_tokens: u64,
 }
--- a/crates/kumquatdrum_placement/src/demand.rs
+++ b/crates/kumquatdrum_placement/src/demand.rs
@@ -10,16 +10,15 @@
 
 use crate::Job;
 
-/// How long a dispatch counts: longer than the gaps between long prompts, shorter than a load
-/// phase.
+/// The time for which a dispatch counts as recent; longer than the usual gap between long prompts.
 const WINDOW: Duration = Duration::from_secs(3);
-/// Prompt tokens that weigh as much as one request, so that short prompts count as well.
+/// The number of prompt tokens that adds as much weight as the request itself.
 const TOKENS_PER_WEIGHT: f64 = 10_000.0;
-/// The allowed ratio of the other callers' loss to the value of the prompt. The loss is an upper
-/// bound: it assumes that every request during the prefill waits for all of it.
+/// The allowed ratio of the other callers' loss to the weight of the prompt. The loss is an upper
+/// bound: it assumes that every request during the prefill waits until its end.
 const MAX_LOSS_RATIO: f64 = 1.5;
 
-/// Returns the weight of a prompt among other prompts.
+/// Returns the weight of a prompt, which grows with its length.
 pub(crate) fn weight(prompt_tokens: u64) -> f64 {
     1.0 + prompt_tokens as f64 / TOKENS_PER_WEIGHT
 }
@@ -57,7 +56,7 @@
         self.dispatches.len() as f64 / WINDOW.as_secs_f64()
     }
 
-    /// Returns whether other callers would lose more than the job is worth if `prefill_engines` of
+    /// Returns whether the delay to other callers would outweigh the job if `prefill_engines` of
     /// `engines` ran its prefill for `part_ms` each.
     pub(crate) fn is_too_costly(
         &self,
--- a/crates/kumquatdrum_placement/src/health.rs
+++ b/crates/kumquatdrum_placement/src/health.rs
@@ -17,7 +17,7 @@
     Error,
 }
 
-/// The recent record of an endpoint.
+/// Tracks the failures of an endpoint and ejects it.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     consecutive_failures: u32,
@@ -26,13 +26,14 @@
     ejected_until: Moment,
 }
 
-/// The first ejection of an unreachable endpoint: a few round trips of the slowest link, so that a
-/// transient failure costs little.
+/// The duration of an ejection after one failure, doubled by each further consecutive failure. It
+/// is short, so that a transient failure costs little.
 const MIN_EJECTION: Duration = Duration::from_millis(400);
-/// The longest time between two probes with real requests.
+/// The longest ejection, after which the next request probes the endpoint.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// Consecutive broken responses that eject an endpoint; fewer may be isolated losses.
-const BROKEN_BEFORE_EJECTION: u32 = 3;
+/// The number of consecutive failures from which a broken response ejects the endpoint; fewer may
+/// be isolated losses.
+const FAILURES_BEFORE_EJECTION: u32 = 3;
 /// The weight of the newest response in the failure rate.
 const NEWEST_WEIGHT: f64 = 0.1;
 /// The latency penalty of an endpoint that always fails: the cost of a retry.
@@ -46,13 +47,13 @@
         self.ejected_until = Moment::ZERO;
     }
 
-    /// Records a failure; returns whether the endpoint is ejected.
+    /// Records a failure; returns whether it ejects the endpoint.
     pub fn record_failure(&mut self, now: Moment, failure: Failure) -> bool {
         self.failure_rate = self.failure_rate * (1.0 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
         self.consecutive_failures += 1;
         let ejects = match failure {
             Failure::Unreachable => true,
-            Failure::Broken => self.consecutive_failures >= BROKEN_BEFORE_EJECTION,
+            Failure::Broken => self.consecutive_failures >= FAILURES_BEFORE_EJECTION,
             Failure::Busy | Failure::Error => false,
         };
         if ejects {
--- a/crates/kumquatdrum_placement/src/job.rs
+++ b/crates/kumquatdrum_placement/src/job.rs
@@ -104,7 +104,7 @@
     pub waited_ms: u32,
     /// The time until the first token is due, in milliseconds; 0 if it is overdue.
     pub left_ms: u32,
-    /// The job waits for memory; others may overtake it.
+    /// The job waits for answers to end; other jobs may overtake it.
     pub blocked: bool,
 }
 
@@ -118,8 +118,8 @@
 }
 
 impl Plan {
-    /// Returns whether the prefill is shared by several engines or takes longer than
-    /// a pass. Such prefills must not overlap on an engine.
+    /// Returns whether the prefill is shared by several engines or takes longer than a pass. Such
+    /// prefills must not overlap on an engine.
     pub fn has_long_prefill(&self) -> bool {
         !self.helpers.is_empty() || f64::from(self.part_ms) > short_prompt::MIN_PART_MS
     }
--- a/crates/kumquatdrum_placement/src/long_prompt.rs
+++ b/crates/kumquatdrum_placement/src/long_prompt.rs
@@ -1,4 +1,4 @@
-//! Places prompts whose prefill takes longer than a pass.
+//! Places prompts whose prefill doesn't fit between two events of the engines' answers.
 //!
 //! Several engines share such a prefill, which may take seconds on one engine. Their number is a
 //! trade-off between the time to first token and the answers that pause meanwhile. An engine runs
@@ -19,17 +19,18 @@
 const DECODE_PENALTY_MS: f64 = 300.0;
 /// The cost of disrupted answers, in milliseconds of time to first token per unit of weight.
 const DISRUPTION_PENALTY_MS: f64 = 60.0;
-/// The allowed ratio of disrupted answers' weight to the prompt's weight. It keeps a few engines
-/// from a very long prefill that would stall many answers for seconds.
+/// The allowed ratio of disrupted answers' weight to the prompt's weight. It prevents very long
+/// prefills on a few engines, which would stall many answers for seconds.
 const MAX_DISRUPTION_RATIO: f64 = 0.3;
-/// The share of an engine's free memory that may be reserved: memory reports lag.
+/// The share of an engine's free memory that may be reserved; the rest is left for allocations that
+/// this host doesn't know of yet.
 const MAX_RESERVED_SHARE: f64 = 0.9;
 
 /// The share of the wanted engines that must have finished earlier long prefills. Waiting for the
 /// slowest costs more than sharing among fewer.
 const READY_SHARE: f64 = 0.9;
-/// The overhead of each engine that takes part, in passes: it waits for its current pass. It keeps
-/// parts from becoming too short to be worth an engine's time.
+/// The overhead of each engine that takes part, in passes, because the engine completes its current
+/// pass first. It limits the number of parts.
 const PASSES_LOST_PER_ENGINE: f64 = 0.25;
 
 /// The outcome of placing a long prompt.
@@ -38,9 +39,9 @@
     Send(Plan),
     /// Wait for engines to finish earlier prefills.
     Wait,
-    /// Wait for answers to end and free memory.
+    /// Wait for answers to end: memory is missing, or an overdue prompt would disrupt too many.
     Blocked,
-    /// The prefill would disrupt more answers than the prompt is worth.
+    /// The weight of the disrupted answers would be too large for the weight of the prompt.
     TooDisruptive {
         /// The time of one part if disruption were ignored, in milliseconds.
         part_ms: f64,
@@ -67,8 +68,8 @@
     .unwrap_or(1);
     let is_ready = |candidate: &&Candidate<'_>| candidate.long_prefill_ms <= 0.0;
     let mut ready = sort_by_load(candidates.iter().filter(is_ready).collect());
-    let quorum = (wanted as f64 * READY_SHARE).ceil() as usize;
-    if ready.len() < quorum {
+    let min_ready = (wanted as f64 * READY_SHARE).ceil() as usize;
+    if ready.len() < min_ready {
         return Placement::Wait;
     }
     let unconstrained_count =
@@ -100,7 +101,8 @@
     candidates
 }
 
-/// Returns the number of engines, at most `max_disruption`, with the earliest weighted finish.
+/// Returns the number of engines with the earliest weighted finish, among the numbers whose
+/// disruption is at most `max_disruption`.
 fn best_engine_count(
     candidates: &[&Candidate<'_>],
     prefill_ms: f64,
--- a/crates/kumquatdrum_placement/src/planner.rs
+++ b/crates/kumquatdrum_placement/src/planner.rs
@@ -28,11 +28,11 @@
 pub enum Decision {
     /// Dispatch the plan.
     Send(Plan, Diagnostics),
-    /// Retry when another job ends; other hosts are informed.
+    /// Retry when another job ends, and announce the waiting job to other hosts.
     Wait(Waiter),
     /// The engines' combined memory cannot hold the prompt.
     TooLarge,
-    /// Other callers would lose more than the prompt is worth.
+    /// The delay to other callers would outweigh the prompt.
     TooCostly,
     /// No engine is usable.
     NoEngine,
@@ -177,8 +177,8 @@
         Decision::Send(plan, diagnostics)
     }
 
-    /// Returns whether other callers would lose more than the job is worth. A job that already
-    /// waits is not rejected.
+    /// Returns whether the delay to other callers would outweigh the job. A job that already waits
+    /// is not rejected.
     fn is_rejected(&self, job: &Job, candidates: &[Candidate<'_>]) -> bool {
         let engines = candidates.len();
         let max_engines = engines.clamp(1, long_prompt::MAX_PREFILL_ENGINES);
@@ -186,7 +186,7 @@
             .iter()
             .filter(|candidate| candidate.long_prefill_ms <= 0.0)
             .count();
-        // Enough other engines remain available, so nobody is delayed.
+        // Enough other engines remain available, so no other caller is delayed.
         if self.queue.contains(job.id) || unoccupied >= 2 * max_engines {
             return false;
         }
@@ -259,7 +259,7 @@
         self.jobs.insert(assignment.plan.job, assignment);
     }
 
-    /// Renews a running job of another host, and adds it if its dispatch was missed.
+    /// Renews a running job of another host, or adds it if its dispatch was missed.
     pub fn refresh(&mut self, now: Moment, plan: Plan, is_prefilling: bool) {
         if let Some(assignment) = self.jobs.get_mut(&plan.job) {
             assignment.expires_at = now + JOB_EXPIRY;
@@ -331,7 +331,7 @@
         }
     }
 
-    /// Records a failure of an engine; returns whether it is ejected.
+    /// Records a failure; returns whether it ejects the engine.
     pub fn record_failure(&mut self, now: Moment, key: EndpointKey, failure: Failure) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return false;
--- a/crates/kumquatdrum_placement/src/reachability.rs
+++ b/crates/kumquatdrum_placement/src/reachability.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct DataCentreKey(pub u64);
 
-/// The recent record of each data centre.
+/// Tracks failures to reach each data centre.
 #[derive(Debug, Default)]
 pub(crate) struct Reachability {
     data_centres: IndexMap<DataCentreKey, Health>,
@@ -25,7 +25,7 @@
     }
 
     /// Records a failure. Only unreachable endpoints count, and only several in a row, because a
-    /// single one may be down.
+    /// single endpoint may be down.
     pub(crate) fn record_failure(
         &mut self,
         now: Moment,
--- a/crates/kumquatdrum_placement/src/short_prompt.rs
+++ b/crates/kumquatdrum_placement/src/short_prompt.rs
@@ -1,9 +1,9 @@
 //! Places prompts whose prefill fits between two events of the engine's answers.
 //!
-//! Their callers expect a first token within a fraction of a second and short pauses. They are
-//! packed on engines that already decode such answers, which leaves other engines free for long
-//! prefills, and on engines of the host's own data centre, whose streams survive a network
-//! partition.
+//! Callers of such prompts expect a first token within a fraction of a second and short pauses. The
+//! prompts are packed on engines that already decode answers with equally short pauses, which
+//! leaves other engines free for long prefills, and on engines of the host's own data centre, whose
+//! streams survive a network partition.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 /// engine. The rest is left for the prefill and for concurrent dispatches of other hosts.
 const PACKED_DELAY_SHARE: f64 = 0.36;
 /// The share of the time left until the first token is due that queueing and prefill may take
-/// before an engine without such answers is preferred. The rest is left for concurrent dispatches
+/// before an engine that isn't packed yet is preferred. The rest is left for concurrent dispatches
 /// of other hosts.
 const ON_TIME_SHARE: f64 = 0.7;
 /// The choice is random among as many engines as prompts are dispatched in this window. Hosts learn
--- a/crates/kumquatdrum_placement/tests/model/workload.rs
+++ b/crates/kumquatdrum_placement/tests/model/workload.rs
@@ -58,7 +58,7 @@
     },
 ];
 
-/// Classes with longer prompts, which occupy all engines of a large fleet most of the time.
+/// Classes with longer prompts, which occupy all engines of a large pool most of the time.
 pub const LONGER_PROMPT_CLASSES: [Class; 3] = [
     PROMPT_CLASSES[0],
     Class {
--- a/crates/kumquatdrum_placement/tests/planner.rs
+++ b/crates/kumquatdrum_placement/tests/planner.rs
@@ -108,7 +108,8 @@
     expect_sent(planner.place(at(5_502), &job(102, 250_000, at(5_502))));
 }
 
-/// Returns a planner in data centre 0 of two and a short answer on engine 1 there.
+/// Returns the planner of a host in the first of two data centres, and the plan of a short prompt
+/// on engine 1 there.
 fn two_data_centres() -> (Planner, Plan) {
     let mut planner = Planner::new(engine_settings()).with_data_centre(DataCentreKey(0));
     planner.set_endpoints([
@@ -119,8 +120,8 @@
     ]);
     let first = expect_sent(planner.place(START, &job(1, 2_000, START)));
     assert_eq!(first.first, EndpointKey(1));
-    let read = START + Duration::from_millis(50);
-    planner.record_first_token(read, first.job);
+    let first_token_at = START + Duration::from_millis(50);
+    planner.record_first_token(first_token_at, first.job);
     (planner, first)
 }
 
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn resources_of_a_silent_host_are_released() {
+fn resources_of_a_host_that_stops_announcing_jobs_are_released() {
     let mut planner = planner(2);
     let other = Plan {
         job: JobId { host: 2, number: 1 },
--- a/crates/kumquatdrum_replay/examples/baseline.rs
+++ b/crates/kumquatdrum_replay/examples/baseline.rs
@@ -35,19 +35,20 @@
     json: bool,
 }
 
+/// The stand-ins of a replay, and their addresses by service.
 #[derive(Default)]
-struct Fleet {
+struct Pool {
     engines: Vec<Engine>,
     services: Vec<Service>,
     endpoints: IndexMap<String, Vec<std::net::SocketAddr>>,
 }
 
-impl Fleet {
+impl Pool {
     async fn start(
         entries: &[Entry],
         arguments: &Arguments,
     ) -> Result<Self, kumquatdrum_testing::server::Error> {
-        let mut fleet = Self::default();
+        let mut pool = Self::default();
         let requested: IndexSet<(&str, bool)> = entries
             .iter()
             .map(|entry| (entry.service.as_str(), entry.is_plain()))
@@ -58,18 +59,18 @@
                 let options = service::Options::new("p1", name, "here");
                 let service = Service::start(options).await?;
                 addresses.push(service.address());
-                fleet.services.push(service);
+                pool.services.push(service);
             }
             for _ in 0..arguments.engines * usize::from(!is_plain) {
                 let mut options = engine::Options::new("e", name, "model", "here");
                 options.sizes.memory_tokens = arguments.memory_tokens;
                 let engine = Engine::start(options).await?;
                 addresses.push(engine.address());
-                fleet.engines.push(engine);
+                pool.engines.push(engine);
             }
-            fleet.endpoints.insert(name.to_owned(), addresses);
+            pool.endpoints.insert(name.to_owned(), addresses);
         }
-        Ok(fleet)
+        Ok(pool)
     }
 
     async fn shutdown(self) {
@@ -86,11 +87,11 @@
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     let arguments = arguments().run();
     let entries = trace::read(&fs::read_to_string(&arguments.trace)?)?;
-    let fleet = Fleet::start(&entries, &arguments).await?;
-    let engines = fleet.engines.iter().map(Engine::control_address);
-    let services = fleet.services.iter().map(Service::control_address);
+    let pool = Pool::start(&entries, &arguments).await?;
+    let engines = pool.engines.iter().map(Engine::control_address);
+    let services = pool.services.iter().map(Service::control_address);
     let options = Options {
-        endpoints: fleet.endpoints.clone(),
+        endpoints: pool.endpoints.clone(),
         controls: engines.chain(services).collect(),
         size: prompt::Size {
             scale: arguments.scale,
@@ -105,6 +106,6 @@
     } else {
         println!("{report}");
     }
-    fleet.shutdown().await;
+    pool.shutdown().await;
     Ok(())
 }
--- a/crates/kumquatdrum_replay/src/client.rs
+++ b/crates/kumquatdrum_replay/src/client.rs
@@ -24,7 +24,7 @@
     pub(super) const BROKEN: &str = "client_connection_broken";
     pub(super) const CONNECT: &str = "client_cannot_connect";
     pub(super) const CROSSED: &str = "client_crossed_answer";
-    pub(super) const CUT: &str = "client_no_end_marker";
+    pub(super) const NO_END_MARKER: &str = "client_no_end_marker";
     pub(super) const NO_ANSWER: &str = "client_no_answer";
     pub(super) const WRONG_TEXT: &str = "client_wrong_text";
 }
@@ -342,7 +342,7 @@
                 return end;
             }
         }
-        self.classify_incomplete(code::CUT)
+        self.classify_incomplete(code::NO_END_MARKER)
     }
 
     /// Handles the data of one event; returns the end of the answer if this event ends it.
@@ -354,7 +354,7 @@
         if event["error"].is_object() {
             let failure = serde_json::from_value::<Failure>(event).ok();
             return Some(failure.map_or_else(
-                || self.classify_incomplete(code::CUT),
+                || self.classify_incomplete(code::NO_END_MARKER),
                 |failure| End::from_detail(failure.error),
             ));
         }
@@ -388,7 +388,7 @@
         }
     }
 
-    /// Whether a token contains the digest of another prompt.
+    /// Returns whether a token contains the digest of another prompt.
     fn has_foreign_token(&self, text: &str) -> bool {
         let digits = |token: &str| token.split_once(':').map(|(_, digits)| digits.to_owned());
         let own = self.expected.split_whitespace().next().and_then(digits);
--- a/crates/kumquatdrum_replay/src/generator.rs
+++ b/crates/kumquatdrum_replay/src/generator.rs
@@ -10,8 +10,9 @@
 
 /// One of this many requests is long.
 const LONG_REQUEST_INTERVAL: usize = 50;
-/// Share of each burst period in which the arrival rate is `BURST_FACTOR` times higher.
+/// Share of each burst period in which the arrival rate is increased.
 const BURST_SHARE: f64 = 0.2;
+/// Factor on the arrival rate during a burst.
 const BURST_FACTOR: f64 = 4.0;
 /// Number of burst periods in a trace.
 const BURST_PERIODS: f64 = 8.0;
--- a/crates/kumquatdrum_replay/src/latency.rs
+++ b/crates/kumquatdrum_replay/src/latency.rs
@@ -73,7 +73,7 @@
 }
 
 impl Quantiles {
-    /// Divides by the quantiles of `base`; `None` if either set is empty.
+    /// Returns these quantiles divided by those of `base`, or `None` if either set is empty.
     ///
     /// ```
     /// use kumquatdrum_replay::latency::Quantiles;
--- a/crates/kumquatdrum_replay/src/replay.rs
+++ b/crates/kumquatdrum_replay/src/replay.rs
@@ -213,7 +213,7 @@
     }
 }
 
-/// Whether a request counts as short.
+/// Returns whether a request counts as short.
 pub(crate) fn is_short(entry: &Entry, short_limit: u64) -> bool {
     !entry.is_plain() && entry.prompt_tokens <= short_limit
 }
--- a/crates/kumquatdrum_replay/src/report.rs
+++ b/crates/kumquatdrum_replay/src/report.rs
@@ -151,7 +151,8 @@
         }
     }
 
-    /// Whether there is no violation and no discrepancy except repeated idempotent requests.
+    /// Returns whether there is no violation, and no discrepancy except repeated idempotent
+    /// requests.
     pub fn passed(&self) -> bool {
         let counted = self.counted.unwrap_or_default();
         self.violations == 0 && counted.run_twice == 0 && counted.ran_though_not_run == 0
@@ -191,8 +192,8 @@
     let mut may_have_run: IndexMap<usize, bool> = IndexMap::new();
     for record in records {
         let original = trace[record.index].resend_of.unwrap_or(record.index);
-        let is_other = record.observation.outcome != Outcome::NotRun;
-        *may_have_run.entry(original).or_default() |= is_other;
+        let has_possibly_run = record.observation.outcome != Outcome::NotRun;
+        *may_have_run.entry(original).or_default() |= has_possibly_run;
     }
     let mut counted = Counted::default();
     for record in records {
--- a/crates/kumquatdrum_replay/src/trace.rs
+++ b/crates/kumquatdrum_replay/src/trace.rs
@@ -83,7 +83,7 @@
 }
 
 impl Entry {
-    /// Whether the request goes to a plain service.
+    /// Returns whether the request goes to a plain service.
     ///
     /// ```
     /// let line = r#"{"at_ms":0,"workspace":"salon-01","key":"salon-01","service":"salon-api",
@@ -99,7 +99,7 @@
         self.path == "/v1/completions" || self.is_chat()
     }
 
-    /// Whether the request uses the chat interface.
+    /// Returns whether the request uses the chat interface.
     pub fn is_chat(&self) -> bool {
         self.path == "/v1/chat/completions"
     }
--- a/crates/kumquatdrum_replay/tests/straight.rs
+++ b/crates/kumquatdrum_replay/tests/straight.rs
@@ -6,13 +6,13 @@
 use kumquatdrum_testing::{Engine, Fault, Service, engine, service};
 
 /// Two engines and a plain service of one data centre.
-struct Fleet {
+struct Pool {
     engines: Vec<Engine>,
     service: Service,
     service_names: (&'static str, &'static str),
 }
 
-impl Fleet {
+impl Pool {
     async fn start(mix: Mix) -> Self {
         let service_names = match mix {
             Mix::Toonikaart => ("formula-llm", "salon-api"),
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn both_mixes_pass_without_faults() {
     for mix in [Mix::Toonikaart, Mix::Treasury] {
-        let fleet = Fleet::start(mix).await;
+        let pool = Pool::start(mix).await;
         let trace = generate(&generator::Options {
             mix,
             requests: 100,
@@ -75,7 +75,7 @@
         });
         let options = Options {
             baseline: Baseline::ShortAlone,
-            ..fleet.options()
+            ..pool.options()
         };
         let report = replay::run(&trace, &options).await.unwrap();
         assert!(report.passed(), "{report}");
@@ -89,7 +89,7 @@
         let plain = trace.iter().filter(|entry| entry.is_plain()).count() as u64;
         assert_eq!(measured + plain, 100);
         assert!(report.to_string().contains("passed in"));
-        fleet.shutdown().await;
+        pool.shutdown().await;
     }
 }
 
@@ -112,16 +112,16 @@
         },
         Fault::Die,
     ];
-    let fleet = Fleet::start(Mix::Toonikaart).await;
+    let pool = Pool::start(Mix::Toonikaart).await;
     for fault in faults {
-        fleet.engines[0].inject(&fault);
+        pool.engines[0].inject(&fault);
         let trace = generate(&generator::Options {
             requests: 20,
             span_ms: 20,
             ..generator::Options::default()
         });
-        let report = replay::run(&trace, &fleet.options()).await.unwrap();
+        let report = replay::run(&trace, &pool.options()).await.unwrap();
         assert!(!report.passed(), "{fault:?}");
     }
-    fleet.shutdown().await;
+    pool.shutdown().await;
 }
--- a/crates/kumquatdrum_routing/benches/decision.rs
+++ b/crates/kumquatdrum_routing/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Measures the cost of one decision at several fleet sizes: a submit that ends in a dispatch and
+//! Measures the cost of one decision for several pool sizes: a submit that ends in a dispatch and
 //! its progress, with load reports and cached prefixes.
 //!
 //! `cargo bench -p kumquatdrum_routing --bench decision`
@@ -12,14 +12,14 @@
 use kumquatdrum_types::endpoint::{Engine, Kind};
 use kumquatdrum_types::{Announcement, BootId, EndpointId, Load, Moment};
 
-const FLEET_SIZES: [usize; 3] = [25, 300, 7_600];
+const ENDPOINT_COUNTS: [usize; 3] = [25, 300, 7_600];
 const DECISIONS: u64 = 20_000;
 const RUNS: u64 = 5;
 const OWNERS: usize = 9;
 /// Requests in flight at any time.
 const MAX_IN_FLIGHT: usize = 64;
-/// The interval of long requests; all others are short.
-const LONG_EVERY: u64 = 50;
+/// One of this many requests is long; all others are short.
+const LONG_REQUEST_INTERVAL: u64 = 50;
 
 fn endpoint(index: usize) -> EndpointId {
     format!("engine-{index}").as_str().into()
@@ -67,7 +67,7 @@
 }
 
 fn build_request(number: u64, now: Moment) -> Request {
-    let is_long = number.is_multiple_of(LONG_EVERY);
+    let is_long = number.is_multiple_of(LONG_REQUEST_INTERVAL);
     let blocks = if is_long { 800 } else { 8 };
     Request {
         id: number.to_string().as_str().into(),
@@ -148,7 +148,7 @@
 fn main() {
     println!("| endpoints | submit, us: median of {RUNS} (lowest-highest) | progress, us |");
     println!("| --- | --- | --- |");
-    for size in FLEET_SIZES {
+    for size in ENDPOINT_COUNTS {
         let mut runs: Vec<(f64, f64)> = (0..RUNS).map(|_| measure(size)).collect();
         runs.sort_by(|a, b| a.0.total_cmp(&b.0));
         let median = runs[runs.len() / 2];
@@ -162,7 +162,7 @@
     }
     println!("\n| endpoints | waiting | submit that waits, us |");
     println!("| --- | --- | --- |");
-    for size in FLEET_SIZES {
+    for size in ENDPOINT_COUNTS {
         for waiting in [100, 4_000] {
             let duration = measure_waiting(size, waiting);
             println!("| {size} | {waiting}-{} | {duration:.1} |", 2 * waiting);
--- a/crates/kumquatdrum_routing/benches/policies/main.rs
+++ b/crates/kumquatdrum_routing/benches/policies/main.rs
@@ -210,7 +210,7 @@
     })
 }
 
-fn compare(mix: &Mix, scenario: (&str, f64, Conditions), seeds: (u64, u64), only: &str) {
+fn compare(mix: &Mix, scenario: (&str, f64, Conditions), seeds: (u64, u64), policy: &str) {
     println!("\n### {}, {}\n", mix.name, scenario.0);
     let headers = BANDS.map(|(name, ..)| format!("{name} p50 | {name} p95 | {name} p99"));
     println!(
@@ -219,7 +219,7 @@
     );
     println!("|{}", " --- |".repeat(4 * 3 + 7));
     for (name, kind) in POLICIES {
-        if !only.is_empty() && only != name {
+        if !policy.is_empty() && policy != name {
             continue;
         }
         let pairs = run_all_seeds(mix, scenario, kind, seeds);
@@ -249,14 +249,14 @@
 fn main() {
     let mut arguments = std::env::args().skip(1).filter(|word| word != "--bench");
     let seeds = arguments.next().and_then(|word| word.parse().ok());
-    let only: Option<usize> = arguments.next().and_then(|word| word.parse().ok());
+    let scenario_number: Option<usize> = arguments.next().and_then(|word| word.parse().ok());
     let policy = arguments.next().unwrap_or_default();
     let skip = arguments.next().and_then(|word| word.parse().ok());
     let (skip, seeds) = (skip.unwrap_or(0), seeds.unwrap_or(10));
     println!("Seconds to the first token; median over {seeds} seeds (lowest-highest).");
     for mix in [&trace::TOONIKAART, &trace::TREASURY] {
         for (number, scenario) in SCENARIOS.into_iter().enumerate() {
-            if only.is_none_or(|only| only == number) {
+            if scenario_number.is_none_or(|wanted| wanted == number) {
                 compare(mix, scenario, (skip, seeds), &policy);
             }
         }
--- a/crates/kumquatdrum_routing/src/endpoint.rs
+++ b/crates/kumquatdrum_routing/src/endpoint.rs
@@ -9,11 +9,11 @@
 use crate::prefix::Cache;
 use crate::{BlockHash, Health, Settings, Size};
 
-/// The ejection after the first failure; it doubles with each consecutive one.
+/// The duration of the ejection after the first failure; it doubles with each consecutive failure.
 const MIN_EJECTION: Duration = Duration::from_millis(250);
 /// The longest ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(8);
-/// The share of a reported prompt that counts as backlog until its first token.
+/// The least share of reported prompts that counts as backlog until their first token.
 const PENDING_SHARE: f64 = 0.1;
 
 /// The load that an attempt adds to an endpoint.
@@ -23,7 +23,7 @@
     pub(crate) tokens: u64,
     pub(crate) memory_tokens: u64,
     pub(crate) size: Size,
-    /// Whether engines run it before other short requests.
+    /// Whether the engine runs the attempt before other short requests.
     pub(crate) has_first_priority: bool,
 }
 
--- a/crates/kumquatdrum_routing/src/gang.rs
+++ b/crates/kumquatdrum_routing/src/gang.rs
@@ -1,7 +1,7 @@
 //! Reserves several engines for a prompt that exceeds the memory of each: all of them or none.
 //!
-//! Engines are reserved one by one in an order common to all owners, which prevents deadlocks. A
-//! reservation that may exist is released until the engine confirms the release or is gone.
+//! Engines are reserved one by one in an order common to all owners, which prevents deadlocks. The
+//! release of a reservation that may exist is repeated until the engine confirms it or is gone.
 
 use std::time::Duration;
 
@@ -232,7 +232,7 @@
         self.advance(now, attempt)
     }
 
-    /// Releases what the owner of an attempt may have reserved on an engine before it failed.
+    /// Releases a reservation that the failed owner of an attempt may have made on an engine.
     #[must_use]
     pub fn release_orphan(
         &mut self,
--- a/crates/kumquatdrum_routing/src/job.rs
+++ b/crates/kumquatdrum_routing/src/job.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns the tokens to compute before the first token of the answer. All requests of a plain
-    /// service count alike; their run time is estimated like an engine's rate.
+    /// service count as the same number of tokens.
     pub fn prefill_tokens(&self) -> u64 {
         match self.request.kind {
             RequestKind::Model => self.request.prompt_tokens,
--- a/crates/kumquatdrum_routing/src/lib.rs
+++ b/crates/kumquatdrum_routing/src/lib.rs
@@ -2,12 +2,12 @@
 
 mod drain;
 pub mod endpoint;
-pub mod fleet;
 pub mod gang;
 mod job;
 pub mod limits;
 mod output;
 pub mod policy;
+pub mod pool;
 pub mod prefix;
 mod queue;
 mod rank;
--- a/crates/kumquatdrum_routing/src/limits.rs
+++ b/crates/kumquatdrum_routing/src/limits.rs
@@ -25,8 +25,8 @@
 /// The duration of a grant, starting when its demand was sent.
 pub const LEASE_DURATION: Duration = Duration::from_secs(2);
 /// How long a host stays bound to a coordinator after it echoed one of its timestamps: a lease
-/// during which the coordinator counts on it, another for the last grant, and a margin for clock
-/// drift.
+/// during which the coordinator counts the host as bound, another for the last grant, and a margin
+/// for clock drift.
 pub const BINDING_DURATION: Duration = Duration::from_millis(4_200);
 /// The interval at which a host sends demands.
 pub const DEMAND_INTERVAL: Duration = Duration::from_millis(500);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Returns the share that the coordinator can grant.
+    /// Returns the pool: the part of the limit that exceeds the floors of all hosts.
     pub(crate) fn pool(&self, hosts: usize) -> Share {
         let floor = self.floor(hosts);
         let host_count = hosts.max(1) as f64;
--- a/crates/kumquatdrum_routing/src/limits/coordinator.rs
+++ b/crates/kumquatdrum_routing/src/limits/coordinator.rs
@@ -1,4 +1,4 @@
-//! Grants shares of the pool to hosts.
+//! Grants shares of a workspace's pool to hosts.
 
 use std::time::Duration;
 
@@ -148,7 +148,8 @@
     };
 }
 
-/// Returns one host's share of the pool: by demand, within what other hosts do not hold.
+/// Returns one host's share of the pool: in proportion to its demand, and at most what other hosts
+/// do not hold.
 fn compute_share(
     now: Moment,
     members: &IndexMap<HostId, Member>,
--- a/crates/kumquatdrum_routing/src/limits/message.rs
+++ b/crates/kumquatdrum_routing/src/limits/message.rs
@@ -10,7 +10,7 @@
 pub struct Timestamp {
     /// The incarnation of the coordinator.
     pub boot: BootId,
-    /// The time on its clock.
+    /// The time on the coordinator's clock.
     pub at: Moment,
 }
 
--- a/crates/kumquatdrum_routing/src/policy.rs
+++ b/crates/kumquatdrum_routing/src/policy.rs
@@ -1,4 +1,4 @@
-//! The interface between the queue and the choice of an endpoint.
+//! Policies that place queued requests on endpoints.
 
 mod arrivals;
 pub mod baseline;
@@ -8,7 +8,7 @@
 
 use kumquatdrum_types::Moment;
 
-use crate::fleet::{EndpointIndex, Fleet};
+use crate::pool::{EndpointIndex, Pool};
 use crate::{Job, Size};
 
 pub use latency::Latency;
@@ -34,25 +34,25 @@
 /// Chooses endpoints.
 pub trait Policy: Debug + Send {
     /// Records a new request before it is placed.
-    fn record_arrival(&mut self, now: Moment, job: &Job, fleet: &Fleet) {
-        let _ = (now, job, fleet);
+    fn record_arrival(&mut self, now: Moment, job: &Job, pool: &Pool) {
+        let _ = (now, job, pool);
     }
 
     /// Places a request.
-    fn place(&mut self, now: Moment, job: &Job, fleet: &Fleet) -> Placement;
+    fn place(&mut self, now: Moment, job: &Job, pool: &Pool) -> Placement;
 
     /// Returns the priority for the engine, 0 to 3.
-    fn engine_priority(&self, now: Moment, job: &Job, fleet: &Fleet) -> u8 {
-        let _ = (now, job, fleet);
+    fn engine_priority(&self, now: Moment, job: &Job, pool: &Pool) -> u8 {
+        let _ = (now, job, pool);
         0
     }
 }
 
 /// Returns the engine priority by size, short requests first. Requests close to their deadline rise
 /// by one. While short requests saturate the engines, all sizes are equal.
-pub(crate) fn size_priority(now: Moment, job: &Job, fleet: &Fleet, is_saturated: bool) -> u8 {
+pub(crate) fn size_priority(now: Moment, job: &Job, pool: &Pool, is_saturated: bool) -> u8 {
     let tokens = job.prefill_tokens();
-    let prefill = fleet.rates.service_time(job.size, tokens, 0);
+    let prefill = pool.rates.service_time(job.size, tokens, 0);
     let is_urgent = job.latest_start - now < prefill;
     match job.size {
         Size::Short => SHORT_PRIORITY,
@@ -63,24 +63,24 @@
 }
 
 /// Returns whether an endpoint accepts the request.
-pub(crate) fn is_allowed(job: &Job, fleet: &Fleet, index: EndpointIndex) -> bool {
-    fleet.is_candidate(index) && !job.request.excluded.contains(&fleet.endpoint(index).id)
+pub(crate) fn is_allowed(job: &Job, pool: &Pool, index: EndpointIndex) -> bool {
+    pool.is_candidate(index) && !job.request.excluded.contains(&pool.endpoint(index).id)
 }
 
 /// Chooses the fewest of the engines, in order, that can hold the request together.
 pub(crate) fn choose_spanning(
     job: &Job,
-    fleet: &Fleet,
+    pool: &Pool,
     ranked: impl IntoIterator<Item = EndpointIndex>,
 ) -> Placement {
     let mut chosen = Vec::new();
     let mut memory = 0_u64;
     for index in ranked {
         chosen.push(index);
-        memory = memory.saturating_add(fleet.endpoint(index).memory_tokens());
+        memory = memory.saturating_add(pool.endpoint(index).memory_tokens());
         if memory >= job.memory_tokens() {
             // An order common to all owners prevents deadlocks between reservations.
-            chosen.sort_by(|a, b| fleet.endpoint(*a).id.cmp(&fleet.endpoint(*b).id));
+            chosen.sort_by(|a, b| pool.endpoint(*a).id.cmp(&pool.endpoint(*b).id));
             return Placement::Several(chosen);
         }
     }
--- a/crates/kumquatdrum_routing/src/policy/arrivals.rs
+++ b/crates/kumquatdrum_routing/src/policy/arrivals.rs
@@ -1,4 +1,4 @@
-//! Tracks arriving work, and workspaces that exceed their share of it.
+//! Tracks the rate of arriving work, and which workspaces exceed their share of the capacity.
 
 use indexmap::IndexMap;
 use kumquatdrum_types::{Moment, WorkspaceName};
--- a/crates/kumquatdrum_routing/src/policy/baseline.rs
+++ b/crates/kumquatdrum_routing/src/policy/baseline.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg32;
 
 use super::{Placement, Policy, choose_spanning, is_allowed, size_priority};
-use crate::fleet::{EndpointIndex, Fleet};
+use crate::pool::{EndpointIndex, Pool};
 use crate::{Job, Size};
 
 /// The strategy of a baseline policy.
@@ -50,8 +50,8 @@
         self
     }
 
-    fn sort_key(&mut self, index: usize, count: usize, job: &Job, fleet: &Fleet) -> (u64, u32) {
-        let endpoint = fleet.endpoint(fleet.candidates()[index]);
+    fn sort_key(&mut self, index: usize, count: usize, job: &Job, pool: &Pool) -> (u64, u32) {
+        let endpoint = pool.endpoint(pool.candidates()[index]);
         let random = self.random.next_u32();
         match self.strategy {
             Strategy::Random => (0, random),
@@ -66,17 +66,17 @@
 }
 
 impl Policy for Baseline {
-    fn place(&mut self, _now: Moment, job: &Job, fleet: &Fleet) -> Placement {
-        let count = fleet.candidates().len();
+    fn place(&mut self, _now: Moment, job: &Job, pool: &Pool) -> Placement {
+        let count = pool.candidates().len();
         let indices: Vec<usize> = (0..count)
-            .filter(|&index| is_allowed(job, fleet, fleet.candidates()[index]))
+            .filter(|&index| is_allowed(job, pool, pool.candidates()[index]))
             .collect();
         let mut ranked: Vec<((u64, u32), EndpointIndex)> = indices
             .into_iter()
             .map(|index| {
                 (
-                    self.sort_key(index, count, job, fleet),
-                    fleet.candidates()[index],
+                    self.sort_key(index, count, job, pool),
+                    pool.candidates()[index],
                 )
             })
             .collect();
@@ -84,17 +84,17 @@
         ranked.sort_unstable();
         let ranked = ranked.into_iter().map(|(_, index)| index);
         if job.size == Size::Spanning {
-            return choose_spanning(job, fleet, ranked);
+            return choose_spanning(job, pool, ranked);
         }
         ranked
             .into_iter()
-            .find(|&index| fleet.endpoint(index).memory_tokens() >= job.memory_tokens())
+            .find(|&index| pool.endpoint(index).memory_tokens() >= job.memory_tokens())
             .map_or(Placement::Impossible, Placement::One)
     }
 
-    fn engine_priority(&self, now: Moment, job: &Job, fleet: &Fleet) -> u8 {
+    fn engine_priority(&self, now: Moment, job: &Job, pool: &Pool) -> u8 {
         if self.has_priorities {
-            size_priority(now, job, fleet, false)
+            size_priority(now, job, pool, false)
         } else {
             0
         }
--- a/crates/kumquatdrum_routing/src/policy/latency.rs
+++ b/crates/kumquatdrum_routing/src/policy/latency.rs
@@ -7,18 +7,19 @@
 
 use super::arrivals;
 use super::{FIRST_PRIORITY, Placement, Policy, choose_spanning, is_allowed, size_priority};
-use crate::fleet::{EndpointIndex, Fleet};
+use crate::pool::{EndpointIndex, Pool};
 use crate::{Job, RequestKind, Size};
 
 /// The number of endpoints sampled for a placement.
 const SAMPLE_SIZE: usize = 10;
 /// The number of engines sampled for a request that needs several.
 const SPANNING_SAMPLE_SIZE: usize = 48;
-/// The number of endpoints outside the protected zone sampled for a short request.
-const LONG_ZONE_SAMPLE_SIZE: usize = 8;
+/// The number of unprotected endpoints sampled for a short request.
+const UNPROTECTED_SAMPLE_SIZE: usize = 8;
 /// The largest share of engines kept clear of medium and long prefills.
 const MAX_PROTECTED_SHARE: f64 = 0.6;
-/// The load of short requests, as a share of all engines, from which shares are enforced.
+/// The load of short requests, as a share of all engines, from which the workspaces' shares are
+/// enforced.
 const BUSY_SHARE: f64 = 0.4;
 /// The additional estimated wait that a request accepts per second of waiting.
 const WAIT_GROWTH: f64 = 0.2;
@@ -29,7 +30,7 @@
 const RANK_COST_SECONDS: f64 = 0.015;
 /// The largest random cost, which also separates equal endpoints, in seconds.
 const MAX_JITTER_SECONDS: f64 = 0.02;
-/// The cached share of a long prompt from which its holders are candidates in any zone.
+/// The cached share of a long prompt from which its holders are candidates, even if protected.
 const MIN_CACHED_SHARE: f64 = 0.5;
 
 /// The traffic at the time of a placement.
@@ -71,65 +72,71 @@
 
     /// Returns how many of `count` engines are kept clear of long prefills: those that the short
     /// requests of all daemons need, with headroom.
-    fn protected_count(&self, now: Moment, fleet: &Fleet, count: usize) -> usize {
-        let wanted = (self.short_load(now, fleet) * fleet.settings.short_headroom).ceil() + 1.0;
+    fn protected_count(&self, now: Moment, pool: &Pool, count: usize) -> usize {
+        let wanted = (self.short_load(now, pool) * pool.settings.short_headroom).ceil() + 1.0;
         let max_count = (count as f64 * MAX_PROTECTED_SHARE).floor();
         wanted.min(max_count).max(0.0) as usize
     }
 
     /// Returns the load of all daemons' short requests, in engines.
-    fn short_load(&self, now: Moment, fleet: &Fleet) -> f64 {
-        let rate = self.short_arrivals.per_second(now) * fleet.owners() as f64;
-        rate / fleet.rates.prefill(Size::Short)
+    fn short_load(&self, now: Moment, pool: &Pool) -> f64 {
+        let rate = self.short_arrivals.per_second(now) * pool.owner_count() as f64;
+        rate / pool.rates.prefill(Size::Short)
     }
 
     /// Returns whether short requests need more than their protected share. Strict priorities would
     /// then starve other sizes, so all get equal priority and short requests avoid their engines.
-    fn is_saturated(&self, now: Moment, fleet: &Fleet) -> bool {
-        let count = fleet.candidates().len() as f64;
-        self.short_load(now, fleet) > count * MAX_PROTECTED_SHARE
+    fn is_saturated(&self, now: Moment, pool: &Pool) -> bool {
+        let count = pool.candidates().len() as f64;
+        self.short_load(now, pool) > count * MAX_PROTECTED_SHARE
     }
 
     /// Returns whether a short request precedes those of workspaces above their share.
-    fn is_preferred(&self, now: Moment, job: &Job, fleet: &Fleet) -> bool {
-        let count = fleet.candidates().len() as f64;
-        let is_busy = self.short_load(now, fleet) > count * BUSY_SHARE;
+    fn is_preferred(&self, now: Moment, job: &Job, pool: &Pool) -> bool {
+        let count = pool.candidates().len() as f64;
+        let is_busy = self.short_load(now, pool) > count * BUSY_SHARE;
         // Keeps the sum of all preferred requests within the protected share.
-        let capacity = capacity(fleet) * MAX_PROTECTED_SHARE;
+        let capacity = capacity(pool) * MAX_PROTECTED_SHARE;
         let is_above_share = is_busy && self.shares.is_above_share(now, job, capacity);
         job.size == Size::Short && !is_above_share
     }
 
-    fn sample(&mut self, zone: &[EndpointIndex], size: usize, sampled: &mut Vec<EndpointIndex>) {
-        if zone.len() <= size {
-            sampled.extend_from_slice(zone);
+    fn sample(
+        &mut self,
+        endpoints: &[EndpointIndex],
+        size: usize,
+        sampled: &mut Vec<EndpointIndex>,
+    ) {
+        if endpoints.len() <= size {
+            sampled.extend_from_slice(endpoints);
             return;
         }
         for _ in 0..size {
-            sampled.push(zone[self.random.next_u32() as usize % zone.len()]);
+            sampled.push(endpoints[self.random.next_u32() as usize % endpoints.len()]);
         }
     }
 
-    fn candidates(&mut self, now: Moment, job: &Job, fleet: &Fleet) -> Vec<EndpointIndex> {
-        let all = fleet.candidates();
-        let protected_count = self.protected_count(now, fleet, all.len());
-        let (long_zone, short_zone) = all.split_at(all.len() - protected_count);
+    fn candidates(&mut self, now: Moment, job: &Job, pool: &Pool) -> Vec<EndpointIndex> {
+        let all = pool.candidates();
+        // Protected endpoints are kept clear of medium and long prefills.
+        let protected_count = self.protected_count(now, pool, all.len());
+        let (unprotected, protected) = all.split_at(all.len() - protected_count);
         let mut found = Vec::with_capacity(2 * SAMPLE_SIZE);
         match job.size {
             Size::Short => {
-                self.sample(short_zone, SAMPLE_SIZE, &mut found);
-                self.sample(long_zone, LONG_ZONE_SAMPLE_SIZE, &mut found);
+                self.sample(protected, SAMPLE_SIZE, &mut found);
+                self.sample(unprotected, UNPROTECTED_SAMPLE_SIZE, &mut found);
             }
-            Size::Medium | Size::Long => self.sample(long_zone, SAMPLE_SIZE, &mut found),
+            Size::Medium | Size::Long => self.sample(unprotected, SAMPLE_SIZE, &mut found),
             Size::Spanning if all.len() <= SPANNING_SAMPLE_SIZE => found.extend_from_slice(all),
-            Size::Spanning => self.sample(long_zone, SPANNING_SAMPLE_SIZE, &mut found),
+            Size::Spanning => self.sample(unprotected, SPANNING_SAMPLE_SIZE, &mut found),
         }
-        found.extend(cached_holders(job, fleet));
-        found.retain(|&index| can_take(job, fleet, index));
+        found.extend(cached_holders(job, pool));
+        found.retain(|&index| can_take(job, pool, index));
         if found.is_empty() {
             // No sampled endpoint is suitable: they may be too small or excluded.
             let all = all.iter().copied();
-            let others = all.filter(|&index| can_take(job, fleet, index));
+            let others = all.filter(|&index| can_take(job, pool, index));
             found.extend(others.take(SAMPLE_SIZE));
         }
         found.sort_unstable();
@@ -141,20 +148,20 @@
         &mut self,
         now: Moment,
         job: &Job,
-        fleet: &Fleet,
+        pool: &Pool,
         index: EndpointIndex,
         traffic: Traffic,
     ) -> Candidate {
-        let endpoint = fleet.endpoint(index);
-        let rate = fleet.rates.backlog_rate() * endpoint.speed_factor;
-        let backlog = endpoint.backlog_tokens(now, fleet.rates.backlog_rate()) / rate;
+        let endpoint = pool.endpoint(index);
+        let rate = pool.rates.backlog_rate() * endpoint.speed_factor;
+        let backlog = endpoint.backlog_tokens(now, pool.rates.backlog_rate()) / rate;
         let cached =
-            endpoint.cached_blocks(&job.request.prefix) * fleet.settings.block_tokens as f64;
+            endpoint.cached_blocks(&job.request.prefix) * pool.settings.block_tokens as f64;
         let uncached = (job.prefill_tokens() as f64 - cached).max(1.0);
         // A cached prompt outweighs the precedence of other owners.
         let uncached_share = uncached / job.prefill_tokens().max(1) as f64;
         let rank = f64::from(endpoint.rank - traffic.min_rank)
-            * fleet.settings.rank_step.as_secs_f64()
+            * pool.settings.rank_step.as_secs_f64()
             * uncached_share;
         let jitter = f64::from(self.random.next_u32()) / f64::from(u32::MAX) * MAX_JITTER_SECONDS;
         let tie_break = f64::from(endpoint.rank) * RANK_COST_SECONDS + jitter;
@@ -172,7 +179,7 @@
             Size::Medium => backlog + tie_break,
             Size::Long | Size::Spanning => backlog + rank,
         };
-        let own_seconds = uncached / (fleet.rates.prefill(job.size) * endpoint.speed_factor);
+        let own_seconds = uncached / (pool.rates.prefill(job.size) * endpoint.speed_factor);
         Candidate {
             index,
             wait_seconds,
@@ -180,57 +187,57 @@
         }
     }
 
-    fn max_wait(now: Moment, job: &Job, fleet: &Fleet) -> f64 {
+    fn max_wait(now: Moment, job: &Job, pool: &Pool) -> f64 {
         let waited = (now - job.arrived).as_secs_f64();
         let depth = match job.size {
             // A plain service limits its own concurrency.
             _ if job.request.kind == RequestKind::Plain => return f64::INFINITY,
-            Size::Short => fleet.settings.short_depth,
-            Size::Medium => fleet.settings.medium_depth,
-            Size::Long | Size::Spanning => fleet.settings.long_depth,
+            Size::Short => pool.settings.short_depth,
+            Size::Medium => pool.settings.medium_depth,
+            Size::Long | Size::Spanning => pool.settings.long_depth,
         };
         depth.as_secs_f64() + waited * WAIT_GROWTH
     }
 }
 
 impl Policy for Latency {
-    fn record_arrival(&mut self, now: Moment, job: &Job, fleet: &Fleet) {
+    fn record_arrival(&mut self, now: Moment, job: &Job, pool: &Pool) {
         if job.size == Size::Short {
             self.short_arrivals.add(now, job.prefill_tokens() as f64);
-            self.shares.record(now, job, capacity(fleet));
+            self.shares.record(now, job, capacity(pool));
         }
     }
 
-    fn place(&mut self, now: Moment, job: &Job, fleet: &Fleet) -> Placement {
-        let max_wait = Self::max_wait(now, job, fleet);
-        let found = self.candidates(now, job, fleet);
+    fn place(&mut self, now: Moment, job: &Job, pool: &Pool) -> Placement {
+        let max_wait = Self::max_wait(now, job, pool);
+        let found = self.candidates(now, job, pool);
         if found.is_empty() {
             return Placement::Impossible;
         }
         // Precedence matters only relative to the best candidate.
-        let ranks = found.iter().map(|&index| fleet.endpoint(index).rank);
+        let ranks = found.iter().map(|&index| pool.endpoint(index).rank);
         let traffic = Traffic {
-            is_saturated: self.is_saturated(now, fleet),
-            is_preferred: self.is_preferred(now, job, fleet),
+            is_saturated: self.is_saturated(now, pool),
+            is_preferred: self.is_preferred(now, job, pool),
             min_rank: ranks.min().unwrap_or(0),
         };
         let mut evaluated: Vec<Candidate> = found
             .into_iter()
-            .map(|index| self.evaluate(now, job, fleet, index, traffic))
+            .map(|index| self.evaluate(now, job, pool, index, traffic))
             .collect();
         evaluated.sort_by(|a, b| a.first_token_seconds.total_cmp(&b.first_token_seconds));
         if job.size == Size::Spanning {
             let free = evaluated
                 .iter()
                 .filter(|candidate| candidate.wait_seconds <= max_wait);
-            let placement = choose_spanning(job, fleet, free.map(|candidate| candidate.index));
+            let placement = choose_spanning(job, pool, free.map(|candidate| candidate.index));
             return match placement {
                 Placement::Impossible => Placement::Wait,
                 placement => placement,
             };
         }
         let can_start = |candidate: &&Candidate| {
-            let endpoint = fleet.endpoint(candidate.index);
+            let endpoint = pool.endpoint(candidate.index);
             candidate.wait_seconds <= max_wait
                 && endpoint.has_room(job.memory_tokens())
                 && !endpoint.is_ejected(now)
@@ -241,18 +248,18 @@
             .map_or(Placement::Wait, |candidate| Placement::One(candidate.index))
     }
 
-    fn engine_priority(&self, now: Moment, job: &Job, fleet: &Fleet) -> u8 {
-        if self.is_preferred(now, job, fleet) {
+    fn engine_priority(&self, now: Moment, job: &Job, pool: &Pool) -> u8 {
+        if self.is_preferred(now, job, pool) {
             FIRST_PRIORITY
         } else {
-            size_priority(now, job, fleet, self.is_saturated(now, fleet))
+            size_priority(now, job, pool, self.is_saturated(now, pool))
         }
     }
 }
 
 /// Returns this daemon's share of the engines' work per second.
-fn capacity(fleet: &Fleet) -> f64 {
-    fleet.candidates().len() as f64 * fleet.rates.backlog_rate() / fleet.owners() as f64
+fn capacity(pool: &Pool) -> f64 {
+    pool.candidates().len() as f64 * pool.rates.backlog_rate() / pool.owner_count() as f64
 }
 
 /// Returns the wait of a short request. Engines honour priorities, so a backlog costs only
@@ -262,20 +269,20 @@
 }
 
 /// Returns whether an endpoint can run the request, now or later.
-fn can_take(job: &Job, fleet: &Fleet, index: EndpointIndex) -> bool {
-    let has_memory = fleet.endpoint(index).memory_tokens() >= job.memory_tokens();
-    is_allowed(job, fleet, index) && (has_memory || job.size == Size::Spanning)
+fn can_take(job: &Job, pool: &Pool, index: EndpointIndex) -> bool {
+    let has_memory = pool.endpoint(index).memory_tokens() >= job.memory_tokens();
+    is_allowed(job, pool, index) && (has_memory || job.size == Size::Spanning)
 }
 
 /// Returns endpoints that hold the start of the prompt; for a long one, only those that hold most
 /// of it.
-fn cached_holders(job: &Job, fleet: &Fleet) -> impl Iterator<Item = EndpointIndex> {
+fn cached_holders(job: &Job, pool: &Pool) -> impl Iterator<Item = EndpointIndex> {
     let prefix = &job.request.prefix;
     let min_blocks = match job.size {
         Size::Short | Size::Medium => 0.0,
         Size::Long => prefix.len() as f64 * MIN_CACHED_SHARE,
         Size::Spanning => f64::INFINITY,
     };
-    let holders = fleet.prefixes.holders(prefix).iter().copied();
-    holders.filter(move |&index| fleet.endpoint(index).cached_blocks(prefix) >= min_blocks)
+    let holders = pool.prefixes.holders(prefix).iter().copied();
+    holders.filter(move |&index| pool.endpoint(index).cached_blocks(prefix) >= min_blocks)
 }
--- a/crates/kumquatdrum_routing/src/fleet.rs
+++ b/crates/kumquatdrum_routing/src/pool.rs
@@ -1,4 +1,4 @@
-//! The endpoints of one service.
+//! The pool of endpoints of one service.
 
 use indexmap::{IndexMap, IndexSet};
 use kumquatdrum_types::endpoint::Kind;
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointIndex(u32);
 
-/// Removed endpoints that are remembered, so that late announcements do not restore them.
+/// The most removed endpoints that are remembered, so that late announcements do not restore them.
 const MAX_TOMBSTONES: usize = 1_024;
 
 /// The last known state of a removed endpoint.
@@ -34,9 +34,9 @@
     }
 }
 
-/// The endpoints of a service.
+/// Holds the endpoints of a service, their cached prefixes and the service rates.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct Pool {
     pub(crate) settings: Settings,
     /// Estimated service rates.
     pub rates: Rates,
@@ -49,10 +49,11 @@
     suspect: Vec<EndpointIndex>,
     out_of_sync: IndexSet<EndpointId>,
     largest_memory: u64,
+    /// Whether an announced rate has initialised the rates.
     has_rate: bool,
 }
 
-impl Fleet {
+impl Pool {
     pub(crate) fn new(settings: Settings) -> Self {
         Self {
             rates: Rates::new(&settings),
@@ -79,11 +80,11 @@
         }
     }
 
-    /// Returns the endpoint at an index from [`Fleet::candidates`] or the prefix index.
+    /// Returns the endpoint at an index from [`Pool::candidates`] or the prefix index.
     pub fn endpoint(&self, index: EndpointIndex) -> &Endpoint {
         self.endpoints[index.0 as usize]
             .as_ref()
-            .expect("an index lives no longer than its endpoint")
+            .expect("an index is used only while its endpoint exists")
     }
 
     /// Returns the index of an endpoint.
@@ -106,14 +107,14 @@
     }
 
     /// Returns the number of daemons that share the endpoints.
-    pub fn owners(&self) -> usize {
+    pub fn owner_count(&self) -> usize {
         self.settings.owners.len().max(1)
     }
 
     pub(crate) fn endpoint_mut(&mut self, index: EndpointIndex) -> &mut Endpoint {
         self.endpoints[index.0 as usize]
             .as_mut()
-            .expect("an index lives no longer than its endpoint")
+            .expect("an index is used only while its endpoint exists")
     }
 
     pub(crate) fn set_owners(&mut self, owners: Vec<String>) {
@@ -155,7 +156,7 @@
         {
             let endpoint = self.endpoints[index.0 as usize].as_mut();
             endpoint
-                .expect("just found")
+                .expect("the endpoint was found or inserted above")
                 .apply_report(now, load, &self.settings);
         }
     }
--- a/crates/kumquatdrum_routing/src/prefix.rs
+++ b/crates/kumquatdrum_routing/src/prefix.rs
@@ -2,7 +2,7 @@
 
 use indexmap::{IndexMap, IndexSet};
 
-use crate::fleet::EndpointIndex;
+use crate::pool::EndpointIndex;
 use crate::{BlockHash, CacheChange, CacheEvent};
 
 /// The most holders kept for one block; a sample is enough for placement.
@@ -15,20 +15,20 @@
 pub struct Cache {
     blocks: IndexSet<BlockHash>,
     next_sequence: Option<u64>,
-    out_of_sync: bool,
+    is_out_of_sync: bool,
 }
 
 impl Cache {
     /// Returns whether events were lost since the last snapshot.
     pub const fn is_out_of_sync(&self) -> bool {
-        self.out_of_sync
+        self.is_out_of_sync
     }
 
     /// Returns the number of leading blocks of a prompt that are cached, reduced if out of sync.
     pub fn cached_blocks(&self, prefix: &[BlockHash]) -> f64 {
         // Hashes are chained, so a cached block implies that all blocks before it were cached.
         let cached = prefix.partition_point(|block| self.blocks.contains(block));
-        if self.out_of_sync {
+        if self.is_out_of_sync {
             cached as f64 * OUT_OF_SYNC_SHARE
         } else {
             cached as f64
@@ -65,8 +65,8 @@
         if event.sequence < expected && !is_snapshot {
             return false;
         }
-        let was_out_of_sync = cache.out_of_sync;
-        cache.out_of_sync = !is_snapshot && (was_out_of_sync || event.sequence > expected);
+        let was_out_of_sync = cache.is_out_of_sync;
+        cache.is_out_of_sync = !is_snapshot && (was_out_of_sync || event.sequence > expected);
         cache.next_sequence = Some(expected.max(event.sequence + 1));
         match &event.change {
             CacheChange::Stored(blocks) => self.store(endpoint, cache, blocks, limit),
@@ -75,10 +75,10 @@
                 self.clear(endpoint, cache);
                 self.store(endpoint, cache, blocks, limit);
                 // The snapshot does not include later events that were already applied.
-                cache.out_of_sync = event.sequence + 1 < expected;
+                cache.is_out_of_sync = event.sequence + 1 < expected;
             }
         }
-        cache.out_of_sync && !was_out_of_sync
+        cache.is_out_of_sync && !was_out_of_sync
     }
 
     /// Removes all blocks of an endpoint.
--- a/crates/kumquatdrum_routing/src/queue.rs
+++ b/crates/kumquatdrum_routing/src/queue.rs
@@ -9,7 +9,7 @@
 
 use crate::Job;
 
-/// The work that every request counts for in addition to its tokens.
+/// The fixed work of a request, in tokens, in addition to its own tokens.
 const BASE_WORK: u64 = 256;
 
 /// Returns the work of a request, in tokens.
--- a/crates/kumquatdrum_routing/src/rate.rs
+++ b/crates/kumquatdrum_routing/src/rate.rs
@@ -6,7 +6,8 @@
 
 /// The weight of a new sample.
 const SAMPLE_WEIGHT: f64 = 0.05;
-/// The largest ratio of a sample to the estimate that counts.
+/// The largest ratio between a sample and the estimate, in either direction; larger ratios are
+/// clamped.
 const MAX_SAMPLE_RATIO: f64 = 2.0;
 /// The largest ratio of an endpoint's speed to the service's average, in either direction.
 const MAX_SPEED_FACTOR: f64 = 8.0;
--- a/crates/kumquatdrum_routing/src/router.rs
+++ b/crates/kumquatdrum_routing/src/router.rs
@@ -8,8 +8,8 @@
 
 use crate::drain;
 use crate::endpoint;
-use crate::fleet::{EndpointIndex, Fleet};
 use crate::policy::{FIRST_PRIORITY, Latency, Placement, Policy};
+use crate::pool::{EndpointIndex, Pool};
 use crate::queue::{Queue, Ticket, work_tokens};
 use crate::{
     CacheEvent, Dispatch, Failure, Health, Job, Output, Progress, Refuse, Request, Settings, Size,
@@ -19,11 +19,12 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// The interval at which out-of-sync endpoints are asked for a cache snapshot.
 const RESYNC_INTERVAL: Duration = Duration::from_secs(5);
-/// The advised retry time while no endpoint is known.
-const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The advised retry time without an endpoint or a wait estimate, and the shortest one while the
+/// queue is full.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// The shortest advised retry time.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// The distance of two priority levels in the engine's priorities.
+/// The number of engine priorities per priority level.
 const LEVEL_STEP: u8 = 4;
 /// The highest level that engine priorities distinguish.
 const MAX_LEVEL: u8 = 60;
@@ -90,7 +91,7 @@
 /// ```
 #[derive(Debug)]
 pub struct Router {
-    fleet: Fleet,
+    pool: Pool,
     policy: Box<dyn Policy>,
     queues: [Queue; 4],
     drain_rates: [drain::Rate; 4],
@@ -112,7 +113,7 @@
     /// Creates a router with the given policy.
     pub fn with_policy(settings: Settings, policy: Box<dyn Policy>) -> Self {
         Self {
-            fleet: Fleet::new(settings),
+            pool: Pool::new(settings),
             policy,
             queues: Default::default(),
             drain_rates: Default::default(),
@@ -128,20 +129,20 @@
     /// Sets the owners that share the endpoints, including this one.
     pub fn set_owners(&mut self, owners: impl IntoIterator<Item = impl Into<String>>) {
         let owners = owners.into_iter().map(Into::into).collect();
-        self.fleet.set_owners(owners);
+        self.pool.set_owners(owners);
     }
 
     /// Applies an announcement, including its load report.
     #[must_use]
     pub fn announce(&mut self, now: Moment, announcement: &Announcement) -> Vec<Output> {
-        self.fleet.announce(now, announcement);
+        self.pool.announce(now, announcement);
         self.step(now)
     }
 
     /// Sets the health of an endpoint according to membership.
     #[must_use]
     pub fn set_health(&mut self, now: Moment, id: &EndpointId, health: Health) -> Vec<Output> {
-        self.fleet.set_health(id, health);
+        self.pool.set_health(id, health);
         self.step(now)
     }
 
@@ -154,7 +155,7 @@
         event: &CacheEvent,
     ) -> Vec<Output> {
         let mut outputs = Vec::new();
-        if self.fleet.apply_cache_event(id, event) {
+        if self.pool.apply_cache_event(id, event) {
             self.next_resync = self.next_resync.max(now + RESYNC_INTERVAL);
             outputs.push(Output::Resync(id.clone()));
         }
@@ -164,9 +165,9 @@
     /// Submits a request. It ends in exactly one dispatch or refusal, unless it is withdrawn.
     #[must_use]
     pub fn submit(&mut self, now: Moment, request: Request) -> Vec<Output> {
-        let largest_memory = self.fleet.largest_memory();
-        let size = Size::classify(&self.fleet.settings, &request, largest_memory);
-        let rates = &self.fleet.rates;
+        let largest_memory = self.pool.largest_memory();
+        let size = Size::classify(&self.pool.settings, &request, largest_memory);
+        let rates = &self.pool.rates;
         let service_time =
             rates.service_time(size, request.prompt_tokens, request.expected_output_tokens);
         // Service times are estimates; refuse only requests that would need twice the estimated
@@ -181,7 +182,7 @@
             arrived: now,
             latest_start,
         };
-        self.policy.record_arrival(now, &job, &self.fleet);
+        self.policy.record_arrival(now, &job, &self.pool);
         if let Err(refuse) = self.admit(now, &job) {
             return vec![Output::Refuse(refuse)];
         }
@@ -201,16 +202,16 @@
         let wait = self.drain_rates[job.size.index()].estimate_time(now, ahead);
         let wait = wait.unwrap_or_default();
         match job.size {
-            _ if self.fleet.candidates().is_empty() => {
-                Err(refuse(Refusal::NoEndpoint, Some(NO_ENDPOINT_RETRY_AFTER)))
+            _ if self.pool.candidates().is_empty() => {
+                Err(refuse(Refusal::NoEndpoint, Some(DEFAULT_RETRY_AFTER)))
             }
             Size::Spanning if self.total_memory() < job.memory_tokens() => {
                 Err(refuse(Refusal::PromptTooLong, None))
             }
             _ if self.waiting.contains_key(&request.id) => Err(refuse(Refusal::BadRequest, None)),
-            _ if self.waiting.len() >= self.fleet.settings.queue_limit => Err(refuse(
+            _ if self.waiting.len() >= self.pool.settings.queue_limit => Err(refuse(
                 Refusal::Overloaded,
-                Some(wait.max(NO_ENDPOINT_RETRY_AFTER)),
+                Some(wait.max(DEFAULT_RETRY_AFTER)),
             )),
             _ if now >= job.latest_start => Err(refuse(
                 Refusal::DeadlineBeforeDispatch,
@@ -225,9 +226,9 @@
     }
 
     fn total_memory(&self) -> u64 {
-        let candidates = self.fleet.candidates().iter();
+        let candidates = self.pool.candidates().iter();
         candidates.fold(0, |sum, &index| {
-            sum.saturating_add(self.fleet.endpoint(index).memory_tokens())
+            sum.saturating_add(self.pool.endpoint(index).memory_tokens())
         })
     }
 
@@ -289,19 +290,19 @@
         attempt.first_token = Some(now);
         let duration = (now - attempt.sent).as_secs_f64().max(1e-6);
         for (id, boot, ahead) in &attempt.endpoints {
-            let Some(index) = find_incarnation(&self.fleet, id, *boot) else {
+            let Some(index) = find_incarnation(&self.pool, id, *boot) else {
                 continue;
             };
-            self.fleet.endpoint_mut(index).record_first_token(number);
+            self.pool.endpoint_mut(index).record_first_token(number);
             // The prompt may have overtaken part of the backlog, so its time gives no valid rate.
             if *ahead > attempt.tokens as f64 {
                 continue;
             }
             let sample = (attempt.tokens as f64 + ahead) / duration;
-            let usual = self.fleet.rates.prefill(attempt.size);
-            let endpoint = self.fleet.endpoint_mut(index);
+            let usual = self.pool.rates.prefill(attempt.size);
+            let endpoint = self.pool.endpoint_mut(index);
             crate::rate::update_speed_factor(&mut endpoint.speed_factor, sample / usual);
-            self.fleet.rates.record_prefill(attempt.size, sample);
+            self.pool.rates.record_prefill(attempt.size, sample);
         }
     }
 
@@ -310,16 +311,16 @@
             return;
         };
         if let Some(first) = attempt.first_token {
-            self.fleet.rates.record_output(now - first, output);
+            self.pool.rates.record_output(now - first, output);
         }
         // With several engines, it is unknown which one failed.
         let is_single = attempt.endpoints.len() == 1;
         let is_fault = is_single && !matches!(failure, None | Some(Failure::Cancelled));
         for (id, boot, _) in &attempt.endpoints {
-            let Some(index) = find_incarnation(&self.fleet, id, *boot) else {
+            let Some(index) = find_incarnation(&self.pool, id, *boot) else {
                 continue;
             };
-            let endpoint = self.fleet.endpoint_mut(index);
+            let endpoint = self.pool.endpoint_mut(index);
             endpoint.record_end(number);
             if is_fault {
                 endpoint.record_failure(now);
@@ -333,7 +334,7 @@
         let mut outputs = self.step(now);
         if now >= self.next_resync {
             self.next_resync = now + RESYNC_INTERVAL;
-            outputs.extend(self.fleet.out_of_sync().iter().cloned().map(Output::Resync));
+            outputs.extend(self.pool.out_of_sync().iter().cloned().map(Output::Resync));
         }
         outputs
     }
@@ -344,7 +345,7 @@
             .latest_starts
             .first()
             .map_or(Moment::NEVER, |(at, _)| *at);
-        let resync = if self.fleet.out_of_sync().is_empty() {
+        let resync = if self.pool.out_of_sync().is_empty() {
             Moment::NEVER
         } else {
             self.next_resync
@@ -363,8 +364,8 @@
     }
 
     /// Returns the endpoints known to this router.
-    pub const fn fleet(&self) -> &Fleet {
-        &self.fleet
+    pub const fn pool(&self) -> &Pool {
+        &self.pool
     }
 
     fn step(&mut self, now: Moment) -> Vec<Output> {
@@ -401,7 +402,7 @@
             request.weight,
         );
         let wait = self.drain_rates[class].estimate_time(now, ahead);
-        let retry_after = wait.unwrap_or(NO_ENDPOINT_RETRY_AFTER).max(MIN_RETRY_AFTER);
+        let retry_after = wait.unwrap_or(DEFAULT_RETRY_AFTER).max(MIN_RETRY_AFTER);
         outputs.push(Output::Refuse(Refuse {
             request: id.clone(),
             reason,
@@ -414,7 +415,7 @@
             let Some(waiting) = self.waiting.get(&id) else {
                 return;
             };
-            match self.policy.place(now, &waiting.job, &self.fleet) {
+            match self.policy.place(now, &waiting.job, &self.pool) {
                 Placement::One(index) => self.dispatch(now, &id, &[index], outputs),
                 Placement::Several(indices) => self.dispatch(now, &id, &indices, outputs),
                 Placement::Impossible => self.refuse(now, &id, Refusal::NoEndpoint, outputs),
@@ -435,7 +436,7 @@
         };
         self.last_attempt += 1;
         let number = self.last_attempt;
-        let base = self.policy.engine_priority(now, &job, &self.fleet);
+        let base = self.policy.engine_priority(now, &job, &self.pool);
         let level = job.request.priority.level.min(MAX_LEVEL);
         let endpoint_count = endpoints.len().max(1) as u64;
         let mut attempt = Attempt {
@@ -446,8 +447,8 @@
             endpoints: Vec::with_capacity(endpoints.len()),
         };
         for &index in endpoints {
-            let rate = self.fleet.rates.backlog_rate();
-            let endpoint = self.fleet.endpoint_mut(index);
+            let rate = self.pool.rates.backlog_rate();
+            let endpoint = self.pool.endpoint_mut(index);
             let ahead = endpoint.backlog_tokens(now, rate);
             attempt
                 .endpoints
@@ -477,7 +478,7 @@
 }
 
 /// Returns the index of an endpoint if it is still in this incarnation.
-fn find_incarnation(fleet: &Fleet, id: &EndpointId, boot: BootId) -> Option<EndpointIndex> {
-    let index = fleet.find(id)?;
-    (fleet.endpoint(index).boot == boot).then_some(index)
+fn find_incarnation(pool: &Pool, id: &EndpointId, boot: BootId) -> Option<EndpointIndex> {
+    let index = pool.find(id)?;
+    (pool.endpoint(index).boot == boot).then_some(index)
 }
--- a/crates/kumquatdrum_routing/src/settings.rs
+++ b/crates/kumquatdrum_routing/src/settings.rs
@@ -5,9 +5,9 @@
 /// Settings of a router; all routers of one service should have the same, except for `owner`.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The name under which engines report this daemon's attempts.
+    /// The name of this daemon, under which engines report its attempts.
     pub owner: String,
-    /// The owners that share the endpoints, including this one.
+    /// The names of the daemons that share the endpoints, including this one.
     pub owners: Vec<String>,
     /// The longest prompt that is short, in tokens.
     pub short_tokens: u64,
--- a/crates/kumquatdrum_routing/tests/conservation.rs
+++ b/crates/kumquatdrum_routing/tests/conservation.rs
@@ -136,8 +136,8 @@
             }
             assert_eq!((router.queued(), router.in_flight()), (0, 0));
             for index in 0..6 {
-                let index = router.fleet().find(&endpoint(index));
-                let in_flight = index.map_or(0, |index| router.fleet().endpoint(index).in_flight());
+                let index = router.pool().find(&endpoint(index));
+                let in_flight = index.map_or(0, |index| router.pool().endpoint(index).in_flight());
                 assert_eq!(in_flight, 0);
             }
             Ok(())
--- a/crates/kumquatdrum_routing/tests/endpoints.rs
+++ b/crates/kumquatdrum_routing/tests/endpoints.rs
@@ -26,22 +26,22 @@
     let _ = router.set_health(now, &endpoint(0), Health::Leaving);
 
     let _ = router.announce(now, &announcement(0, 2, 1, None));
-    let index = router.fleet().find(&endpoint(0)).expect("announced");
-    let state = router.fleet().endpoint(index);
+    let index = router.pool().find(&endpoint(0)).expect("announced");
+    let state = router.pool().endpoint(index);
     assert_eq!(state.health, Health::Alive);
     assert_eq!(state.in_flight(), 0);
     assert_eq!(state.requests(), 0);
     assert!(state.backlog_tokens(now, 1.0) < 1.0);
-    assert!(router.fleet().prefixes.holders(&[BlockHash(1)]).is_empty());
+    assert!(router.pool().prefixes.holders(&[BlockHash(1)]).is_empty());
     // Late events of the old incarnation have no effect on the new one.
     let _ = router.apply_cache_event(now, &endpoint(0), &event);
     let _ = router.announce(now, &announcement(0, 1, 9, Some(load(9, 300_000))));
     let _ = router.record_progress(now, 1, Progress::Failed(Failure::Broken));
-    let state = router.fleet().endpoint(index);
+    let state = router.pool().endpoint(index);
     assert_eq!(state.boot, BootId(2));
     assert!(!state.is_ejected(now));
     assert!(state.backlog_tokens(now, 1.0) < 1.0);
-    assert!(router.fleet().prefixes.holders(&[BlockHash(1)]).is_empty());
+    assert!(router.pool().prefixes.holders(&[BlockHash(1)]).is_empty());
     assert_eq!(router.in_flight(), 0);
 }
 
@@ -62,8 +62,8 @@
         }
     }
     let _ = router.announce(now, &announcement(0, 1, 6, None));
-    let index = router.fleet().find(&endpoint(0)).expect("announced");
-    assert_eq!(router.fleet().endpoint(index).health, Health::Leaving);
+    let index = router.pool().find(&endpoint(0)).expect("announced");
+    assert_eq!(router.pool().endpoint(index).health, Health::Leaving);
 }
 
 #[test]
@@ -78,10 +78,10 @@
     // The incarnation that left stays removed; the other endpoint ignores older announcements.
     let _ = router.announce(now, &announcement(0, 1, 9, None));
     let _ = router.announce(now, &announcement(1, 1, 1, None));
-    assert!(router.fleet().candidates().is_empty());
+    assert!(router.pool().candidates().is_empty());
     let _ = router.announce(now, &announcement(1, 1, 2, None));
     let _ = router.announce(now, &announcement(0, 2, 1, None));
-    assert_eq!(router.fleet().candidates().len(), 2);
+    assert_eq!(router.pool().candidates().len(), 2);
 }
 
 #[test]
@@ -110,8 +110,8 @@
     let now = seconds(1.0);
     let _ = router.announce(now, &announcement(0, 1, 2, Some(load(5, 100_000))));
     let _ = router.announce(now, &announcement(0, 1, 3, Some(load(4, 0))));
-    let index = router.fleet().find(&endpoint(0)).expect("announced");
-    assert!(router.fleet().endpoint(index).backlog_tokens(now, 1.0) > 99_000.0);
+    let index = router.pool().find(&endpoint(0)).expect("announced");
+    assert!(router.pool().endpoint(index).backlog_tokens(now, 1.0) > 99_000.0);
 }
 
 #[test]
@@ -182,26 +182,26 @@
     let mut router = router("a", 1, 1);
     let now = seconds(1.0);
     let _ = router.submit(now, build_request("r1", 4_000, DEADLINE));
-    let index = router.fleet().find(&endpoint(0)).expect("announced");
+    let index = router.pool().find(&endpoint(0)).expect("announced");
     let mut report = load(1, 4_000);
     let _ = router.announce(now, &announcement(0, 1, 2, Some(report.clone())));
-    assert!(router.fleet().endpoint(index).backlog_tokens(now, 1.0) > 7_900.0);
+    assert!(router.pool().endpoint(index).backlog_tokens(now, 1.0) > 7_900.0);
     report.sequence = 2;
     report.seen = vec![("a".to_owned(), 1)];
     let _ = router.announce(now, &announcement(0, 1, 3, Some(report)));
-    assert!(router.fleet().endpoint(index).backlog_tokens(now, 1.0) < 4_100.0);
+    assert!(router.pool().endpoint(index).backlog_tokens(now, 1.0) < 4_100.0);
 }
 
 #[test]
 fn without_counters_an_attempt_older_than_the_report_lag_counts_as_reported() {
     let mut router = router("a", 1, 1);
     let _ = router.submit(seconds(1.0), build_request("r1", 4_000, DEADLINE));
-    let index = router.fleet().find(&endpoint(0)).expect("announced");
+    let index = router.pool().find(&endpoint(0)).expect("announced");
     let report = |router: &mut kumquatdrum_routing::Router, at: f64, sequence: u64| {
         let announced = announcement(0, 1, sequence + 1, Some(load(sequence, 4_000)));
         let _ = router.announce(seconds(at), &announced);
         router
-            .fleet()
+            .pool()
             .endpoint(index)
             .backlog_tokens(seconds(at), 1.0)
     };
@@ -300,10 +300,9 @@
     let evicted = CacheChange::Evicted(vec![BlockHash(9)]);
     let gap = router.apply_cache_event(seconds(1.0), &endpoint(0), &event(3, evicted));
     assert_eq!(gap, [Output::Resync(endpoint(0))]);
-    let index = router.fleet().find(&endpoint(0)).expect("announced");
-    let cached = |router: &kumquatdrum_routing::Router| {
-        router.fleet().endpoint(index).cached_blocks(&blocks)
-    };
+    let index = router.pool().find(&endpoint(0)).expect("announced");
+    let cached =
+        |router: &kumquatdrum_routing::Router| router.pool().endpoint(index).cached_blocks(&blocks);
     assert!(cached(&router) < 9.0);
     // Without a reply, the snapshot is requested again at the announced time.
     assert!(router.next_wake() < seconds(10.0));
--- a/crates/kumquatdrum_routing/tests/limits.rs
+++ b/crates/kumquatdrum_routing/tests/limits.rs
@@ -106,7 +106,7 @@
         Moment::ZERO + (self.now - self.hosts[index].started_at)
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
+    fn can_reach(&self, from: usize, to: usize) -> bool {
         self.hosts[from].is_alive
             && self.hosts[to].is_alive
             && self.partition[from] == self.partition[to]
@@ -156,7 +156,7 @@
 
     fn send_demands(&mut self, index: usize, local_time: Moment) {
         let live: Vec<HostId> = (0..HOSTS)
-            .filter(|&other| self.reaches(index, other))
+            .filter(|&other| self.can_reach(index, other))
             .map(host)
             .collect();
         for (coordinator, demand) in self.hosts[index].limiter.build_demands(local_time, &live) {
@@ -176,7 +176,7 @@
             .collect();
         for (_, message) in due {
             match message {
-                Message::Demand(from, to, demand) if self.reaches(from, to) => {
+                Message::Demand(from, to, demand) if self.can_reach(from, to) => {
                     let local_time = self.local_time(to);
                     if let Some(grant) = self.hosts[to]
                         .coordinator
--- a/crates/kumquatdrum_routing/tests/queue.rs
+++ b/crates/kumquatdrum_routing/tests/queue.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_spanning_prompt_gets_distinct_engines_in_a_large_fleet() {
+fn a_spanning_prompt_gets_distinct_engines_from_a_large_pool() {
     for seed in 0..50 {
         let mut router = router("a", 90, seed);
         let outputs = router.submit(Moment::ZERO, build_request("r", 1_000_000, seconds(600.0)));
@@ -368,7 +368,7 @@
     let mut router = Simulation::new(1).router;
     let _ = router.submit(Moment::ZERO, build_request("long", 300_000, seconds(600.0)));
     let before = router
-        .fleet()
+        .pool()
         .rates
         .prefill(kumquatdrum_routing::Size::Short);
     for number in 0..100 {
@@ -383,7 +383,7 @@
         }
     }
     let after = router
-        .fleet()
+        .pool()
         .rates
         .prefill(kumquatdrum_routing::Size::Short);
     assert!(after < before * 1.1, "{after} against {before}");
