--- a/crates/kumquatdrum_declaration/src/check/keys.rs
+++ b/crates/kumquatdrum_declaration/src/check/keys.rs
@@ -12,7 +12,7 @@
         findings.push_if(
             workspace.keys.is_empty(),
             || place.clone(),
-            "must hold at least one key",
+            "is empty, so nobody could call for this workspace",
         );
         for (place, key) in places(&place, &workspace.keys) {
             digests.push((pointer::join(&place, "sha256"), key));
--- a/crates/kumquatdrum_declaration/src/check/limits.rs
+++ b/crates/kumquatdrum_declaration/src/check/limits.rs
@@ -3,7 +3,7 @@
 use super::{Findings, places};
 use crate::{Declaration, Limits, pointer};
 
-const ZERO_LIMIT: &str = "must be at least 1; omit the limit to leave it unbounded";
+const ZERO_LIMIT: &str = "must be at least 1; leave a limit out where none is meant";
 
 pub(super) fn check(declaration: &Declaration, findings: &mut Findings) {
     for (place, workspace) in places("/workspaces", &declaration.workspaces) {
--- a/crates/kumquatdrum_declaration/src/parse.rs
+++ b/crates/kumquatdrum_declaration/src/parse.rs
@@ -115,7 +115,7 @@
             {
                 self.has_failed = true;
                 self.findings
-                    .push(Finding::new(place, "is defined more than once"));
+                    .push(Finding::new(place, "stands more than once"));
                 continue;
             }
             match key.as_str() {
--- a/crates/kumquatdrum_gateway/src/call/stream.rs
+++ b/crates/kumquatdrum_gateway/src/call/stream.rs
@@ -165,8 +165,8 @@
                     self.pick = None;
                 }
                 Received::TimedOut if Instant::now() >= call.deadline_instant() => {
-                    call.log_end("cut", "the deadline has passed", &self.attempts);
-                    return Some(Err("the deadline has passed".into()));
+                    call.log_end("cut", "the time is up", &self.attempts);
+                    return Some(Err("the time is up".into()));
                 }
                 Received::TimedOut => {
                     if let Err(error) = self.resume(call, "silent").await {
