--- a/crates/kumquatdrum_gateway/tests/active_setup.rs
+++ b/crates/kumquatdrum_gateway/tests/active_setup.rs
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn a_host_goes_on_while_it_reads_a_setup() {
+async fn other_tasks_run_while_a_setup_is_decoded() {
     let (decoder, end, has_timed_out) = Decoder::new();
     let store = Arc::new(Store::new(Arc::new(decoder), logger()));
     store.offer(&record(1), "log", true);
--- a/crates/kumquatdrum_membership/tests/it/endpoints.rs
+++ b/crates/kumquatdrum_membership/tests/it/endpoints.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn leaving_reaches_nine_hosts_within_two_seconds_though_the_taker_dies() {
+fn a_leave_reaches_nine_hosts_within_two_seconds_even_if_its_receiver_dies() {
     for receiver in 0..9 {
         let mut cluster = steady_cluster(receiver as u64, RELIABLE, 9);
         let receiver = cluster.host(receiver);
@@ -418,7 +418,8 @@
 }
 
 #[test]
-fn pushes_keep_to_their_bytes_and_nobody_is_suspected_with_all_endpoints_at_one_host() {
+fn pushes_stay_within_their_size_limit_and_no_endpoint_is_suspected_with_all_endpoints_at_one_host()
+{
     check_large_cluster(1);
 }
 
--- a/crates/kumquatdrum_orders/tests/takeover.rs
+++ b/crates/kumquatdrum_orders/tests/takeover.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn engines_that_do_not_check_get_nothing_from_a_woken_leader() {
+fn engines_that_ignore_fencing_tokens_get_no_orders_from_a_resumed_leader() {
     for seed in 0..40 {
         let simulation = freeze_and_resume(seed, 4, |_| false, seed % 2 == 0, 26_000);
         assert!(count_successor_effects(&simulation) > 0, "seed {seed}");
@@ -122,7 +122,7 @@
 /// An engine without the successor's fencing token may still carry out the old leader's orders, so
 /// it doesn't count as a remaining replica.
 #[test]
-fn an_engine_without_the_new_fencing_number_is_no_replica_to_rely_on() {
+fn an_engine_without_the_new_fencing_token_does_not_count_as_a_remaining_replica() {
     let engines = engines(2, |index| index == 0);
     let text = declaration("2", &engines);
     let mut simulation = Simulation::new(3, engines, &text);
--- a/crates/kumquatdrum_placement/tests/retries_and_ejection.rs
+++ b/crates/kumquatdrum_placement/tests/retries_and_ejection.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_data_centre_that_can_t_be_reached_is_spared_as_a_whole() {
+fn an_unreachable_data_centre_is_ejected_as_a_whole() {
     let (local, remote) = (DataCentreKey(0), DataCentreKey(1));
     let mut balancer = Balancer::default();
     balancer.set_endpoints((0..10).map(|number| {
--- a/crates/kumquatdrum_registry/tests/registry.rs
+++ b/crates/kumquatdrum_registry/tests/registry.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_address_belongs_to_who_started_last_there() {
+fn an_address_belongs_to_the_endpoint_started_last() {
     let mut registry = Registry::default();
     registry.announce(NOW, announcement("old", 1, 1));
     registry.announce(NOW, announcement("new", 2, 1));
--- a/crates/kumquatdrum_routes/tests/distribution.rs
+++ b/crates/kumquatdrum_routes/tests/distribution.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_heartbeat_never_waits_longer_than_its_interval_behind_records() {
+fn records_delay_a_heartbeat_by_at_most_its_interval() {
     for bytes in [20_000, 70_000, 250_000, 600_000] {
         let (wait, arrival) = simulate(bytes, 360, 10);
         assert!(wait <= HEARTBEAT_MS, "{bytes} bytes: {wait} ms");
--- a/crates/kumquatdrum_routes/tests/setup.rs
+++ b/crates/kumquatdrum_routes/tests/setup.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn only_a_higher_revision_is_taken() {
+fn only_a_higher_revision_is_applied() {
     let record =
         |revision, text: &str| Record::new(revision, text.as_bytes()).expect("a short text");
     let mut register = Register::default();
