--- a/crates/kumquatdrum/src/cli.rs
+++ b/crates/kumquatdrum/src/cli.rs
@@ -32,7 +32,7 @@
     /// Example: kumquatdrum gateway --settings /etc/kumquatdrum/gateway.json
     #[bpaf(command)]
     Gateway {
-        /// The host's settings
+        /// The host's settings file
         #[bpaf(argument("FILE"))]
         settings: PathBuf,
     },
@@ -66,7 +66,7 @@
         /// Id that identifies resends; derived from operator, base and content if absent
         #[bpaf(argument("ID"), optional)]
         apply_id: Option<String>,
-        /// Wait up to this many seconds until it is in force on every host, and report each host
+        /// Wait up to this many seconds until all hosts have the version in force; report each host
         #[bpaf(argument("SECONDS"), optional)]
         wait: Option<u64>,
         #[bpaf(external)]
@@ -147,7 +147,7 @@
     operator_key: String,
 }
 
-/// Reads the key from the environment. Not left to bpaf, whose help would print the value.
+/// Reads the key from the environment. With `env` of bpaf, the help would print its value.
 fn key_from_environment() -> Result<String, &'static str> {
     const VARIABLE: &str = "KUMQUATDRUM_OPERATOR_KEY";
     std::env::var(VARIABLE)
--- a/crates/kumquatdrum/src/demo.rs
+++ b/crates/kumquatdrum/src/demo.rs
@@ -24,10 +24,10 @@
 
 const MODEL: &str = "demo-model";
 const ENGINES_PER_DATA_CENTRE: usize = 3;
-/// More than the longest prompt of the traces needs, so that every prompt fits on one engine.
+/// Exceeds what the longest prompt of the traces needs, so that every prompt fits on one engine.
 const ENGINE_MEMORY_TOKENS: u64 = 2_500_000;
-const LONGEST_PROMPT_TOKENS: u64 = 1_500_000;
-const LONGEST_DEADLINE_MS: u64 = 600_000;
+const MAX_PROMPT_TOKENS: u64 = 1_500_000;
+const DEADLINE_MS: u64 = 600_000;
 const AGING_MS: u64 = 3_000;
 
 /// Trace and output:
@@ -72,7 +72,7 @@
 /// Runs the demo and returns [`Exit::Failure`] if one of the report's checks failed.
 pub fn run(arguments: &Arguments) -> Exit {
     let runtime = tokio::runtime::Runtime::new().map_err(Error::from);
-    match runtime.and_then(|runtime| runtime.block_on(demonstrate(arguments))) {
+    match runtime.and_then(|runtime| runtime.block_on(run_demo(arguments))) {
         Ok(exit) => exit,
         Err(reason) => {
             eprintln!("{reason}");
@@ -81,7 +81,7 @@
     }
 }
 
-async fn demonstrate(arguments: &Arguments) -> Result<Exit, Error> {
+async fn run_demo(arguments: &Arguments) -> Result<Exit, Error> {
     let entries = read_entries(arguments)?;
     let keys = demo_keys(&entries);
     let folder = tempfile::tempdir()?;
@@ -164,7 +164,7 @@
             adapters: Vec::new(),
             memory_bytes_per_token: 1,
             replicas: (ENGINES_PER_DATA_CENTRE * 3) as u32,
-            max_prompt_tokens: LONGEST_PROMPT_TOKENS,
+            max_prompt_tokens: MAX_PROMPT_TOKENS,
             bytes_per_token_milli: 4_000,
         }],
         priorities: priorities(entries),
@@ -216,8 +216,8 @@
     declared::Service {
         name: name.into(),
         kind,
-        deadline_ms: LONGEST_DEADLINE_MS,
-        deadline_cap_ms: LONGEST_DEADLINE_MS,
+        deadline_ms: DEADLINE_MS,
+        deadline_cap_ms: DEADLINE_MS,
         rules: Vec::new(),
     }
 }
--- a/crates/kumquatdrum/src/explain.rs
+++ b/crates/kumquatdrum/src/explain.rs
@@ -21,7 +21,7 @@
     #[bpaf(positional("ID"))]
     id: String,
     /// Logs of gateway hosts, in any order
-    #[bpaf(positional("FILE"), some("name at least one log"))]
+    #[bpaf(positional("FILE"), some("at least one log is required"))]
     files: Vec<PathBuf>,
 }
 
--- a/crates/kumquatdrum/src/explain/timeline.rs
+++ b/crates/kumquatdrum/src/explain/timeline.rs
@@ -6,7 +6,7 @@
 
 use crate::logs::Line;
 
-/// Time before a request's end from which state changes of its hosts are shown.
+/// Period before a request's end in which the state changes of its hosts are shown.
 const LOOKBACK_SECONDS: f64 = 10.0;
 /// Keys that are not printed as pairs, as every line has them or they are printed elsewhere.
 const OMITTED_KEYS: [&str; 5] = ["time", "level", "host", "event", "request"];
@@ -72,10 +72,10 @@
     }
 
     fn last_failure(&self) -> Option<&Line> {
-        let failed = |line: &&Line| {
+        let is_failed_attempt = |line: &&Line| {
             line.event() == "attempt" && !matches!(line.get("outcome"), "began" | "answered")
         };
-        self.lines.iter().rev().find(failed)
+        self.lines.iter().rev().find(is_failed_attempt)
     }
 
     /// Returns the timeline as JSON.
--- a/crates/kumquatdrum/src/logs.rs
+++ b/crates/kumquatdrum/src/logs.rs
@@ -10,9 +10,9 @@
 /// One line of a log.
 #[derive(Debug, Clone)]
 pub struct Line {
-    /// Seconds since 1970, by the host's clock.
+    /// Seconds since the Unix epoch, by the host's clock.
     pub time: f64,
-    /// All pairs in their order.
+    /// All key=value pairs, in the order of the line.
     pub pairs: IndexMap<String, String>,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Reads the lines of one log file.
+/// Reads the lines of one log file; other text in the file is skipped.
 pub fn read(file: impl AsRef<Path>) -> std::io::Result<Vec<Line>> {
     let text = std::fs::read(file)?;
     let text = String::from_utf8_lossy(&text);
--- a/crates/kumquatdrum/src/losses.rs
+++ b/crates/kumquatdrum/src/losses.rs
@@ -22,7 +22,7 @@
     #[bpaf(argument("SECONDS"))]
     every: Option<u32>,
     /// Logs of gateway hosts, in any order
-    #[bpaf(positional("FILE"), some("name at least one log"))]
+    #[bpaf(positional("FILE"), some("at least one log is required"))]
     files: Vec<PathBuf>,
 }
 
--- a/crates/kumquatdrum/src/losses/cause.rs
+++ b/crates/kumquatdrum/src/losses/cause.rs
@@ -4,8 +4,8 @@
 
 use crate::logs::Line;
 
-/// Share of the target time to first token above which a queue wait or an engine's backlog is taken
-/// for the cause of a late first token. The rest is needed for the prompt's own prefill.
+/// Share of the target time to first token above which a queue wait or an engine's backlog counts
+/// as the cause of a late first token. The rest is needed for the prompt's own prefill.
 const DELAY_SHARE: f64 = 0.3;
 
 /// Why a request was not answered in full and on time.
@@ -56,8 +56,10 @@
     }
 }
 
-/// Returns why a request was lost, from its lines in order, or `None` if it was answered on time or
-/// its route has no target.
+/// Returns why a request was late, refused or cut, given its lines in order.
+///
+/// Returns `None` if the request was answered on time, was refused with a status other than 503, or
+/// was streamed on a route without a target time to first token.
 pub fn classify(lines: &[Line]) -> Option<Cause> {
     let end = lines.iter().rev().find(|line| is_end(line));
     let Some(end) = end else {
--- a/crates/kumquatdrum/src/losses/table.rs
+++ b/crates/kumquatdrum/src/losses/table.rs
@@ -1,4 +1,4 @@
-//! Counts lost requests by cause and prompt length.
+//! Counts lost requests, which were late, refused or cut, by cause and prompt length.
 
 use std::fmt;
 
--- a/crates/kumquatdrum/src/main.rs
+++ b/crates/kumquatdrum/src/main.rs
@@ -19,7 +19,7 @@
 const HELP_COLUMNS: usize = 100;
 
 fn main() -> ExitCode {
-    // Keeps the rocket instances of the daemon and the demo from printing logs of their own.
+    // Suppresses the logs of the web framework that the daemon and the demo use.
     kumquatdrum_testing::server::discard_logs();
     let command = match cli::command().run_inner(Args::current_args()) {
         Ok(command) => command,
--- a/crates/kumquatdrum/src/replay.rs
+++ b/crates/kumquatdrum/src/replay.rs
@@ -74,7 +74,7 @@
     replay_and_report(&entries, &options, arguments.json).await
 }
 
-/// Replays entries, prints the report and returns whether its checks passed.
+/// Replays entries, prints the report or the error, and returns the exit code.
 pub async fn replay_and_report(entries: &[Entry], options: &Options, json: bool) -> Exit {
     match replay::run(entries, options).await {
         Ok(report) => {
--- a/crates/kumquatdrum/tests/commands.rs
+++ b/crates/kumquatdrum/tests/commands.rs
@@ -15,7 +15,7 @@
 const UNREACHABLE_HOST: &str = "http://127.0.0.1:1";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn exit_codes_tell_kinds_of_failure_apart() {
+async fn exit_codes_distinguish_kinds_of_failure() {
     let cluster = Cluster::start(ONE_DATA_CENTRE).await;
     let hosts = cluster.hosts();
     let bad = cluster.write_file("bad.json", r#"{"services": [{"name": "x"}]}"#);
@@ -123,7 +123,7 @@
         keys.to_str().expect("a UTF-8 path"),
         "--json",
     ];
-    // The trace names a priority that is not declared.
+    // The entry's default priority is not declared.
     let refused = run(&arguments).await;
     assert_eq!(refused.code, 1, "{refused:?}");
     let report: Value = serde_json::from_str(&refused.stdout).expect("JSON");
--- a/crates/kumquatdrum/tests/control.rs
+++ b/crates/kumquatdrum/tests/control.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Waits until a host returns a confirmed declaration, and checks that no version before is below
-/// `floor`.
+/// Waits until a host returns a confirmed declaration, and checks that it never returns a version
+/// below `floor`.
 async fn wait_until_confirmed(cluster: &Cluster, node: usize, floor: u64) -> (u64, String) {
     let hosts = [cluster.nodes[node].operators()];
     wait_for("a confirmed read-back", async || {
--- a/crates/kumquatdrum/tests/gateway/cluster.rs
+++ b/crates/kumquatdrum/tests/gateway/cluster.rs
@@ -15,7 +15,7 @@
 
 pub const CONTROL_HOSTS: usize = 3;
 pub const HOSTS: usize = 5;
-/// Limit of every wait.
+/// Timeout of every wait.
 const TIMEOUT: Duration = Duration::from_secs(40);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -52,10 +52,11 @@
         cluster
     }
 
-    /// Starts a host. `found` allows a control host to found a cluster.
-    pub fn start_host(&mut self, host: usize, found: bool) {
+    /// Starts a host. `can_form_cluster` allows a control host to form a new cluster.
+    pub fn start_host(&mut self, host: usize, can_form_cluster: bool) {
         let settings = self.folder.path().join(format!("host-{host}.json"));
-        std::fs::write(&settings, self.settings(host, found).to_string()).expect("settings");
+        std::fs::write(&settings, self.settings(host, can_form_cluster).to_string())
+            .expect("settings");
         let log = File::options()
             .create(true)
             .append(true)
@@ -64,14 +65,14 @@
         let child = Command::new(env!("CARGO_BIN_EXE_kumquatdrum"))
             .args(["gateway", "--settings"])
             .arg(&settings)
-            .stdout(log.try_clone().expect("the log again"))
+            .stdout(log.try_clone().expect("a second handle of the log"))
             .stderr(log)
             .spawn()
             .expect("a host");
         self.hosts[host] = Some(child);
     }
 
-    fn settings(&self, host: usize, found: bool) -> Value {
+    fn settings(&self, host: usize, can_form_cluster: bool) -> Value {
         let seeds: Vec<String> = (0..CONTROL_HOSTS)
             .map(|seed| self.address(seed, 8229).to_string())
             .collect();
@@ -89,7 +90,7 @@
         if host < CONTROL_HOSTS {
             listen["control"] = json!(self.address(host, 8229).to_string());
             let data = self.data_path(host);
-            settings["replica"] = json!({"data": data, "found": found});
+            settings["replica"] = json!({"data": data, "found": can_form_cluster});
         } else {
             listen["callers"] = json!(self.address(host, 8227).to_string());
             listen["health"] = json!(self.address(host, 8220).to_string());
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Returns whether a host's process was started and not waited for since.
+    /// Returns whether a host's process was started and has neither been killed nor awaited since.
     pub fn is_running(&self, host: usize) -> bool {
         self.hosts[host].is_some()
     }
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Waits until a control host has written what it knows of an endpoint to its disk.
+    /// Waits until a control host has stored all that it has logged about an endpoint.
     pub async fn wait_until_stored(&self, host: usize, endpoint: &Endpoint) {
         let until = Instant::now() + TIMEOUT;
         let known = format!("endpoint={} event=endpoint_known", endpoint.id);
@@ -262,7 +263,7 @@
                     .windows(endpoint.id.len())
                     .any(|id| id == endpoint.id.as_bytes())
             });
-            // Changes are written in batches: one that was logged an interval ago is on disk.
+            // Changes are written in batches: a change that was logged an interval ago is on disk.
             if is_stored && previous > 0 && count_updates(&log) == previous {
                 return;
             }
--- a/crates/kumquatdrum/tests/gateway/control.rs
+++ b/crates/kumquatdrum/tests/gateway/control.rs
@@ -65,7 +65,7 @@
     let host = cluster.apply(&config(2)).await;
     cluster.kill(host);
     assert!(is_folder(&cluster.data_path(host)));
-    std::fs::remove_dir_all(cluster.data_path(host)).expect("the disk is lost");
+    std::fs::remove_dir_all(cluster.data_path(host)).expect("the data folder is removed");
     cluster.start_host(host, false);
     assert_eq!(cluster.read_config(host).await, config(2).to_string());
     // Gives the new replica time to replace the old one as a voter.
@@ -100,8 +100,11 @@
         cluster.wait_for_revision(host, 2).await;
     }
     let sent = count_setup_bytes(&cluster).await - before;
-    let text = large.to_string().len() as u64;
-    assert!(sent < text, "{sent} bytes were sent for a text of {text}");
+    let text_bytes = large.to_string().len() as u64;
+    assert!(
+        sent < text_bytes,
+        "{sent} bytes were sent for a text of {text_bytes} bytes"
+    );
 }
 
 /// Sums the bytes that all hosts have sent for consensus and for propagation of the setup.
@@ -148,14 +151,14 @@
 async fn hosts_that_were_all_lost_at_once_know_who_is_there_before_anybody_announces_again() {
     let mut cluster = Cluster::start(26);
     cluster.apply(&config(1)).await;
-    let stays = Endpoint::start("i-1", Behaviour::Whole).await;
-    let leaves = Endpoint::start("i-2", Behaviour::Whole).await;
-    cluster.announce(&stays, "plain", "ready", 1).await;
-    cluster.announce(&leaves, "plain", "ready", 1).await;
-    cluster.wait_until_ready(3, &leaves).await;
-    cluster.announce(&leaves, "plain", "draining", 2).await;
+    let staying = Endpoint::start("i-1", Behaviour::Whole).await;
+    let leaving = Endpoint::start("i-2", Behaviour::Whole).await;
+    cluster.announce(&staying, "plain", "ready", 1).await;
+    cluster.announce(&leaving, "plain", "ready", 1).await;
+    cluster.wait_until_ready(3, &leaving).await;
+    cluster.announce(&leaving, "plain", "draining", 2).await;
     for host in 0..CONTROL_HOSTS {
-        cluster.wait_until_stored(host, &leaves).await;
+        cluster.wait_until_stored(host, &leaving).await;
     }
     for host in 0..HOSTS {
         cluster.kill(host);
@@ -163,13 +166,13 @@
     for host in 0..HOSTS {
         cluster.start_host(host, false);
     }
-    cluster.wait_until_ready(3, &stays).await;
+    cluster.wait_until_ready(3, &staying).await;
     for number in 0..6 {
         let attempt = format!("back-{number}");
         let answer = cluster.request(3, "/safe/x", &attempt).send().await;
         assert_eq!(answer.expect("an answer").status(), StatusCode::OK);
     }
-    assert_eq!((stays.runs(), leaves.runs()), (6, 0));
+    assert_eq!((staying.runs(), leaving.runs()), (6, 0));
     let recalled = (0..CONTROL_HOSTS).filter(|host| cluster.read_log(*host).contains("from=disk"));
     assert!(
         recalled.count() > 0,
--- a/crates/kumquatdrum/tests/gateway/endpoint.rs
+++ b/crates/kumquatdrum/tests/gateway/endpoint.rs
@@ -188,10 +188,10 @@
         .expect("linger");
 }
 
-fn head(status: &str, attempt: &str, more: &str) -> String {
+fn head(status: &str, attempt: &str, headers: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nKumquatdrum-Attempt-Id: {attempt}\r\n\
-         Kumquatdrum-Response-Stamp: stamp-{attempt}\r\n{more}\r\n"
+         Kumquatdrum-Response-Stamp: stamp-{attempt}\r\n{headers}\r\n"
     )
 }
 
--- a/crates/kumquatdrum/tests/gateway/explain.rs
+++ b/crates/kumquatdrum/tests/gateway/explain.rs
@@ -23,11 +23,11 @@
     for _ in 0..200 {
         let timeline = explain(cluster, id);
         let lines = timeline["lines"].as_array().expect("lines");
-        let is_over = |line: &Value| {
+        let is_end = |line: &Value| {
             let event = line["event"].as_str().unwrap_or_default();
             event == "request_ended" || event == "request_refused"
         };
-        if lines.iter().any(is_over) {
+        if lines.iter().any(is_end) {
             return timeline["cause"].as_str().expect("a cause").to_owned();
         }
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
--- a/crates/kumquatdrum/tests/gateway/fanout.rs
+++ b/crates/kumquatdrum/tests/gateway/fanout.rs
@@ -13,7 +13,7 @@
 const HOSTS: usize = CONTROL_HOSTS + 30;
 const TIMEOUT: Duration = Duration::from_secs(40);
 
-fn knows_as_leaving(cluster: &Cluster, host: usize, endpoint: &Endpoint) -> bool {
+fn is_known_as_leaving(cluster: &Cluster, host: usize, endpoint: &Endpoint) -> bool {
     let log = cluster.read_log(host);
     let mut lines = log.lines().filter(|line| {
         line.contains("event=endpoint_known")
@@ -37,7 +37,10 @@
     }
     cluster.announce(&endpoint, "plain", "draining", 2).await;
     for host in 0..HOSTS {
-        assert!(knows_as_leaving(&cluster, host, &endpoint), "host {host}");
+        assert!(
+            is_known_as_leaving(&cluster, host, &endpoint),
+            "host {host}"
+        );
     }
     // Freezes hosts of one data centre, including the one that relays for control host 0.
     let frozen: Vec<usize> = (CONTROL_HOSTS..HOSTS)
@@ -49,7 +52,7 @@
     }
     cluster.announce(&next, "plain", "draining", 2).await;
     for host in (0..HOSTS).filter(|host| !frozen.contains(host)) {
-        assert!(knows_as_leaving(&cluster, host, &next), "host {host}");
+        assert!(is_known_as_leaving(&cluster, host, &next), "host {host}");
     }
     assert!(cluster.read_log(0).contains("event=relay_silent"));
     for host in &frozen {
@@ -58,11 +61,11 @@
     let until = Instant::now() + TIMEOUT;
     while !frozen
         .iter()
-        .all(|host| knows_as_leaving(&cluster, *host, &next))
+        .all(|host| is_known_as_leaving(&cluster, *host, &next))
     {
         assert!(
             Instant::now() < until,
-            "a frozen host did not learn that the endpoint leaves"
+            "a frozen host does not know that the endpoint is leaving"
         );
         sleep(Duration::from_millis(50)).await;
     }
--- a/crates/kumquatdrum/tests/gateway/proxy.rs
+++ b/crates/kumquatdrum/tests/gateway/proxy.rs
@@ -17,12 +17,13 @@
     Pass,
     Delay,
     Reset,
+    /// Holds back all data and keeps connections open.
     Silent,
-    /// Passes requests but not answers.
+    /// Passes requests and holds back answers.
     OneWay,
 }
 
-/// All faults.
+/// All modes except [`Mode::Pass`].
 pub const FAULTS: [Mode; 4] = [Mode::Delay, Mode::Reset, Mode::Silent, Mode::OneWay];
 const DELAY: Duration = Duration::from_millis(120);
 
@@ -63,9 +64,9 @@
 
 async fn forward(client: TcpStream, target: SocketAddr, mode: Arc<Mutex<Mode>>) {
     if *mode.lock() == Mode::Reset {
-        let zero = Some(Duration::ZERO);
+        let linger = Some(Duration::ZERO);
         socket2::SockRef::from(&client)
-            .set_linger(zero)
+            .set_linger(linger)
             .expect("linger");
         return;
     }
--- a/crates/kumquatdrum/tests/gateway/soak.rs
+++ b/crates/kumquatdrum/tests/gateway/soak.rs
@@ -1,4 +1,4 @@
-//! Randomized soak test of real processes: injects faults and checks what callers, operators and
+//! Randomised soak test of real processes: injects faults and checks what callers, operators and
 //! endpoints observe.
 //!
 //! `SOAK_SEEDS=0..50 SOAK_SECONDS=20 cargo test --package kumquatdrum --test gateway soak` runs
@@ -22,7 +22,7 @@
 use crate::endpoint::{Behaviour, Endpoint};
 use crate::proxy::{FAULTS, Mode, Proxy};
 
-/// Default seeds, including each one that has failed.
+/// Seeds that run by default.
 const SEEDS: Range<u64> = 0..2;
 const SECONDS: u64 = 8;
 const CALLERS: u64 = 6;
@@ -107,13 +107,13 @@
     clear_faults(&soak, &proxies).await;
     soak.is_over.store(true, Ordering::Relaxed);
     while let Some(ended) = tasks.join_next().await {
-        ended.expect("a task of the soak");
+        ended.expect("a task panicked");
     }
     check_invariants(&soak).await;
     std::mem::take(&mut *soak.violations.lock())
 }
 
-/// Injects faults one after the other; proxies may keep theirs during later ones.
+/// Injects faults one after the other; a proxy's fault may last during later ones.
 async fn inject_faults(soak: &Soak, proxies: &[Proxy], seed: u64, duration: Duration) {
     let mut random = Pcg32::seed_from_u64(seed);
     let until = Instant::now() + duration;
@@ -129,7 +129,8 @@
                 let mut cluster = soak.cluster.write().await;
                 cluster.kill(host);
                 if loses_disk {
-                    std::fs::remove_dir_all(cluster.data_path(host)).expect("a disk to lose");
+                    std::fs::remove_dir_all(cluster.data_path(host))
+                        .expect("the data folder is removed");
                     disk_lost_at = Some(Instant::now());
                 }
                 drop(cluster);
@@ -306,8 +307,8 @@
     }
 }
 
-/// Checks that no acknowledged revision is lost, and that no unsafe request ran more often than
-/// allowed.
+/// Checks that no acknowledged revision is lost, at least a quarter of the requests are answered,
+/// and no unsafe request ran more than once, or at all if its outcome is [`Outcome::NotRun`].
 async fn check_invariants(soak: &Soak) {
     let newest = soak
         .acknowledged
--- a/crates/kumquatdrum/tests/gateway/streams.rs
+++ b/crates/kumquatdrum/tests/gateway/streams.rs
@@ -14,8 +14,8 @@
     events.collect::<Vec<_>>().concat()
 }
 
-/// Starts a cluster with an endpoint that fails within the event after `after`, and a sound one
-/// that sends `events`.
+/// Starts a cluster with an endpoint that fails within the event after `after`, and a healthy
+/// one that sends `events`.
 async fn start_with_endpoints(
     subnet: u8,
     after: u64,
@@ -25,17 +25,17 @@
     cluster.apply(&config(3)).await;
     let broken = Endpoint::start("i-1", Behaviour::Truncated { after }).await;
     let pause = Duration::from_millis(5);
-    let sound = Endpoint::start("i-2", Behaviour::Stream { events, pause }).await;
-    for endpoint in [&broken, &sound] {
+    let healthy = Endpoint::start("i-2", Behaviour::Stream { events, pause }).await;
+    for endpoint in [&broken, &healthy] {
         cluster.announce(endpoint, "plain", "ready", 1).await;
         cluster.wait_until_ready(3, endpoint).await;
     }
-    (cluster, broken, sound)
+    (cluster, broken, healthy)
 }
 
 #[tokio::test]
 async fn a_stream_that_breaks_within_an_event_goes_on_elsewhere() {
-    let (cluster, broken, sound) = start_with_endpoints(11, 4, 9).await;
+    let (cluster, broken, healthy) = start_with_endpoints(11, 4, 9).await;
     // Each event arrives once and in order, whichever endpoint is tried first.
     for attempt in ["at-1", "at-2", "at-3"] {
         let answer = cluster.request(3, "/stream/x", attempt).send().await;
@@ -47,13 +47,13 @@
         );
     }
     assert!(broken.runs() >= 1, "the broken endpoint was never first");
-    let resumed = sound.record.requests.lock().concat().to_lowercase();
+    let resumed = healthy.record.requests.lock().concat().to_lowercase();
     assert!(resumed.contains("last-event-id: 4\r\n"), "{resumed}");
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_before_its_first_event_begins_elsewhere() {
-    let (cluster, broken, _sound) = start_with_endpoints(13, 0, 3).await;
+async fn a_stream_that_breaks_before_its_first_event_is_restarted_elsewhere() {
+    let (cluster, broken, _healthy) = start_with_endpoints(13, 0, 3).await;
     for attempt in ["at-1", "at-2", "at-3"] {
         let answer = cluster.request(3, "/stream/x", attempt).send().await;
         let answer = answer.expect("an answer");
--- a/crates/kumquatdrum/tests/losses.rs
+++ b/crates/kumquatdrum/tests/losses.rs
@@ -1,4 +1,4 @@
-//! The `losses` command counts lost requests by cause from logs.
+//! The `losses` command counts late, refused and cut requests by cause.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
--- a/crates/kumquatdrum/tests/requests.rs
+++ b/crates/kumquatdrum/tests/requests.rs
@@ -42,7 +42,7 @@
         probe(&health).await.is_none().then_some(())
     })
     .await;
-    // A request that the load balancer sends before it notices.
+    // A request that the load balancer sends before it notices the failed health check.
     requests.push(tokio::spawn(request(REQUESTS)));
     for request in requests {
         let (answer, prompt) = request.await.expect("the caller finishes");
@@ -72,7 +72,7 @@
         .await;
     cluster.wait_for_endpoints(&[0, 1, 2], 3).await;
     let first = cluster.nodes[0].callers();
-    // Run for longer than this test waits.
+    // These requests run for longer than this test waits.
     let long = |prompt| completion(first, prompt, 4_000).header("x-deadline-ms", "120000");
     let lost = [
         tokio::spawn(send(not_idempotent(
@@ -242,7 +242,7 @@
     cluster.wait_for_endpoints(&[0], 1).await;
     let host = cluster.nodes[0].callers();
     let first = tokio::spawn(send(request_with_short_deadline(host, PROMPT)));
-    wait_for("it runs", async || {
+    wait_for("the request runs", async || {
         (count_runs(&engines, PROMPT) == 1).then_some(())
     })
     .await;
@@ -285,11 +285,11 @@
         cluster.nodes[0].callers(),
         PROMPT,
     )));
-    let taken = wait_for("it runs", async || {
+    let engine = wait_for("the request runs", async || {
         engines.iter().find(|engine| engine.counts().running == 1)
     })
     .await;
-    taken.inject(&Fault::Die);
+    engine.inject(&Fault::Die);
     cluster.nodes[0].kill();
     let _ = lost.await.expect("the caller finishes");
     let second = cluster.nodes[1].callers();
--- a/crates/kumquatdrum/tests/support/calls.rs
+++ b/crates/kumquatdrum/tests/support/calls.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// Requests a page and returns `None` unless the answer is a success.
+/// Requests a URL and returns `None` unless the answer has a success status.
 pub async fn probe(url: &str) -> Option<()> {
     let answer = reqwest::Client::new()
         .get(url)
@@ -111,7 +111,7 @@
         .collect()
 }
 
-/// Returns how often a prompt ran.
+/// Returns how often a prompt ran on all engines together.
 pub fn count_runs(engines: &[Engine], prompt: &str) -> u32 {
     let prompt = digest::hex(prompt.as_bytes());
     let counts = engines.iter().map(Engine::counts);
--- a/crates/kumquatdrum/tests/support/mod.rs
+++ b/crates/kumquatdrum/tests/support/mod.rs
@@ -26,17 +26,17 @@
 pub const OPERATORS: [&str; 2] = ["mari", "ade"];
 pub const ONE_DATA_CENTRE: [&str; 3] = ["hall-raatuse"; 3];
 pub const THREE_DATA_CENTRES: [&str; 3] = ["hall-raatuse", "hall-ulikooli", "hall-ringtee"];
-/// Limit of every wait.
+/// Timeout of every wait.
 pub const TIMEOUT: Duration = Duration::from_secs(45);
 
 const ENDPOINT_KEY: &str = "endpoint key";
 const FIRST_PORT: u16 = 7_100;
 const LISTENERS: usize = 5;
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Lines of each host's log that a failed test prints.
+/// Number of lines of each host's log that a failed test prints.
 const LOG_TAIL_LINES: usize = 25;
 
-/// One host, running or not.
+/// A host and its process, if that runs.
 pub struct Node {
     pub name: String,
     pub data_centre: String,
@@ -351,13 +351,13 @@
 }
 
 /// Polls until a value is returned, and panics on a timeout.
-pub async fn wait_for<T>(what: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
+pub async fn wait_for<T>(condition: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
     let end = Instant::now() + TIMEOUT;
     loop {
         if let Some(value) = poll().await {
             return value;
         }
-        assert!(Instant::now() < end, "timed out: {what}");
+        assert!(Instant::now() < end, "timed out: {condition}");
         sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/kumquatdrum_consensus/src/election.rs
+++ b/crates/kumquatdrum_consensus/src/election.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Returns whether this replica may become a candidate. One that a change removes may until the
-    /// change is known to be committed, as only its log may be up to date.
+    /// Returns whether this replica may become a candidate. A replica that a change removes may do
+    /// so until the change is known to be committed, as only its log may be up to date.
     fn can_campaign(&self) -> bool {
         self.log.can_vote_since(self.commit, &self.id)
     }
--- a/crates/kumquatdrum_consensus/src/entry.rs
+++ b/crates/kumquatdrum_consensus/src/entry.rs
@@ -11,7 +11,7 @@
 /// One entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term of the leader that wrote it.
+    /// The term of the leader that appended the entry.
     pub term: Term,
     /// The index of the entry.
     pub index: LogIndex,
@@ -46,11 +46,11 @@
 pub struct Snapshot {
     /// The cluster that the snapshot belongs to.
     pub cluster: ClusterId,
-    /// The last entry included; 0 is the empty state of a newly formed cluster.
+    /// The last included entry; 0 is the empty state of a newly formed cluster.
     pub index: LogIndex,
-    /// The term of that entry.
+    /// The term of the last included entry.
     pub term: Term,
-    /// The replicas as of that entry.
+    /// The replicas as of the last included entry.
     pub replicas: Replicas,
     /// The application's bytes, opaque to the log.
     pub data: Bytes,
--- a/crates/kumquatdrum_consensus/src/event.rs
+++ b/crates/kumquatdrum_consensus/src/event.rs
@@ -109,14 +109,14 @@
     SnapshotRequested,
     /// This replica has become the leader.
     BecameLeader {
-        /// The term that it leads.
+        /// The term that the replica leads.
         term: Term,
     },
     /// This replica has stopped leading.
     SteppedDown {
-        /// The term that it led.
+        /// The term that the replica led.
         term: Term,
-        /// The reason.
+        /// The reason for stepping down.
         reason: StepDownReason,
     },
     /// The disk failed; the node does nothing until it is recreated from its store.
--- a/crates/kumquatdrum_consensus/src/follower.rs
+++ b/crates/kumquatdrum_consensus/src/follower.rs
@@ -72,7 +72,7 @@
         true
     }
 
-    /// Informs the leader of an earlier term of the current one; acknowledges no entries.
+    /// Sends the current term to the leader of an earlier one; acknowledges no entries.
     fn send_own_term(&mut self, from: &ReplicaId) {
         let term = self.hard_state.term;
         self.send_append_ack(from, term, LogIndex(0), None, Probe::default());
--- a/crates/kumquatdrum_consensus/src/formation.rs
+++ b/crates/kumquatdrum_consensus/src/formation.rs
@@ -2,7 +2,7 @@
 //!
 //! A cluster forms only while all hosts with a data folder are fresh. The first initial host by
 //! name queries the others, additional ones included, as the replicas of an existing cluster may
-//! have moved to them. Once all have answered `Fresh`, it sends out the replicas of the cluster.
+//! have moved to them. Once all have answered `Fresh`, it sends `Form` to the cluster's voters.
 //!
 //! A replica is fresh until it has voted or stored an entry; its first vote binds it to one
 //! cluster.
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct Formation {
     pub(crate) hello_at: Moment,
-    /// Fresh replicas by host, as they answered.
+    /// The fresh replicas that have answered, by host.
     fresh: IndexMap<HostId, Member>,
     /// Whether a host has state, so that no cluster may form.
     has_stateful_host: bool,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Joins a newly formed cluster; until the first vote, another one may replace it.
+    /// Joins a newly formed cluster; another cluster may replace it until the first vote.
     fn join_cluster(&mut self, snapshot: Snapshot) {
         self.hard_state.cluster = Some(snapshot.cluster);
         self.durability.mark_hard_state_dirty();
--- a/crates/kumquatdrum_consensus/src/leader.rs
+++ b/crates/kumquatdrum_consensus/src/leader.rs
@@ -24,7 +24,7 @@
     /// The number of the latest heartbeat round, which identifies its answers.
     pub(crate) round: u64,
     pub(crate) heartbeat_at: Moment,
-    /// The last committed entry at the latest heartbeat; a learner that has it has caught up.
+    /// The last committed entry at the latest heartbeat, which a learner must have to be caught up.
     pub(crate) commit_at_heartbeat: LogIndex,
     /// Size of the uncommitted entries.
     uncommitted_bytes: usize,
@@ -82,7 +82,7 @@
         index
     }
 
-    /// Tracks the progress of exactly the other replicas that the log names last.
+    /// Adds and removes peers so that they match the latest replicas in the log.
     pub(crate) fn update_peers(&mut self) {
         let Role::Leader(leader) = &mut self.role else {
             return;
@@ -148,9 +148,9 @@
         Moment { micros }
     }
 
-    /// Returns the end of this leader's lease on its own clock; until then no other replica can
-    /// lead. `None` without leadership or lease. The driver checks it right before it sends an
-    /// order.
+    /// Returns the end of this leader's lease on its own clock, or `None` if this replica does not
+    /// lead or has no lease. No other replica can lead before that time, so the caller must check
+    /// it right before each action that only a leader may take.
     pub fn lease_until(&self) -> Option<Moment> {
         if !self.is_leader() {
             return None;
--- a/crates/kumquatdrum_consensus/src/message.rs
+++ b/crates/kumquatdrum_consensus/src/message.rs
@@ -96,7 +96,7 @@
     pub term: Term,
     /// The index of the candidate's last entry.
     pub last_index: LogIndex,
-    /// The term of that entry.
+    /// The term of the candidate's last entry.
     pub last_term: Term,
     /// Whether the leader of the previous term has released its lease in favour of the candidate.
     #[serde(rename = "succeeds")]
@@ -119,13 +119,13 @@
     pub term: Term,
     /// The index of the entry before the first of `entries`.
     pub previous_index: LogIndex,
-    /// The term of that entry.
+    /// The term of the entry at `previous_index`.
     pub previous_term: Term,
     /// Contiguous entries; empty in a heartbeat.
     pub entries: Vec<Entry>,
     /// The last committed entry.
     pub commit: LogIndex,
-    /// Echoed in the answer.
+    /// The probe that the answer echoes.
     pub probe: Probe,
 }
 
@@ -136,7 +136,7 @@
     pub term: Term,
     /// The last synced entry up to which the log matches the leader's.
     pub matched: LogIndex,
-    /// Set if the follower's log has no matching previous entry.
+    /// The rejection, if the follower's log has no matching previous entry.
     pub reject: Option<Rejection>,
     /// The probe of the answered message.
     pub probe: Probe,
@@ -166,6 +166,6 @@
     pub offset: u64,
     /// The bytes of this chunk.
     pub data: Bytes,
-    /// Echoed in the answer.
+    /// The probe that the answer echoes.
     pub probe: Probe,
 }
--- a/crates/kumquatdrum_consensus/src/node.rs
+++ b/crates/kumquatdrum_consensus/src/node.rs
@@ -37,8 +37,8 @@
     pub(crate) role: Role,
     /// The leader of the current term, if known.
     pub(crate) leader: Option<ReplicaId>,
-    /// The time of the last message from a leader, or of the start, as an earlier instance may have
-    /// promised to grant no vote.
+    /// The time of the last message from a leader; initially the time of the start, as the replica
+    /// may have promised to grant no vote before it restarted.
     pub(crate) last_contact: Moment,
     pub(crate) election_at: Moment,
     pub(crate) commit: LogIndex,
--- a/crates/kumquatdrum_consensus/src/progress.rs
+++ b/crates/kumquatdrum_consensus/src/progress.rs
@@ -23,7 +23,7 @@
     pub(crate) next: LogIndex,
     /// Whether the last matching entry is unknown, which limits sending to one message at a time.
     pub(crate) is_probing: bool,
-    /// Whether that one message is unanswered.
+    /// Whether the message that was sent while probing is unanswered.
     pub(crate) has_probe_in_flight: bool,
     /// The last entry of each unacknowledged message.
     pub(crate) in_flight: VecDeque<LogIndex>,
--- a/crates/kumquatdrum_consensus/src/read.rs
+++ b/crates/kumquatdrum_consensus/src/read.rs
@@ -7,9 +7,10 @@
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) token: Token,
-    /// The last entry committed at the request, or the term's first entry if that is later.
+    /// The entry that must be applied: the last one committed at the request, or the term's first
+    /// entry if that is later.
     index: LogIndex,
-    /// The heartbeat round that a majority must answer, or a later one.
+    /// The earliest heartbeat round that confirms the read once a majority has answered.
     round: u64,
 }
 
--- a/crates/kumquatdrum_consensus/src/settings.rs
+++ b/crates/kumquatdrum_consensus/src/settings.rs
@@ -11,7 +11,8 @@
 pub struct Settings {
     /// This replica.
     pub member: Member,
-    /// Hosts whose replicas form the cluster once all of them are fresh; empty to only join one.
+    /// Hosts whose replicas form the cluster once all of them are fresh; if empty, this replica
+    /// only joins an existing cluster.
     pub initial_hosts: Vec<HostId>,
     /// All other hosts with a data folder, which must be fresh too before a cluster forms.
     pub additional_hosts: Vec<HostId>,
@@ -36,7 +37,7 @@
     pub snapshot_entries: u64,
     /// A snapshot is requested when the entries since the last one take this many bytes.
     pub snapshot_bytes: usize,
-    /// Entries before a snapshot that stay in memory for followers that lag slightly.
+    /// Number of entries before a snapshot that stay in memory for followers that lag slightly.
     pub retained_entries: u64,
     /// Proposals are rejected as busy while this many bytes are uncommitted.
     pub max_uncommitted_bytes: usize,
@@ -44,7 +45,7 @@
     pub safeguards: Safeguards,
 }
 
-/// Safety checks that a test disables to show the failure that each one prevents.
+/// Safety checks that tests disable to show which failure each check prevents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Safeguards {
     /// Whether a replica ignores messages addressed to another incarnation of its host.
--- a/crates/kumquatdrum_consensus/src/status.rs
+++ b/crates/kumquatdrum_consensus/src/status.rs
@@ -44,9 +44,9 @@
     pub snapshot_index: LogIndex,
     /// The latest replicas in the log.
     pub replicas: Replicas,
-    /// The entry that contains these replicas.
+    /// The entry that contains the latest replicas.
     pub replicas_index: LogIndex,
-    /// Whether that entry is known to be committed.
+    /// Whether the latest replicas are known to be committed.
     pub replicas_committed: bool,
     /// The progress of the other replicas; empty except on a leader.
     pub peers: Vec<PeerStatus>,
@@ -57,11 +57,11 @@
 pub struct PeerStatus {
     /// The replica.
     pub id: ReplicaId,
-    /// The last synced entry up to which its log matches the leader's.
+    /// The last synced entry up to which the replica's log matches the leader's.
     pub matched: LogIndex,
-    /// Whether it answered within the last election timeout.
+    /// Whether the replica answered within the last election timeout.
     pub is_alive: bool,
-    /// Whether a snapshot is being transferred to it.
+    /// Whether a snapshot is being transferred to the replica.
     pub is_receiving_snapshot: bool,
 }
 
--- a/crates/kumquatdrum_consensus/src/storage.rs
+++ b/crates/kumquatdrum_consensus/src/storage.rs
@@ -11,13 +11,13 @@
     pub cluster: Option<ClusterId>,
     /// The current term, the highest that the replica has seen.
     pub term: Term,
-    /// The candidate voted for in that term.
+    /// The candidate voted for in the current term, if any.
     pub vote: Option<ReplicaId>,
 }
 
 /// A change of the store, applied atomically and synced before it is acknowledged.
 ///
-/// The fields are applied in their order.
+/// The fields are applied in the order of their declaration.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Batch {
     /// Returned in `Persisted`; increases by one with each batch.
--- a/crates/kumquatdrum_consensus/tests/common/checker.rs
+++ b/crates/kumquatdrum_consensus/tests/common/checker.rs
@@ -27,7 +27,7 @@
     pub elections: u64,
 }
 
-/// Extends the hash of all earlier payloads by one.
+/// Returns the hash of all payloads, given the hash of the earlier ones and the next payload.
 pub fn extend_hash(hash: u64, payload: &Bytes) -> u64 {
     payload.iter().fold(hash ^ 0x9e37_79b9, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
@@ -42,8 +42,8 @@
 }
 
 impl Checker {
-    /// Checks that a term has one leader, and that it has all entries committed in earlier terms.
-    /// A leader whose term has already been followed by another may lack entries of that one.
+    /// Checks that a term has at most one leader, and that the leader of the latest term has all
+    /// committed entries. The leader of an earlier term may lack entries committed in later terms.
     pub fn check_leader(&mut self, term: Term, status: &Status) {
         self.elections += 1;
         let is_latest = self.leaders.range(term.next()..).next().is_none();
--- a/crates/kumquatdrum_consensus/tests/common/view.rs
+++ b/crates/kumquatdrum_consensus/tests/common/view.rs
@@ -21,7 +21,7 @@
         (0..self.hosts.len()).filter(leads).max_by_key(term)
     }
 
-    /// Checks that at most one replica holds a lease.
+    /// Checks that no other replica holds a lease if the given one does.
     pub fn check_leases(&self, number: usize) {
         let holds_lease = |number: usize| {
             let node = self.hosts[number].node.as_ref();
--- a/crates/kumquatdrum_consensus/tests/isolation.rs
+++ b/crates/kumquatdrum_consensus/tests/isolation.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// A follower that receives nothing from the leader cannot replace it while a majority does.
+/// A follower that the leader cannot reach must not replace it while the leader reaches a majority.
 #[test]
 fn a_leader_connected_to_a_majority_stays() {
     for seed in 0..SEED_COUNT {
--- a/crates/kumquatdrum_setup/src/audit.rs
+++ b/crates/kumquatdrum_setup/src/audit.rs
@@ -32,7 +32,7 @@
     pub outcome: Outcome,
     /// The first places that changed (accepted) or have findings (refused).
     pub places: Vec<String>,
-    /// The number of all such places.
+    /// The number of all places that changed or have findings.
     pub places_total: u64,
 }
 
@@ -42,7 +42,7 @@
 pub enum Outcome {
     /// The apply created this version.
     Accepted(Version),
-    /// The base was not this version, which was current.
+    /// The base was not the current version, given here.
     Conflict(Version),
     /// The declaration has findings.
     Refused,
--- a/crates/kumquatdrum_setup/src/claim.rs
+++ b/crates/kumquatdrum_setup/src/claim.rs
@@ -13,7 +13,7 @@
 
 /// Maximum number of claims in the table; further ones are answered with [`ClaimAnswer::Full`].
 pub const MAX_CLAIMS: usize = 1 << 18;
-/// Maximum number of claims of one workspace, so that none can fill the table alone.
+/// Maximum number of claims of one workspace, so that no workspace can fill the table alone.
 pub const MAX_CLAIMS_PER_WORKSPACE: usize = MAX_CLAIMS / 4;
 
 /// A host's claim of the key of a request that it is about to dispatch.
@@ -85,7 +85,7 @@
     pub attempt: AttemptId,
     /// The reporting host: the claim's host, or one that has taken over from it.
     pub by: HostId,
-    /// The outcome; `Running` is none and has no effect.
+    /// The outcome; `Running` is not an outcome and has no effect.
     pub settled: AttemptStatus,
 }
 
@@ -100,7 +100,7 @@
     AlreadySettled(Holder),
     /// Another host can't report "not run" yet, as the claim's host may still dispatch.
     TooEarly {
-        /// The time left until it can.
+        /// The time left until it can report that.
         wait_ms: u64,
     },
     /// The claim doesn't exist, or another attempt holds the key.
@@ -240,7 +240,7 @@
     }
 
     /// Removes the claims that have expired by `now_ms` of the state's clock. A running attempt
-    /// becomes unknown and is retained once more.
+    /// becomes unknown, and its claim is kept for another retention period.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         while let Some((expires_ms, key)) = self.expiries.first().cloned()
             && expires_ms <= now_ms
--- a/crates/kumquatdrum_setup/src/in_force.rs
+++ b/crates/kumquatdrum_setup/src/in_force.rs
@@ -152,7 +152,7 @@
         self.unreadable_version
     }
 
-    /// Returns the version in force as this host alone knows it.
+    /// Returns the version in force on this host, unconfirmed by a majority.
     pub fn shown(&self) -> Revision {
         Revision {
             version: self.offer.version,
--- a/crates/kumquatdrum_setup/src/state.rs
+++ b/crates/kumquatdrum_setup/src/state.rs
@@ -27,8 +27,8 @@
     history: History,
     trail: Trail,
     claims: Table,
-    /// The bases of refused applies whose base was above the current version. Their resends must
-    /// not be accepted once that version is current, as they were answered with a conflict.
+    /// The bases of applies whose base was above the current version. Their resends must not be
+    /// accepted once the base is current, as the applies were answered with a conflict.
     premature: IndexMap<ApplyId, Version>,
 }
 
@@ -135,7 +135,7 @@
                 let digest = request.digest();
                 let id = request.apply_id.clone();
                 self.history.push(unix_ms, id, digest, &request.text);
-                // Keeps those whose base is current now or later, as a resend could match it.
+                // A resend with this or a later base must still be recognised.
                 self.premature.retain(|_, base| *base >= version);
                 self.record(
                     unix_ms,
--- a/crates/kumquatdrum_setup/tests/determinism.rs
+++ b/crates/kumquatdrum_setup/tests/determinism.rs
@@ -50,7 +50,7 @@
         _ => {
             let base = state.current().0 + u.int_in_range(0..=2)?;
             let operator = u.choose(&["a", "b"])?;
-            // The small ranges make some applies equal, which resends them.
+            // The ranges are small, so that some applies are resends.
             let request = request(operator, base.saturating_sub(1), u.int_in_range(0..=3)?);
             match state.prepare(&request) {
                 Preparation::Propose(action) => action,
