--- a/crates/kumquatdrum/tests/gateway/control.rs
+++ b/crates/kumquatdrum/tests/gateway/control.rs
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn what_was_acknowledged_survives_whoever_acknowledged_it() {
+async fn an_acknowledged_config_survives_the_host_that_acknowledged_it() {
     let mut cluster = Cluster::start(22);
     cluster.apply(&config(1)).await;
     for revision in 2..6 {
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_endpoint_gets_nothing_once_that_is_acknowledged() {
+async fn a_leaving_endpoint_gets_no_requests_once_its_leave_is_acknowledged() {
     let cluster = Cluster::start(24);
     cluster.apply(&config(1)).await;
     let leaving = Endpoint::start("i-1", Behaviour::Whole).await;
@@ -148,7 +148,7 @@
 /// Guards against hosts that all restart, forget the endpoints, and overload the first ones that
 /// announce themselves again.
 #[tokio::test]
-async fn hosts_that_were_all_lost_at_once_know_who_is_there_before_anybody_announces_again() {
+async fn hosts_that_all_restart_recall_the_endpoints_from_disk() {
     let mut cluster = Cluster::start(26);
     cluster.apply(&config(1)).await;
     let staying = Endpoint::start("i-1", Behaviour::Whole).await;
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test]
-async fn a_damaged_file_of_endpoints_is_told_and_does_no_harm() {
+async fn a_damaged_endpoints_file_is_logged_and_the_host_starts_without_it() {
     let mut cluster = Cluster::start(27);
     cluster.apply(&config(1)).await;
     let endpoint = Endpoint::start("i-1", Behaviour::Whole).await;
--- a/crates/kumquatdrum/tests/gateway/explain.rs
+++ b/crates/kumquatdrum/tests/gateway/explain.rs
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn a_host_that_is_cut_off_says_so() {
+async fn a_host_that_is_cut_off_answers_503_and_explains_why() {
     let mut cluster = Cluster::start(43);
     for host in 0..3 {
         cluster.kill(host);
--- a/crates/kumquatdrum/tests/gateway/path.rs
+++ b/crates/kumquatdrum/tests/gateway/path.rs
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_to_another_request_reaches_nobody() {
+async fn an_answer_to_another_request_is_not_forwarded() {
     let (cluster, endpoint) = start_with_endpoint(2, Behaviour::OtherAttempt).await;
     let answer = cluster.request(3, "/unsafe/x", "at-1").send().await;
     assert_eq!(answer.expect("an answer").status(), StatusCode::BAD_GATEWAY);
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn what_may_not_be_repeated_runs_once_when_its_answer_is_lost() {
+async fn only_a_safe_request_is_retried_when_its_answer_is_lost() {
     let (cluster, endpoint) = start_with_endpoint(3, Behaviour::NoAnswer).await;
     let other = Endpoint::start("i-2", Behaviour::NoAnswer).await;
     cluster.announce(&other, "plain", "ready", 1).await;
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn bytes_after_an_answer_belong_to_nobody() {
+async fn bytes_after_an_answer_are_not_forwarded() {
     let (cluster, _endpoint) = start_with_endpoint(4, Behaviour::ExtraAnswer).await;
     for attempt in ["at-1", "at-2", "at-3"] {
         let answer = cluster.request(3, "/safe/x", attempt).send().await;
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_without_length_that_is_reset_is_not_whole() {
+async fn an_answer_without_length_that_is_reset_fails_with_bad_gateway() {
     let (cluster, _endpoint) = start_with_endpoint(5, Behaviour::Reset).await;
     let answer = cluster.request(3, "/unsafe/x", "at-1").send().await;
     assert_eq!(answer.expect("an answer").status(), StatusCode::BAD_GATEWAY);
--- a/crates/kumquatdrum/tests/requests.rs
+++ b/crates/kumquatdrum/tests/requests.rs
@@ -190,7 +190,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_of_the_leader_costs_no_key_of_other_hosts() {
+async fn a_planned_stop_of_the_leader_fails_no_keyed_request_to_other_hosts() {
     const REQUESTS: usize = 40;
     let mut cluster = Cluster::start(ONE_DATA_CENTRE).await;
     let plain = cluster
@@ -235,7 +235,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_ran_is_not_told_to_be_not_run() {
+async fn a_key_whose_request_ran_is_not_reported_as_not_run() {
     const PROMPT: &str = "confirm swap 9";
     let cluster = Cluster::start(ONE_DATA_CENTRE).await;
     let engines = vec![cluster.start_engine("e1", ONE_DATA_CENTRE[0], STEP).await];
--- a/crates/kumquatdrum_host/tests/callers.rs
+++ b/crates/kumquatdrum_host/tests/callers.rs
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_listener_takes_only_its_own_kind_of_key() {
+async fn each_listener_accepts_only_its_own_kind_of_key() {
     let system = System::start(1).await;
     let at = system.hosts[0].addresses;
     let completions = format!("http://{}/v1/completions", at.callers);
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_are_told_what_is_wrong_and_harm_nobody() {
+async fn invalid_requests_are_rejected_with_a_reason_and_not_dispatched() {
     let system = System::start(1).await;
     let engine = system.engine("e1", 0).await;
     let good = completion("shade", 2, false);
@@ -215,7 +215,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_workspaces_concurrency_holds_and_tells_when_to_come_back() {
+async fn requests_over_the_concurrency_limit_are_refused_with_retry_after() {
     let system = System::start(1).await;
     let engine = system
         .engine_with("e1", 0, |options| {
--- a/crates/kumquatdrum_host/tests/faults.rs
+++ b/crates/kumquatdrum_host/tests/faults.rs
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_not_to_be_repeated_runs_once_when_its_engine_dies() {
+async fn a_non_idempotent_request_runs_once_when_its_engine_dies() {
     let (system, engines) = start_slow(2).await;
     let request = build_request(&system, false, false).header("x-deadline-ms", "3000");
     let response = send_with_fault(&system, &engines, request, Fault::Die).await;
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_engine_fails_a_request_not_to_be_repeated_within_its_time() {
+async fn a_non_idempotent_request_to_a_frozen_engine_fails_at_its_deadline() {
     let (system, engines) = start_slow(2).await;
     let request = build_request(&system, false, false).header("x-deadline-ms", "3000");
     let response = send_with_fault(&system, &engines, request, Fault::Freeze).await;
@@ -360,7 +360,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_reads_nothing_holds_nothing_beyond_its_deadline() {
+async fn a_caller_that_reads_nothing_holds_no_resources_beyond_its_deadline() {
     use tokio::io::AsyncWriteExt;
 
     let (system, engines) = start_slow(1).await;
--- a/crates/kumquatdrum_host/tests/leaving.rs
+++ b/crates/kumquatdrum_host/tests/leaving.rs
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_host_gives_new_work_to_an_endpoint_that_left_by_a_host_that_died() {
+async fn a_leaving_endpoint_gets_no_requests_although_its_notices_receiver_died() {
     let mut system = System::start(HOSTS).await;
     let leaving = system.engine("e1", HOSTS - 1).await;
     let staying = system.engine("e2", 0).await;
--- a/crates/kumquatdrum_host/tests/long.rs
+++ b/crates/kumquatdrum_host/tests/long.rs
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_death_of_one_of_several_engines_returns_the_others_memory() {
+async fn the_other_engines_release_their_memory_when_one_dies() {
     let (system, mut engines) = start(3).await;
     for engine in &engines {
         engine.inject(&Fault::Late {
--- a/crates/kumquatdrum_orders/tests/convergence.rs
+++ b/crates/kumquatdrum_orders/tests/convergence.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_new_version_is_loaded_one_at_a_time_at_the_stores_rate() {
+fn a_new_version_is_loaded_by_one_engine_at_a_time_within_the_stores_rate_limit() {
     for seed in 0..12 {
         let engines = engines(4, |index| index % 2 == 0);
         let text = declaration("2", &engines);
