--- a/crates/kumquatdrum_consensus/src/change.rs
+++ b/crates/kumquatdrum_consensus/src/change.rs
@@ -55,12 +55,12 @@
     /// aborts a requested change that names the earlier one.
     pub(crate) fn on_hello(&mut self, member: Member) {
         let replicas = self.log.replicas();
-        let known = replicas.contains(&member.id) || replicas.retired.contains(&member.id);
+        let is_known = replicas.contains(&member.id) || replicas.retired.contains(&member.id);
         let replaces_voter = replicas.voter_on(&member.id.host).is_some();
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if known || !replaces_voter {
+        if is_known || !replaces_voter {
             return;
         }
         let is_predecessor =
--- a/crates/kumquatdrum_consensus/src/event.rs
+++ b/crates/kumquatdrum_consensus/src/event.rs
@@ -17,7 +17,7 @@
 /// An event that the node processes.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// The moment set by `Wake` has come.
+    /// The moment set by `Wake` has been reached.
     Tick,
     /// A message from another replica.
     Message(Box<Message>),
--- a/crates/kumquatdrum_consensus/src/formation.rs
+++ b/crates/kumquatdrum_consensus/src/formation.rs
@@ -105,8 +105,8 @@
     }
 
     pub(crate) fn on_fresh(&mut self, member: Member) {
-        let expected = self.other_hosts().contains(&member.id.host);
-        if expected && self.has_no_state() && !self.formation.has_stateful_host {
+        let is_expected = self.other_hosts().contains(&member.id.host);
+        if is_expected && self.has_no_state() && !self.formation.has_stateful_host {
             self.formation.fresh.insert(member.id.host.clone(), member);
             self.form_if_all_fresh();
         }
--- a/crates/kumquatdrum_consensus/src/id.rs
+++ b/crates/kumquatdrum_consensus/src/id.rs
@@ -27,7 +27,8 @@
     Incarnation
 );
 define_number!(
-    /// A random number created when a cluster forms; messages of other clusters are ignored.
+    /// A random number created when a cluster forms, which tells its messages from those of other
+    /// clusters.
     ClusterId
 );
 define_number!(
--- a/crates/kumquatdrum_consensus/src/message.rs
+++ b/crates/kumquatdrum_consensus/src/message.rs
@@ -9,7 +9,8 @@
 /// A message between replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender's cluster; `None` in messages of cluster formation.
+    /// The cluster that the message belongs to; `None` in `Hello` and `FormationQuery`, and in other
+    /// messages of a sender that has not joined a cluster.
     pub cluster: Option<ClusterId>,
     /// The sender.
     pub from: ReplicaId,
@@ -22,7 +23,7 @@
 /// The content of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether the receiver would grant a vote; changes no state.
+    /// Asks whether the receiver would grant a vote, without changing its term or vote.
     PreVote(VoteRequest),
     /// Answer to `PreVote`.
     PreVoteAnswer {
--- a/crates/kumquatdrum_consensus/src/node.rs
+++ b/crates/kumquatdrum_consensus/src/node.rs
@@ -37,8 +37,8 @@
     pub(crate) role: Role,
     /// The leader of the current term, if known.
     pub(crate) leader: Option<ReplicaId>,
-    /// The time of the last message from a leader; initially the time of the start, as the replica
-    /// may have promised to grant no vote before it restarted.
+    /// The time of the last message from a leader; initially the start time, as a leader may rely on
+    /// a lease that this replica confirmed before it restarted.
     pub(crate) last_contact: Moment,
     pub(crate) election_at: Moment,
     pub(crate) commit: LogIndex,
@@ -234,6 +234,7 @@
             _ if message.from.host == self.id.host => false,
             None => true,
             Some(to) if *to == self.id => true,
+            // Only in tests: the replica takes over the identity of the addressed incarnation.
             Some(to)
                 if to.host == self.id.host && !self.settings.safeguards.is_incarnation_checked =>
             {
--- a/crates/kumquatdrum_consensus/src/placement.rs
+++ b/crates/kumquatdrum_consensus/src/placement.rs
@@ -32,7 +32,7 @@
 /// Returns the spare that should replace a lost replica.
 ///
 /// Prefers the data centre with the fewest remaining voters, then the data centre of the lost
-/// replica, then the first spare by name.
+/// replica, then the first spare by name. Spares on the host of a remaining voter are skipped.
 ///
 /// ```
 /// use kumquatdrum_consensus::{Member, placement};
--- a/crates/kumquatdrum_consensus/src/replicas.rs
+++ b/crates/kumquatdrum_consensus/src/replicas.rs
@@ -5,7 +5,7 @@
 
 use crate::{Member, ReplicaId};
 
-/// Number of removed replicas that are kept on record.
+/// Maximum number of replicas in `retired`; the oldest are dropped.
 const MAX_RETIRED_REPLICAS: usize = 64;
 
 /// The replicas of a cluster. During a joint change, decisions need a majority of both the old
--- a/crates/kumquatdrum_consensus/src/replication.rs
+++ b/crates/kumquatdrum_consensus/src/replication.rs
@@ -48,11 +48,11 @@
         };
         let peers: Vec<ReplicaId> = leader.peers.keys().cloned().collect();
         for peer in peers {
-            self.replicate_new(&peer);
+            self.replicate_if_behind(&peer);
         }
     }
 
-    fn replicate_new(&mut self, peer: &ReplicaId) {
+    fn replicate_if_behind(&mut self, peer: &ReplicaId) {
         let last = self.log.last_index();
         let Role::Leader(leader) = &self.role else {
             return;
@@ -87,8 +87,8 @@
             let Role::Leader(leader) = &self.role else {
                 return;
             };
-            let more = leader.peers.get(peer).map(|progress| progress.next);
-            if more.is_none_or(|more| more == next || more > self.log.last_index()) {
+            let new_next = leader.peers.get(peer).map(|progress| progress.next);
+            if new_next.is_none_or(|new| new == next || new > self.log.last_index()) {
                 return;
             }
         }
@@ -213,7 +213,7 @@
         }
         self.advance_commit();
         self.advance_change();
-        self.replicate_new(from);
+        self.replicate_if_behind(from);
     }
 
     pub(crate) fn on_snapshot_ack(
--- a/crates/kumquatdrum_consensus/src/status.rs
+++ b/crates/kumquatdrum_consensus/src/status.rs
@@ -9,9 +9,9 @@
 /// The role of a replica as reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoleName {
-    /// Has not joined a cluster.
+    /// Has not received the replicas of a cluster yet.
     Fresh,
-    /// Receives the log without voting.
+    /// Does not vote: a learner, or a replica that a change has removed.
     Learner,
     /// Votes, and follows a leader or awaits one.
     Follower,
@@ -59,7 +59,7 @@
     pub id: ReplicaId,
     /// The last synced entry up to which the replica's log matches the leader's.
     pub matched: LogIndex,
-    /// Whether the replica answered within the last election timeout.
+    /// Whether the replica has answered a message sent within the last election timeout.
     pub is_alive: bool,
     /// Whether a snapshot is being transferred to the replica.
     pub is_receiving_snapshot: bool,
--- a/crates/kumquatdrum_consensus/tests/commit.rs
+++ b/crates/kumquatdrum_consensus/tests/commit.rs
@@ -154,7 +154,6 @@
     })
 }
 
-/// The sync of a batch acknowledges no entries that replaced those of the batch meanwhile.
 #[test]
 fn a_synced_batch_does_not_acknowledge_entries_that_replaced_its_own() {
     let mut harness = Harness::new(3, vec![payload(1, 2)]);
--- a/crates/kumquatdrum_consensus/tests/common/mod.rs
+++ b/crates/kumquatdrum_consensus/tests/common/mod.rs
@@ -52,7 +52,7 @@
     /// The batch that is written but not synced.
     pending: Option<Batch>,
     /// Number of starts and crashes; events scheduled before the latest one are dropped.
-    start_count: u64,
+    generation: u64,
     /// Clocks start at a random offset and run up to 3 % fast or slow.
     clock_offset: u64,
     clock_percent: u64,
@@ -125,7 +125,7 @@
                 disk: StoredState::default(),
                 node: None,
                 pending: None,
-                start_count: 0,
+                generation: 0,
                 clock_offset,
                 clock_percent,
                 has_failing_disk: false,
@@ -195,7 +195,7 @@
         let seed = self.random.next_u64();
         let (settings, clock) = (self.settings(number), self.clock(number));
         let host = &mut self.hosts[number];
-        host.start_count += 1;
+        host.generation += 1;
         host.hash = 0;
         host.applied = LogIndex(0);
         host.restores = 0;
@@ -209,7 +209,7 @@
         let is_written = self.random_below(2) == 0;
         let host = &mut self.hosts[number];
         host.node = None;
-        host.start_count += 1;
+        host.generation += 1;
         host.has_failing_disk = false;
         if let Some(batch) = host.pending.take().filter(|_| is_written) {
             host.disk.apply(&batch);
@@ -332,11 +332,11 @@
         }
         match event {
             Event::Deliver(to, message) => self.step(to, Input::Message(Box::new(message))),
-            Event::Wake(number, start_count) if self.hosts[number].start_count == start_count => {
+            Event::Wake(number, generation) if self.hosts[number].generation == generation => {
                 self.step(number, Input::Tick);
             }
-            Event::Synced(number, start_count, batch)
-                if self.hosts[number].start_count == start_count =>
+            Event::Synced(number, generation, batch)
+                if self.hosts[number].generation == generation =>
             {
                 self.synced(number, &batch);
             }
@@ -371,20 +371,20 @@
     }
 
     fn execute(&mut self, number: usize, output: Output) {
-        let start_count = self.hosts[number].start_count;
+        let generation = self.hosts[number].generation;
         match output {
             Output::Send { to, message } => self.transmit(number, &to, &message),
             Output::Persist(batch) => {
                 self.hosts[number].pending = Some(batch.clone());
                 let delay = self.random_below(self.faults.sync_micros);
-                self.schedule(delay, Event::Synced(number, start_count, batch));
+                self.schedule(delay, Event::Synced(number, generation, batch));
             }
             Output::Wake { at } => {
                 let wait = at - self.clock(number);
                 let micros = u64::try_from(wait.as_micros()).unwrap_or(u64::MAX);
                 let percent = self.hosts[number].clock_percent;
                 let micros = micros.saturating_mul(100) / percent + 1;
-                self.schedule(micros, Event::Wake(number, start_count));
+                self.schedule(micros, Event::Wake(number, generation));
             }
             Output::Apply {
                 index,
--- a/crates/kumquatdrum_consensus/tests/identity.rs
+++ b/crates/kumquatdrum_consensus/tests/identity.rs
@@ -41,7 +41,7 @@
     wipe_committing_follower(Safeguards::default());
 }
 
-/// Without the incarnation check, the same schedule loses the committed value.
+/// Shows that the previous test detects a missing incarnation check.
 #[test]
 fn without_the_incarnation_check_a_committed_value_is_lost() {
     let safeguards = Safeguards {
@@ -88,7 +88,6 @@
     }
 }
 
-/// No cluster forms while an initial host is down.
 #[test]
 fn a_cluster_forms_only_when_all_hosts_are_up() {
     let mut cluster = Cluster::new(5, 3, 3, Safeguards::default());
@@ -99,7 +98,6 @@
     assert!(cluster.run_until(30_000, |c| c.leader().is_some()));
 }
 
-/// A disk lost during formation must not prevent the cluster from forming.
 #[test]
 fn a_disk_lost_during_formation_does_not_prevent_it() {
     for seed in 0..40_u64 {
