--- a/crates/kumquatdrum_membership/src/anti_entropy.rs
+++ b/crates/kumquatdrum_membership/src/anti_entropy.rs
@@ -64,9 +64,9 @@
         let staying: HashSet<Key> = staying.iter().copied().collect();
         let leaving: HashSet<Key> = leaving.iter().copied().collect();
         let lacking = self.table.records().filter(|record| {
-            let has_left = record.announcement.leaving;
+            let is_leaving = record.announcement.leaving;
             let is_held =
-                leaving.contains(&record.key) || !has_left && staying.contains(&record.key);
+                leaving.contains(&record.key) || !is_leaving && staying.contains(&record.key);
             record.liveness != Liveness::Gone && !is_held
         });
         let records: Vec<Snapshot> = lacking
--- a/crates/kumquatdrum_membership/src/data_centre.rs
+++ b/crates/kumquatdrum_membership/src/data_centre.rs
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Restarts all timers when this host becomes the relay, and forwards the summary again.
+    /// Restarts the timers and forwards the summary again, when this host starts or becomes the
+    /// relay.
     pub(crate) fn reset_for_takeover(&mut self, now: Moment) {
         self.last_heard = now;
         self.next_report = now;
--- a/crates/kumquatdrum_membership/src/host.rs
+++ b/crates/kumquatdrum_membership/src/host.rs
@@ -88,7 +88,8 @@
         now - self.last_heard > SILENT_AFTER
     }
 
-    /// Returns whether the host's reports about other hosts are still valid.
+    /// Returns whether the host has sent a message within [`REPORT_VALIDITY`], so that its reports
+    /// about other hosts are still valid.
     pub(crate) fn is_recently_heard(&self, now: Moment) -> bool {
         now - self.last_heard <= REPORT_VALIDITY
     }
--- a/crates/kumquatdrum_membership/src/machine.rs
+++ b/crates/kumquatdrum_membership/src/machine.rs
@@ -42,7 +42,7 @@
     pub(crate) remote_hosts: IndexMap<HostId, RemoteHost>,
     pub(crate) remote_data_centres: IndexMap<DataCentre, data_centre::Remote>,
     pub(crate) table: Table,
-    pub(crate) setup: Option<Status>,
+    pub(crate) setup_status: Option<Status>,
     pub(crate) roster_digest: u32,
     pub(crate) roster_sent_at: Option<Moment>,
     pub(crate) digest_sent_at: Option<Moment>,
@@ -50,6 +50,7 @@
     notices: Vec<Notice>,
     own_reachability: Reachability,
     last_tick: Option<Moment>,
+    /// End of the suspension of suspicions after a stall of this daemon.
     grace_until: Moment,
 }
 
@@ -63,7 +64,7 @@
             remote_hosts: IndexMap::new(),
             remote_data_centres: IndexMap::new(),
             table: Table::default(),
-            setup: None,
+            setup_status: None,
             roster_digest: 0,
             roster_sent_at: None,
             digest_sent_at: None,
@@ -90,7 +91,7 @@
                 message,
             } => self.handle_message(now, &from, boot, message, out),
             Input::DispatchFailed { endpoint } => self.table.record_failure(now, &endpoint, out),
-            Input::SetupStatus(status) => self.setup = Some(status),
+            Input::SetupStatus(status) => self.setup_status = Some(status),
             Input::Tick => self.tick(now, out),
         }
     }
@@ -149,7 +150,7 @@
         *self.relay() == self.local.host
     }
 
-    pub(crate) fn alive(&self) -> Vec<HostId> {
+    pub(crate) fn alive_hosts(&self) -> Vec<HostId> {
         self.hosts
             .values()
             .filter(|host| host.condition == Condition::Alive)
@@ -157,8 +158,8 @@
             .collect()
     }
 
-    /// Queues the result of a merge for the other hosts. Only leaving notices are forwarded if they
-    /// came from another host.
+    /// Queues the result of a merge for the other hosts. If it came from another host (`source`),
+    /// only a leaving notice is forwarded.
     pub(crate) fn enqueue_update(
         &mut self,
         id: &EndpointId,
@@ -244,7 +245,7 @@
     }
 
     fn advance_notices(&mut self, now: Moment, out: &mut Vec<Output>) {
-        let alive = self.alive();
+        let alive = self.alive_hosts();
         let mut notices = std::mem::take(&mut self.notices);
         for notice in &mut notices {
             for to in notice.due_receivers(now, &alive) {
--- a/crates/kumquatdrum_membership/src/message.rs
+++ b/crates/kumquatdrum_membership/src/message.rs
@@ -85,8 +85,8 @@
     pub key: Key,
     /// Sequence number of its announcement.
     pub sequence: u64,
-    /// Load, if it changed and fits into the push. Its `seen` contains only the counters of the
-    /// receiver, with the receiver's name removed as a prefix of the owners.
+    /// Load, if it changed and fits into the push. Its `seen` contains only the counters whose owner
+    /// starts with the receiver's name, without that prefix.
     pub load: Option<Load>,
 }
 
--- a/crates/kumquatdrum_membership/src/notice.rs
+++ b/crates/kumquatdrum_membership/src/notice.rs
@@ -4,7 +4,7 @@
 use kumquatdrum_types::{BootId, EndpointId, HostId, Moment};
 
 use crate::Output;
-use crate::timing::{NOTICE_COPIES, NOTICE_EXPIRY, NOTICE_RETRY};
+use crate::timing::{NOTICE_CONFIRMATIONS, NOTICE_EXPIRY, NOTICE_RETRY};
 
 /// Leaving notice that is being replicated to other hosts.
 #[derive(Debug)]
@@ -52,11 +52,11 @@
 
     /// Acknowledges the announcements once enough hosts have confirmed the notice.
     pub(crate) fn acknowledge(&mut self, alive: &[HostId], out: &mut Vec<Output>) {
-        let copies = alive
+        let confirmations = alive
             .iter()
             .filter(|host| self.confirmed.contains(*host))
             .count();
-        if copies < NOTICE_COPIES.min(alive.len()) {
+        if confirmations < NOTICE_CONFIRMATIONS.min(alive.len()) {
             return;
         }
         for sequence in self.unacknowledged.drain(..) {
@@ -70,7 +70,8 @@
 
     /// Returns whether the notice can be discarded.
     pub(crate) fn is_complete(&self, now: Moment, alive: &[HostId]) -> bool {
-        let is_everywhere = alive.iter().all(|host| self.confirmed.contains(host));
-        self.unacknowledged.is_empty() && (is_everywhere || now - self.received_at > NOTICE_EXPIRY)
+        let is_confirmed_by_all = alive.iter().all(|host| self.confirmed.contains(host));
+        self.unacknowledged.is_empty()
+            && (is_confirmed_by_all || now - self.received_at > NOTICE_EXPIRY)
     }
 }
--- a/crates/kumquatdrum_membership/src/propagation/fetch.rs
+++ b/crates/kumquatdrum_membership/src/propagation/fetch.rs
@@ -104,7 +104,7 @@
                 self.install(now, setup, Some(from), out);
                 send(out, from, self.have_message(now));
             }
-            // The delta is based on a version that has since been replaced.
+            // The delta has another base, or the text does not match its digest.
             None => self.request_version(now, from, transfer.version, out),
         }
     }
--- a/crates/kumquatdrum_membership/src/propagation/machine.rs
+++ b/crates/kumquatdrum_membership/src/propagation/machine.rs
@@ -60,7 +60,8 @@
     pub(super) direct_majority_at: Option<Moment>,
     /// Latest contact with a majority from any source, initially the start of the daemon.
     pub(super) majority_at: Moment,
-    pub(super) cut_off: Option<Moment>,
+    /// Time of the last contact with a majority, if this host is cut off from it.
+    pub(super) cut_off_since: Option<Moment>,
     pub(super) last_status: Option<(Moment, Version)>,
     pub(super) last_exchange: Option<Moment>,
     pub(super) next_exchange: usize,
@@ -99,7 +100,7 @@
             own_majority_at: None,
             direct_majority_at: None,
             majority_at: Moment::ZERO,
-            cut_off: None,
+            cut_off_since: None,
             last_status: None,
             last_exchange: None,
             next_exchange: 0,
@@ -152,7 +153,7 @@
     /// Returns the time of the last contact with a majority of control replicas if this host is cut
     /// off from them.
     pub fn cut_off_since(&self) -> Option<Moment> {
-        self.cut_off
+        self.cut_off_since
     }
 
     /// Returns the known version of each host.
@@ -334,8 +335,8 @@
     fn check_majority(&mut self, now: Moment, out: &mut Vec<Output>) {
         let is_cut_off = now - self.majority_at > CUT_OFF_AFTER;
         let since = is_cut_off.then_some(self.majority_at);
-        if since.is_some() != self.cut_off.is_some() {
-            self.cut_off = since;
+        if since.is_some() != self.cut_off_since.is_some() {
+            self.cut_off_since = since;
             out.push(Output::CutOff { since });
         }
     }
--- a/crates/kumquatdrum_membership/src/propagation/notification.rs
+++ b/crates/kumquatdrum_membership/src/propagation/notification.rs
@@ -108,8 +108,11 @@
         }
         let id = &others[self.next_exchange % others.len()];
         self.next_exchange += 1;
-        let turn = EXCHANGE_INTERVAL * 2 * others.len() as u32;
-        if let Some(to) = self.topology.select_contact(id, moment_before(now, turn)) {
+        let max_contact_age = EXCHANGE_INTERVAL * 2 * others.len() as u32;
+        if let Some(to) = self
+            .topology
+            .select_contact(id, moment_before(now, max_contact_age))
+        {
             send(out, &to, self.have_message_with(now, Vec::new(), true));
         }
     }
--- a/crates/kumquatdrum_membership/src/push.rs
+++ b/crates/kumquatdrum_membership/src/push.rs
@@ -15,7 +15,7 @@
 };
 use crate::{Key, Membership, Output, Summary};
 
-/// Maximum encoded size of a renewal without load.
+/// Encoded size of a renewal without load, for sequence numbers of up to 28 bits.
 const RENEWAL_BYTES: usize = 9;
 /// Separates the host name from the suffix in the name of an owner.
 const OWNER_SEPARATOR: char = '/';
@@ -67,7 +67,7 @@
             roster: self.roster_digest,
             silent,
             cut_off,
-            setup: self.setup,
+            setup: self.setup_status,
             leaving: Vec::new(),
             records: Vec::new(),
             renewals: Vec::new(),
@@ -310,7 +310,7 @@
 
 /// Returns a record for one receiver.
 pub(crate) fn snapshot_for(now: Moment, record: &Record, receiver: &HostId) -> Snapshot {
-    let age = (now - record.renewed).as_millis();
+    let age = (now - record.renewed_at).as_millis();
     let announcement = record.announcement.clone();
     Snapshot {
         announcement: map_load(announcement, |load| strip_load(load, receiver)),
--- a/crates/kumquatdrum_membership/src/summary.rs
+++ b/crates/kumquatdrum_membership/src/summary.rs
@@ -80,6 +80,6 @@
 
 /// Rounds a number down to its two most significant bits.
 fn round(number: u64) -> u64 {
-    let low = (u64::BITS - number.leading_zeros()).saturating_sub(2);
-    number >> low << low
+    let dropped_bits = (u64::BITS - number.leading_zeros()).saturating_sub(2);
+    number >> dropped_bits << dropped_bits
 }
--- a/crates/kumquatdrum_membership/src/table.rs
+++ b/crates/kumquatdrum_membership/src/table.rs
@@ -30,7 +30,7 @@
     /// Liveness of the endpoint.
     pub liveness: Liveness,
     pub(crate) key: Key,
-    pub(crate) renewed: Moment,
+    pub(crate) renewed_at: Moment,
     /// Host that the newest announcement came from; `None` if the endpoint sent it to this host.
     source: Option<HostId>,
     failures: Failures,
@@ -104,7 +104,7 @@
         source: Option<HostId>,
         out: &mut Vec<Output>,
     ) -> Outcome {
-        let renewed = moment_before(now, age);
+        let renewed_at = moment_before(now, age);
         let known = self.records.get(&announcement.endpoint);
         match known.map(|record| (ordering_key(record), record.liveness)) {
             // A leaving notice is never outdated within an incarnation.
@@ -122,15 +122,15 @@
             Some(((boot, _), liveness))
                 if announcement.boot == boot && liveness != Liveness::Gone =>
             {
-                self.renew(now, announcement, renewed, source, out)
+                self.renew(now, announcement, renewed_at, source, out)
             }
             Some((_, Liveness::Gone)) | None => {
-                self.join(now, announcement, renewed, source, out);
+                self.join(now, announcement, renewed_at, source, out);
                 Outcome::Joined
             }
             Some(_) => {
                 emit(out, &announcement.endpoint, Change::Gone);
-                self.join(now, announcement, renewed, source, out);
+                self.join(now, announcement, renewed_at, source, out);
                 Outcome::Joined
             }
         }
@@ -181,7 +181,7 @@
         }
         record.failures.count += 1;
         record.failures.last = Some(now);
-        let is_late = now - record.renewed > LATE_AFTER;
+        let is_late = now - record.renewed_at > LATE_AFTER;
         if record.liveness == Liveness::Alive && (is_late || record.failures.count >= FAILURE_LIMIT)
         {
             record.liveness = Liveness::Suspect;
@@ -199,7 +199,7 @@
     ) {
         let mut expired = Vec::new();
         for (id, record) in &mut self.records {
-            let silence = now - record.renewed;
+            let silence = now - record.renewed_at;
             let grace = match &record.source {
                 Some(source) if is_silent(source) => HANDOVER_GRACE,
                 _ => Duration::ZERO,
@@ -227,7 +227,7 @@
         &mut self,
         now: Moment,
         announcement: Announcement,
-        renewed: Moment,
+        renewed_at: Moment,
         source: Option<HostId>,
         out: &mut Vec<Output>,
     ) -> Outcome {
@@ -247,7 +247,7 @@
         record.announcement.leaving |= was_leaving;
         let old_key = std::mem::replace(&mut record.key, key);
         self.digest ^= digest_contribution(record);
-        record.renewed = record.renewed.max(renewed);
+        record.renewed_at = record.renewed_at.max(renewed_at);
         record.source = source;
         record.clear_suspicion(now, out);
         emit(out, &id, Change::Renewed(record.announcement.clone()));
@@ -269,7 +269,7 @@
         &mut self,
         now: Moment,
         announcement: Announcement,
-        renewed: Moment,
+        renewed_at: Moment,
         source: Option<HostId>,
         out: &mut Vec<Output>,
     ) {
@@ -280,7 +280,7 @@
         if leaving {
             emit(out, &id, Change::Leaving);
         }
-        let liveness = if now - renewed > SUSPECT_AFTER {
+        let liveness = if now - renewed_at > SUSPECT_AFTER {
             Liveness::Suspect
         } else {
             Liveness::Alive
@@ -292,7 +292,7 @@
             key: Key::of(&announcement),
             announcement,
             liveness,
-            renewed,
+            renewed_at,
             source,
             failures: Failures::default(),
         };
@@ -340,7 +340,7 @@
             .failures
             .last
             .is_some_and(|last| now - last < FAILURE_HOLD);
-        let is_fresh = now - self.renewed <= SUSPECT_AFTER;
+        let is_fresh = now - self.renewed_at <= SUSPECT_AFTER;
         if self.liveness == Liveness::Suspect && is_fresh && !is_held {
             self.liveness = Liveness::Alive;
             self.failures = Failures::default();
--- a/crates/kumquatdrum_membership/src/timing.rs
+++ b/crates/kumquatdrum_membership/src/timing.rs
@@ -11,7 +11,8 @@
 /// Additional time for an endpoint whose last renewal came from a host that is now silent, so that
 /// the endpoint can switch to another host.
 pub const HANDOVER_GRACE: Duration = Duration::from_secs(3);
-/// Time for which a gone endpoint is remembered, so that late messages don't add it again.
+/// Time without renewal after which a gone endpoint is forgotten. Until then, late messages don't
+/// add it again.
 pub const FORGET_AFTER: Duration = Duration::from_secs(60);
 /// Age of the last renewal at which a single failed dispatch makes an endpoint suspect.
 pub const LATE_AFTER: Duration = Duration::from_millis(2_500);
@@ -45,10 +46,11 @@
 pub const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// Number of other live hosts that must confirm a leaving notice, or all if there are fewer.
-pub const NOTICE_COPIES: usize = 2;
+pub const NOTICE_CONFIRMATIONS: usize = 2;
 /// Interval at which unconfirmed leaving notices are resent.
 pub const NOTICE_RETRY: Duration = Duration::from_millis(200);
-/// Time after which a leaving notice is no longer resent; anti-entropy then spreads it.
+/// Time after which an acknowledged leaving notice is no longer resent; anti-entropy then spreads
+/// it.
 pub const NOTICE_EXPIRY: Duration = Duration::from_secs(5);
 
 /// Time for which two tables must differ before they are compared.
--- a/crates/kumquatdrum_membership/tests/it/endpoints.rs
+++ b/crates/kumquatdrum_membership/tests/it/endpoints.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_leave_reaches_nine_hosts_within_two_seconds_even_if_its_receiver_dies() {
+fn a_leaving_notice_reaches_nine_hosts_within_two_seconds_even_if_its_receiver_dies() {
     for receiver in 0..9 {
         let mut cluster = steady_cluster(receiver as u64, RELIABLE, 9);
         let receiver = cluster.host(receiver);
--- a/crates/kumquatdrum_membership/tests/it/hosts.rs
+++ b/crates/kumquatdrum_membership/tests/it/hosts.rs
@@ -13,7 +13,7 @@
 fn condition(cluster: &Cluster, on: &HostId, of: &HostId) -> Condition {
     let mut hosts = cluster.daemons[on].membership.hosts();
     let peer = hosts.find(|peer| peer.member.host == *of);
-    peer.expect("known").condition
+    peer.expect("the host is known").condition
 }
 
 fn has_reported(
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_moved_host_is_reached_at_its_new_address() {
+fn a_moved_host_is_known_at_its_new_address() {
     let mut cluster = Cluster::new(1, RELIABLE, &DATA_CENTRES, 3);
     cluster.run(seconds(5));
     let moved = cluster.hosts_of("marina")[2].clone();
--- a/crates/kumquatdrum_membership/tests/it/schedules.rs
+++ b/crates/kumquatdrum_membership/tests/it/schedules.rs
@@ -16,6 +16,7 @@
 /// Newest record of each endpoint seen by each incarnation of a host, and whether it was leaving.
 type Known = HashMap<(HostId, BootId, EndpointId), (BootId, u64, bool)>;
 
+/// Checks that no record returns to an older state and that leaving stays final.
 fn check(cluster: &Cluster, known: &mut Known, seed: u64) {
     for (host, daemon) in &cluster.daemons {
         for record in daemon.membership.endpoints() {
