--- a/crates/kumquatdrum_setup/src/control.rs
+++ b/crates/kumquatdrum_setup/src/control.rs
@@ -131,7 +131,8 @@
     pub hosts: Vec<HostStatus>,
     /// All known endpoints.
     pub endpoints: Vec<EndpointStatus>,
-    /// The data centres without any reachable host.
+    /// The data centres that can't be reached, including the answering host's own if that host is
+    /// isolated within it.
     pub cut_off: Vec<DataCentre>,
 }
 
@@ -181,7 +182,7 @@
 pub enum Condition {
     /// The endpoint accepts work.
     Alive,
-    /// The endpoint has missed lease renewals.
+    /// Renewals of the endpoint are overdue, or dispatches to it fail.
     Suspect,
     /// The endpoint drains: it finishes its work and accepts no more.
     Leaving,
--- a/crates/kumquatdrum_setup/src/in_force.rs
+++ b/crates/kumquatdrum_setup/src/in_force.rs
@@ -153,7 +153,7 @@
     }
 
     /// Returns the version in force on this host, unconfirmed by a majority.
-    pub fn shown(&self) -> Revision {
+    pub fn revision(&self) -> Revision {
         Revision {
             version: self.offer.version,
             digest: self.offer.digest,
--- a/crates/kumquatdrum_setup/src/snapshot.rs
+++ b/crates/kumquatdrum_setup/src/snapshot.rs
@@ -7,7 +7,7 @@
 use crate::command::ApplyId;
 use crate::{Digest, Trail, history};
 
-/// The encoding of a snapshot; its first byte.
+/// The format of an encoded snapshot, its first byte.
 pub const FORMAT: u8 = 1;
 /// Size of the format byte and the digest.
 const HEADER_BYTES: usize = 1 + Digest::BYTES;
@@ -30,7 +30,7 @@
     /// There are no bytes.
     #[error("the snapshot is empty")]
     Empty,
-    /// The snapshot was written by a release with another encoding.
+    /// The snapshot was written by a release with another format.
     #[error("snapshot format {0} is not known")]
     Format(u8),
     /// The contents can't be decoded.
--- a/crates/kumquatdrum_setup/src/state.rs
+++ b/crates/kumquatdrum_setup/src/state.rs
@@ -254,13 +254,13 @@
 
     /// Returns the version in force as an offer to other hosts.
     pub fn offer(&self) -> in_force::Offer {
-        let shown = self.shown(self.current(), Standing::Confirmed);
-        let shown = shown.expect("the current version exists");
+        let revision = self.revision(self.current(), Standing::Confirmed);
+        let revision = revision.expect("the current version exists");
         in_force::Offer {
-            version: shown.version,
-            digest: shown.digest,
-            accepted_unix_ms: shown.accepted_unix_ms,
-            text: shown.text,
+            version: revision.version,
+            digest: revision.digest,
+            accepted_unix_ms: revision.accepted_unix_ms,
+            text: revision.text,
         }
     }
 
@@ -271,10 +271,10 @@
             Selector::Version(version) => version,
             Selector::At(unix_ms) => self.history.version_at(unix_ms),
         };
-        self.shown(version, standing)
+        self.revision(version, standing)
     }
 
-    fn shown(&self, version: Version, standing: Standing) -> Option<Revision> {
+    fn revision(&self, version: Version, standing: Standing) -> Option<Revision> {
         let text = self.history.text(version)?;
         let record = self.history.record(version);
         Some(Revision {
--- a/crates/kumquatdrum_setup/tests/audit.rs
+++ b/crates/kumquatdrum_setup/tests/audit.rs
@@ -7,7 +7,7 @@
 use kumquatdrum_types::Version;
 use support::{apply, request, text};
 
-fn trail() -> StateMachine {
+fn state_with_attempts() -> StateMachine {
     let mut state = StateMachine::default();
     apply(&mut state, &request("a", 0, 1));
     apply(&mut state, &request("b", 0, 2));
@@ -19,7 +19,7 @@
 
 #[test]
 fn each_attempt_has_an_entry() {
-    let state = trail();
+    let state = state_with_attempts();
     let (previous, entries) = state.trail().page(1, usize::MAX);
     let outcomes: Vec<_> = entries.iter().map(|entry| entry.record.outcome).collect();
     let expected = [
@@ -37,7 +37,7 @@
 
 #[test]
 fn pages_verify_by_themselves() {
-    let state = trail();
+    let state = state_with_attempts();
     let mut from = 1;
     let mut head = Digest::default();
     while from <= state.trail().len() {
@@ -53,7 +53,7 @@
 
 #[test]
 fn the_first_broken_link_is_found() {
-    let state = trail();
+    let state = state_with_attempts();
     let (_, entries) = state.trail().page(1, usize::MAX);
     let broken = |change: &dyn Fn(&mut Vec<Entry>)| {
         let mut entries = entries.to_vec();
@@ -84,7 +84,7 @@
 /// The documentation defines the digest's input, so that auditors can use other tools.
 #[test]
 fn the_chain_can_be_recomputed_from_the_export() {
-    let state = trail();
+    let state = state_with_attempts();
     let (_, entries) = state.trail().page(1, usize::MAX);
     let mut previous = "0".repeat(64);
     for entry in entries {
--- a/crates/kumquatdrum_setup/tests/claims.rs
+++ b/crates/kumquatdrum_setup/tests/claims.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_host_that_lost_its_answer_claims_again() {
+fn a_repeated_claim_is_granted_until_its_attempt_is_settled() {
     let mut state = StateMachine::default();
     let first = claim("order", "h1", "1");
     assert_eq!(claim_one(&mut state, 0, &first), ClaimAnswer::Granted);
--- a/crates/kumquatdrum_setup/tests/determinism.rs
+++ b/crates/kumquatdrum_setup/tests/determinism.rs
@@ -35,15 +35,11 @@
 }
 
 fn random_action(u: &mut Unstructured<'_>, state: &StateMachine) -> Result<Action> {
-    let claims = u.int_in_range(0..=3)?;
+    let count = u.int_in_range(0..=3)?;
     Ok(match u.choose_index(3)? {
-        0 => Action::Claims(
-            (0..claims)
-                .map(|_| random_claim(u))
-                .collect::<Result<_>>()?,
-        ),
+        0 => Action::Claims((0..count).map(|_| random_claim(u)).collect::<Result<_>>()?),
         1 => Action::Settle(
-            (0..claims)
+            (0..count)
                 .map(|_| random_settlement(u))
                 .collect::<Result<_>>()?,
         ),
--- a/crates/kumquatdrum_setup/tests/in_force.rs
+++ b/crates/kumquatdrum_setup/tests/in_force.rs
@@ -26,7 +26,7 @@
     assert_eq!(in_force.accept(&offer(4, &text(2))), Outcome::Outdated);
     assert_eq!(in_force.accept(&offer(5, &text(2))), Outcome::Diverged);
     assert_eq!(in_force.version(), Version(5));
-    assert_eq!(*in_force.shown().text, *text(1));
+    assert_eq!(*in_force.revision().text, *text(1));
     assert_eq!(in_force.accept(&offer(9, &text(3))), Outcome::Accepted);
     assert_eq!(
         in_force
@@ -87,7 +87,7 @@
     let with_contact = Standing::LastKnown {
         as_of_unix_ms: Some(START_MS),
     };
-    assert_eq!(in_force.shown().standing, with_contact);
+    assert_eq!(in_force.revision().standing, with_contact);
     let elapsed = in_force.time_since_majority(Moment::from_millis(60));
     assert_eq!(elapsed, Some(Duration::from_millis(50)));
 }
