--- a/crates/kumquatdrum_host/src/members.rs
+++ b/crates/kumquatdrum_host/src/members.rs
@@ -112,7 +112,7 @@
         for member in &others {
             propagation.step(now, build_host_input(member, true), &mut out);
         }
-        propagation.step(now, propagation::Input::Control(replicas), &mut out);
+        propagation.step(now, propagation::Input::ControlReplicas(replicas), &mut out);
         let state = State {
             membership: Membership::new(local.clone(), others),
             propagation,
--- a/crates/kumquatdrum_membership/src/propagation/event.rs
+++ b/crates/kumquatdrum_membership/src/propagation/event.rs
@@ -17,7 +17,7 @@
         is_alive: bool,
     },
     /// Hosts that run control replicas.
-    Control(Vec<HostId>),
+    ControlReplicas(Vec<HostId>),
     /// The control replica of this host has applied an accepted version.
     Offer(Setup),
     /// The control replica of this host is up to date and in contact with a majority.
--- a/crates/kumquatdrum_membership/src/propagation/machine.rs
+++ b/crates/kumquatdrum_membership/src/propagation/machine.rs
@@ -117,7 +117,7 @@
                 data_centre,
                 is_alive,
             } => self.topology.update_host(host, data_centre, is_alive),
-            Input::Control(hosts) => self.control_replicas = hosts.into_iter().collect(),
+            Input::ControlReplicas(hosts) => self.control_replicas = hosts.into_iter().collect(),
             Input::Offer(setup) => self.install(now, setup, None, out),
             Input::Majority => {
                 self.own_majority_at = Some(now);
--- a/crates/kumquatdrum_membership/tests/it/propagation_cluster.rs
+++ b/crates/kumquatdrum_membership/tests/it/propagation_cluster.rs
@@ -115,7 +115,7 @@
             boot: state.boot,
             stored: state.disk.clone(),
         });
-        self.input(host, Input::Control(self.control_replicas.clone()));
+        self.input(host, Input::ControlReplicas(self.control_replicas.clone()));
         let known: Vec<(HostId, DataCentre, bool)> = self
             .hosts
             .iter()
