--- a/crates/kumquatdrum_peer/src/counters.rs
+++ b/crates/kumquatdrum_peer/src/counters.rs
@@ -15,7 +15,7 @@
     pub messages_received: u64,
     /// Bytes of frames received, without the overhead of HTTP/2 and TCP.
     pub bytes_received: u64,
-    /// Messages dropped from a full queue or lost in a failed call.
+    /// Messages dropped before they were sent or lost in a failed call.
     pub messages_dropped: u64,
 }
 
--- a/crates/kumquatdrum_peer/src/error.rs
+++ b/crates/kumquatdrum_peer/src/error.rs
@@ -43,7 +43,7 @@
         reason: String,
     },
     /// The peer's handler returned an error.
-    #[error("host {host} answered: {reason}")]
+    #[error("host {host} returned an error: {reason}")]
     Failed {
         /// Peer.
         host: HostId,
--- a/crates/kumquatdrum_peer/src/link.rs
+++ b/crates/kumquatdrum_peer/src/link.rs
@@ -14,7 +14,7 @@
 
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after a failed attempt during which calls fail at once.
+/// Time after a failed attempt during which calls fail without another attempt.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 /// Time without received data after which a waiting call sends an HTTP/2 ping.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
@@ -121,7 +121,7 @@
         match tokio::time::timeout(CONNECT_TIMEOUT, endpoint.connect()).await {
             Ok(Ok(channel)) => Ok(channel),
             Ok(Err(error)) => Err(unreachable(error.to_string())),
-            Err(_) => Err(unreachable("connecting took too long".to_owned())),
+            Err(_) => Err(unreachable("timed out while connecting".to_owned())),
         }
     }
 }
--- a/crates/kumquatdrum_peer/src/local.rs
+++ b/crates/kumquatdrum_peer/src/local.rs
@@ -7,12 +7,12 @@
 
 use crate::Counters;
 
-/// Incarnation of a host's daemon.
+/// Host and incarnation of a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Identity {
     /// Name of the host.
     pub host: HostId,
-    /// Incarnation of its daemon.
+    /// Incarnation of the daemon.
     pub boot: BootId,
 }
 
--- a/crates/kumquatdrum_peer/src/peer.rs
+++ b/crates/kumquatdrum_peer/src/peer.rs
@@ -20,7 +20,7 @@
 use crate::queue::Queues;
 use crate::{Channel, Error, LocalDaemon};
 
-/// Time that a frame may wait for its acknowledgement, plus the transfer time of its bodies.
+/// Timeout for the acknowledgement of a frame; the transfer time of its bodies is added.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Minimum throughput assumed for large frames.
 const MINIMUM_BYTES_PER_SECOND: usize = 1 << 20;
@@ -63,7 +63,7 @@
         self.queues.lock().pop_batch(channel)
     }
 
-    /// Waits until a message was queued since the last call.
+    /// Waits until a message has been queued since the last call.
     pub(crate) async fn wait_for_messages(&self) {
         self.wake.notified().await;
     }
--- a/crates/kumquatdrum_peer/src/queue.rs
+++ b/crates/kumquatdrum_peer/src/queue.rs
@@ -1,4 +1,5 @@
-//! Outgoing messages for one peer, in a bounded queue per channel that drops its oldest messages.
+//! Outgoing messages for one peer, in a bounded queue per channel that drops its oldest messages
+//! when it is full.
 
 use std::collections::VecDeque;
 
--- a/crates/kumquatdrum_peer/src/server.rs
+++ b/crates/kumquatdrum_peer/src/server.rs
@@ -30,7 +30,8 @@
 const REASON_LIMIT_CHARACTERS: usize = 512;
 /// Maximum length of a refused host's name in the log, in characters.
 const NAME_LIMIT_CHARACTERS: usize = 64;
-const REFUSAL_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum interval between two log lines about refusals.
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Serves peers on a listener until `shutdown` resolves and all calls in flight have ended. A
 /// silent connection delays the return by at most six seconds.
@@ -43,7 +44,7 @@
     let service = PeerServer::new(Service {
         handler,
         local,
-        refusals: Refusals::default(),
+        log_limiter: LogLimiter::default(),
     })
     .max_decoding_message_size(FRAME_LIMIT_BYTES)
     .max_encoding_message_size(FRAME_LIMIT_BYTES);
@@ -62,21 +63,22 @@
 struct Service {
     handler: Arc<dyn Handler>,
     local: LocalDaemon,
-    refusals: Refusals,
+    log_limiter: LogLimiter,
 }
 
-/// Rate limiter that logs at most one refusal per [`REFUSAL_INTERVAL`].
+/// Limits the log of refusals to one line per [`REFUSAL_LOG_INTERVAL`]; holds the time of the last
+/// line and the number of refusals suppressed since.
 #[derive(Debug, Default)]
-struct Refusals(Mutex<(Option<Instant>, u64)>);
+struct LogLimiter(Mutex<(Option<Instant>, u64)>);
 
-impl Refusals {
+impl LogLimiter {
     /// Returns the number of refusals suppressed since the last one logged, or `None` if this one
     /// is suppressed.
     fn take_suppressed(&self) -> Option<u64> {
         let mut state = self.0.lock();
         let is_due = state
             .0
-            .is_none_or(|last| last.elapsed() >= REFUSAL_INTERVAL);
+            .is_none_or(|last| last.elapsed() >= REFUSAL_LOG_INTERVAL);
         if !is_due {
             state.1 += 1;
             return None;
@@ -106,7 +108,7 @@
         claimed: &str,
         address: Option<std::net::SocketAddr>,
     ) -> Status {
-        if let Some(suppressed) = self.refusals.take_suppressed() {
+        if let Some(suppressed) = self.log_limiter.take_suppressed() {
             let address = address.map(|address| address.to_string());
             let claimed: String = claimed.chars().take(NAME_LIMIT_CHARACTERS).collect();
             warn!(self.local.logger, "peer_refused"; "event" => "peer_refused", "claimed_host" => claimed,
