--- a/crates/kumquatdrum_orders/src/output.rs
+++ b/crates/kumquatdrum_orders/src/output.rs
@@ -9,7 +9,7 @@
 /// Work for the host to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Send an order once, if [`Order::can_be_sent`] holds right before, and report the outcome.
+    /// Send an order once if [`Order::can_be_sent`] still holds, and report the outcome.
     Send(Order),
     /// Request a report from an engine.
     Probe(EndpointId),
--- a/crates/kumquatdrum_orders/src/settings.rs
+++ b/crates/kumquatdrum_orders/src/settings.rs
@@ -68,9 +68,9 @@
         self.max_lease + self.drift_margin() + self.delivery_timeout
     }
 
-    /// Returns the backoff after `attempts` consecutive failures.
-    pub(crate) fn backoff(&self, attempts: u32) -> Duration {
-        let doublings = attempts.saturating_sub(1).min(16);
+    /// Returns the backoff after this number of consecutive failures.
+    pub(crate) fn backoff(&self, failures: u32) -> Duration {
+        let doublings = failures.saturating_sub(1).min(16);
         (self.initial_backoff * (1 << doublings)).min(self.max_backoff)
     }
 }
--- a/crates/kumquatdrum_orders/tests/convergence.rs
+++ b/crates/kumquatdrum_orders/tests/convergence.rs
@@ -15,7 +15,8 @@
         .collect()
 }
 
-/// Asserts that no window holds more loads than the weight store's rate permits, plus one.
+/// Asserts that the loads after the first of any window exceed the weight store's rate by at most
+/// one.
 fn assert_rate_limited(simulation: &Simulation, seed: u64) {
     let interval = 60_000 / u64::from(Settings::default().loads_per_minute);
     let times = load_times(simulation);
@@ -25,7 +26,7 @@
             let max_count = (end - start + 60) * 1_045 / 1_000 / interval + 1;
             assert!(
                 count as u64 <= max_count,
-                "seed {seed}: {count} loads in {} ms",
+                "seed {seed}: {count} loads after the first in {} ms",
                 end - start
             );
         }
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn a_slow_load_keeps_the_next_replica_serving() {
+fn no_second_replica_is_taken_down_during_a_slow_load() {
     let mut engines = engines(4, |index| index % 2 == 0);
     for engine in engines.values_mut() {
         engine.load_ms = 12_000;
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn a_last_replica_is_withheld_until_another_one_serves() {
+fn a_load_on_the_last_replica_is_withheld_until_another_one_serves() {
     let one = engines(1, |_| true);
     let text = declaration("2", &engines(2, |_| true));
     let mut simulation = Simulation::new(1, one, &text);
--- a/crates/kumquatdrum_orders/tests/support/mod.rs
+++ b/crates/kumquatdrum_orders/tests/support/mod.rs
@@ -276,13 +276,13 @@
         if !self.now.is_multiple_of(ANNOUNCE_MS) {
             return;
         }
-        let living: Vec<_> = self
+        let live: Vec<_> = self
             .engines
             .iter()
             .filter(|(_, engine)| self.now >= engine.down_until)
             .map(|(id, engine)| (id.clone(), engine.boot, engine.service))
             .collect();
-        for (endpoint, boot, service) in living {
+        for (endpoint, boot, service) in live {
             let input = Input::Announced {
                 endpoint,
                 boot: BootId(boot),
