--- a/crates/kumquatdrum_declaration/src/idempotency.rs
+++ b/crates/kumquatdrum_declaration/src/idempotency.rs
@@ -59,11 +59,13 @@
 pub(crate) fn is_normalised(path: &str) -> bool {
     let path = path.strip_prefix('/').unwrap_or(path);
     let path = path.strip_suffix('/').unwrap_or(path);
-    let has_odd_segment = path
+    let has_empty_or_dot_segment = path
         .split('/')
         .any(|segment| matches!(segment, "" | "." | ".."));
     let is_root = path.is_empty();
-    (is_root || !has_odd_segment) && !path.contains(['\\', ';']) && !has_needless_encoding(path)
+    (is_root || !has_empty_or_dot_segment)
+        && !path.contains(['\\', ';'])
+        && !has_needless_encoding(path)
 }
 
 /// Returns whether a percent-encoded byte needs no encoding, is a separator or is malformed.
--- a/crates/kumquatdrum_declaration/tests/idempotency.rs
+++ b/crates/kumquatdrum_declaration/tests/idempotency.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn reorders_and_confirmations_are_not_idempotent() {
+fn idempotency_follows_the_rules_or_else_the_defaults() {
     let cases = [
         (TOONIKAART, "salon-api", "POST", "/reorders", false),
         (TOONIKAART, "salon-api", "POST", "/reorders/7", false),
