--- a/crates/kumquatdrum_daemon/src/lifecycle/machine.rs
+++ b/crates/kumquatdrum_daemon/src/lifecycle/machine.rs
@@ -252,7 +252,7 @@
         self.give_up(self.last_cause.clone())
     }
 
-    /// Resumes the response if its connection has ended or lags behind the generated tokens.
+    /// Resumes the response if its connection has ended or lags behind the attempt's status.
     fn resume_if_stalled(&mut self, attempt: &Attempt, status: &Status) -> Vec<Output> {
         let is_connected = attempt.is_accepted && !attempt.is_broken;
         let is_finished = status.state == Stage::Finished;
--- a/crates/kumquatdrum_daemon/tests/flight_world.rs
+++ b/crates/kumquatdrum_daemon/tests/lifecycle.rs
@@ -22,6 +22,7 @@
     engine: usize,
     /// Time at which the dispatch reaches the engine; `None` if it is lost.
     arrives_at: Option<Moment>,
+    /// Whether the engine must not start the attempt, because of a cancel or a restart.
     is_blocked: bool,
     /// Incarnation of the engine that started the attempt.
     started: Option<BootId>,
@@ -334,7 +335,7 @@
 }
 
 #[test]
-fn what_the_caller_is_told_is_what_happened() {
+fn the_reported_ending_matches_the_attempts_that_ran() {
     let mut endings = [0_u32; 4];
     for seed in 0..SEEDS {
         let (policy, simulation, ending) = run(seed);
