--- a/crates/kumquatdrum_host/src/canceller.rs
+++ b/crates/kumquatdrum_host/src/canceller.rs
@@ -43,12 +43,12 @@
         self.wake.notify_one();
     }
 
-    /// Removes the cancels for a boot of an engine that has ended.
+    /// Removes the cancels for an engine's incarnation that has ended and for earlier ones.
     pub fn remove_engine(&self, endpoint: &EndpointId, boot: BootId) {
         self.queue.lock().remove_engine(endpoint, boot);
     }
 
-    /// Whether all cancels are confirmed.
+    /// Returns whether all cancels are confirmed.
     pub fn is_idle(&self) -> bool {
         self.queue.lock().is_empty()
     }
--- a/crates/kumquatdrum_host/src/context.rs
+++ b/crates/kumquatdrum_host/src/context.rs
@@ -25,7 +25,7 @@
 pub struct Context {
     /// The host's settings.
     pub settings: Settings,
-    /// The boot of this daemon.
+    /// The incarnation of this daemon.
     pub boot: BootId,
     /// The daemon's clock.
     pub clock: Clock,
@@ -57,7 +57,7 @@
     pub body_budget: Arc<Budget>,
     /// The tasks of requests in flight, joined at shutdown.
     pub requests: TaskTracker,
-    /// The number of request names assigned so far.
+    /// The number of request IDs assigned so far.
     pub request_count: AtomicU64,
 }
 
@@ -76,7 +76,7 @@
         engines.collect()
     }
 
-    /// Returns a unique name for the next request.
+    /// Returns a unique ID for the next request.
     pub fn next_request_id(&self) -> RequestId {
         let count = self.request_count.fetch_add(1, Ordering::Relaxed);
         RequestId::new(format!("{}-{:x}-{count}", self.settings.host, self.boot.0))
--- a/crates/kumquatdrum_host/src/control/proxy.rs
+++ b/crates/kumquatdrum_host/src/control/proxy.rs
@@ -28,12 +28,12 @@
     total: Duration,
 }
 
-/// The timeouts of operators' requests, long enough to outlast an election.
+/// The timeouts of operators' requests and of settlements, long enough to outlast an election.
 const OPERATOR_TIMEOUTS: Timeouts = Timeouts {
     attempt: Duration::from_millis(1_500),
     total: Duration::from_secs(5),
 };
-/// The timeouts of keyed requests, which are shorter because callers can retry.
+/// The timeouts of claims and key lookups, which are shorter because callers can retry.
 const CALLER_TIMEOUTS: Timeouts = Timeouts {
     attempt: Duration::from_millis(700),
     total: Duration::from_millis(1_500),
--- a/crates/kumquatdrum_host/src/control/replica.rs
+++ b/crates/kumquatdrum_host/src/control/replica.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Runs until the last handle is dropped or `stopped` turns true.
+    /// Runs until the last handle is dropped, `stopped` turns true or the replica halts.
     pub async fn run(
         mut self,
         mut events: mpsc::UnboundedReceiver<Event>,
--- a/crates/kumquatdrum_host/src/frontend.rs
+++ b/crates/kumquatdrum_host/src/frontend.rs
@@ -145,11 +145,11 @@
         prompt_tokens: u64,
         deadline: Duration,
     ) -> Result<routing::Request, Problem> {
-        let named = submission
+        let priority_name = submission
             .priority
             .as_deref()
             .or(workspace.priority.as_deref());
-        let priority = match named.map(|name| index.priority(name)) {
+        let priority = match priority_name.map(|name| index.priority(name)) {
             None => routing::Priority::default(),
             Some(Some(priority)) => routing::Priority {
                 // Higher levels go first in the router, lower ones in the declaration.
--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -41,7 +41,7 @@
 
 use components::Components;
 
-/// How long a shutdown waits for unconfirmed cancels.
+/// How long a shutdown waits for unconfirmed cancels and releases.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a replica keeps running after it resigns, to transfer leadership.
 const RESIGNATION_TIME: Duration = Duration::from_millis(300);
@@ -274,7 +274,7 @@
         if let Some(server) = self.caller_server.take() {
             server.stop().await;
         }
-        let _ = tokio::time::timeout(CANCEL_TIMEOUT, self.wait_for_cancels()).await;
+        let _ = tokio::time::timeout(CANCEL_TIMEOUT, self.wait_for_cancels_and_releases()).await;
         self.context.requests.close();
         self.context.requests.wait().await;
         for server in std::mem::take(&mut self.other_servers) {
@@ -290,7 +290,7 @@
         info!(self.context.logger, ""; "event" => "stopped");
     }
 
-    async fn wait_for_cancels(&self) {
+    async fn wait_for_cancels_and_releases(&self) {
         while !(self.context.canceller.is_idle() && self.context.reservations.is_idle()) {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
@@ -426,7 +426,7 @@
 }
 
 /// A replica with its handle and the receiver of its events.
-type Task = (Handle, Replica, mpsc::UnboundedReceiver<Event>);
+type RestoredReplica = (Handle, Replica, mpsc::UnboundedReceiver<Event>);
 
 /// Restores the replica of a host with a data folder.
 fn restore_replica(
@@ -436,7 +436,7 @@
     metrics: &Arc<Metrics>,
     client: &Arc<Client>,
     logger: &slog::Logger,
-) -> Result<Option<Task>, StartError> {
+) -> Result<Option<RestoredReplica>, StartError> {
     let Some(folder) = &settings.data else {
         return Ok(None);
     };
--- a/crates/kumquatdrum_host/src/host/components.rs
+++ b/crates/kumquatdrum_host/src/host/components.rs
@@ -1,4 +1,4 @@
-//! Construction of the components that need no running task.
+//! Construction of the components that are created before any task runs.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use crate::settings::Settings;
 use kumquatdrum_process::clock::{Clock, unix_ms};
 
-/// The components that need no running task.
+/// The components that are created before any task runs.
 pub(super) struct Components {
     pub(super) clock: Clock,
     pub(super) boot: BootId,
--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -29,7 +29,7 @@
 /// The idempotency key of one request with its claim.
 #[derive(Debug, Clone)]
 pub struct Key {
-    /// The claim for the log; its attempt is the name of the request.
+    /// The claim for the log; its attempt is the ID of the request.
     pub claim: Claim,
     /// The service, used to find the attempt of an earlier request.
     pub service: ServiceName,
@@ -51,8 +51,8 @@
 }
 
 impl Key {
-    /// Claims the key. If the outcome in the log is unknown, the request is refused and the claim is
-    /// released in the background.
+    /// Claims the key. If the outcome in the log is unknown, the request is refused and the claim
+    /// is released in the background.
     pub async fn claim(self, context: &Arc<Context>, deadline: Moment) -> Outcome {
         let time_left = deadline - context.clock.now();
         let claims = vec![self.claim.clone()];
@@ -99,7 +99,7 @@
     }
 
     /// Settles a running claim as unknown if its host is dead: no engine holds the attempt, so its
-    /// outcome can't be determined.
+    /// outcome can't be determined. Returns the resulting status.
     fn settle_if_orphaned(&self, context: &Arc<Context>, holder: &Holder) -> AttemptStatus {
         let is_orphan = !context.members.live_hosts().contains(&holder.host);
         if holder.settled != AttemptStatus::Running || !is_orphan {
--- a/crates/kumquatdrum_host/src/members.rs
+++ b/crates/kumquatdrum_host/src/members.rs
@@ -82,7 +82,7 @@
 pub enum OrphanSource {
     /// A host of the data centre died, and its attempts at engines are orphaned.
     Host(HostId),
-    /// An engine joined that may hold attempts of an earlier boot of this host.
+    /// An engine joined that may hold attempts of an earlier incarnation of this daemon.
     Engine(EndpointId),
 }
 
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Handles an announcement and returns whether it was accepted. A leaving notice is accepted once
-    /// enough hosts hold it.
+    /// Handles an announcement and returns whether it was accepted. A leaving notice is accepted
+    /// once enough hosts hold it.
     pub async fn announce(&self, announcement: Announcement) -> bool {
         let id = (
             announcement.endpoint.clone(),
@@ -205,7 +205,8 @@
         self.step([Step::Propagation(propagation::Input::Majority)]);
     }
 
-    /// Reports a failed dispatch that makes the endpoint suspect.
+    /// Reports a failed dispatch. An endpoint becomes suspect after several failures, or after one
+    /// if its announcements are late.
     pub fn report_failure(&self, endpoint: &EndpointId) {
         let endpoint = endpoint.clone();
         self.step([Step::Membership(Input::DispatchFailed { endpoint })]);
@@ -314,7 +315,7 @@
             self.dependencies.reservations.remove_engine(id);
             state.services.swap_remove(id);
         }
-        self.count_endpoints(state);
+        self.update_endpoint_gauges(state);
     }
 
     fn add_endpoint(&self, state: &mut State, id: &EndpointId, announcement: &Announcement) {
@@ -338,10 +339,10 @@
                 .set_health(service, id, Health::Leaving);
         }
         self.push_orphan_source(OrphanSource::Engine(id.clone()));
-        self.count_endpoints(state);
+        self.update_endpoint_gauges(state);
     }
 
-    fn count_endpoints(&self, state: &State) {
+    fn update_endpoint_gauges(&self, state: &State) {
         let count = |condition: control::Condition| {
             let records = state.membership.endpoints();
             records
@@ -367,11 +368,11 @@
         let is_local = |view: &&kumquatdrum_membership::Peer<'_>| {
             view.member.data_centre == self.local.data_centre
         };
-        let alive = views
+        let live = views
             .iter()
             .filter(is_local)
             .filter(|view| view.condition != Condition::Dead);
-        let owners = alive.map(|view| view.member.host.to_string());
+        let owners = live.map(|view| view.member.host.to_string());
         self.dependencies
             .routers
             .set_owners(owners.chain([self.local.host.to_string()]).collect());
@@ -445,8 +446,8 @@
         }
     }
 
-    /// Whether this host cancels the orphaned attempts of dead hosts of its data centre: it is the
-    /// first live host by name.
+    /// Returns whether this host cancels the orphaned attempts of dead hosts of its data centre: it
+    /// is the first live host by name.
     pub fn is_reaper(&self) -> bool {
         self.state.lock().membership.is_relay()
     }
@@ -460,7 +461,7 @@
         live.chain([self.local.host.clone()]).collect()
     }
 
-    /// Whether this host has lost contact with the majority of the replicas.
+    /// Returns whether this host has lost contact with the majority of the replicas.
     pub fn is_cut_off(&self) -> bool {
         self.state.lock().propagation.cut_off_since().is_some()
     }
--- a/crates/kumquatdrum_host/src/members/report.rs
+++ b/crates/kumquatdrum_host/src/members/report.rs
@@ -90,12 +90,12 @@
     };
     let replicas = &node.replicas;
     let voter = find(&replicas.voters);
-    // A joint configuration also needs the majority of its outgoing voters.
-    let is_joining = replicas.is_joint() && voter != find(&replicas.outgoing);
+    // A voter in only one half of a joint configuration is shown as a learner.
+    let is_changing = replicas.is_joint() && voter != find(&replicas.outgoing);
     match () {
         // The voter on this host is an earlier incarnation whose disk was lost.
         () if node.id.host == *host && !replicas.is_voter(&node.id) => Replica::Learner,
-        () if is_joining || find(&replicas.learners).is_some() => Replica::Learner,
+        () if is_changing || find(&replicas.learners).is_some() => Replica::Learner,
         () if voter.is_some() => Replica::Voter,
         () => Replica::None,
     }
--- a/crates/kumquatdrum_host/src/orphans.rs
+++ b/crates/kumquatdrum_host/src/orphans.rs
@@ -1,7 +1,8 @@
-//! Cancels orphaned attempts at engines: those of dead hosts and of this host's earlier boots.
+//! Cancels orphaned attempts at engines: those of dead hosts and of earlier incarnations
+//! of this daemon.
 //!
 //! Attempts of keyed requests keep running, because their callers may retry. The number in such an
-//! attempt's name is prefixed by `k`.
+//! attempt's ID is prefixed by `k`.
 
 use std::sync::Arc;
 
--- a/crates/kumquatdrum_host/src/quota.rs
+++ b/crates/kumquatdrum_host/src/quota.rs
@@ -18,7 +18,8 @@
 use crate::members::Members;
 use kumquatdrum_process::clock::Clock;
 
-/// The maximum number of hosts that act as coordinators, which bounds the messages with demands.
+/// The maximum number of hosts that act as coordinators, which bounds the number of demand
+/// messages.
 const MAX_COORDINATORS: usize = 9;
 
 /// A message between hosts about workspace limits.
@@ -51,7 +52,7 @@
 pub struct Dependencies {
     /// The name of this host.
     pub host: HostId,
-    /// The boot of this daemon.
+    /// The incarnation of this daemon.
     pub boot: BootId,
     /// The number of hosts in the settings, including this one.
     pub hosts: usize,
@@ -193,7 +194,7 @@
 }
 
 impl Permit {
-    /// Sets the tokens that the request really used.
+    /// Sets the tokens that the request has used.
     pub fn set_used(&self, tokens: u64) {
         self.used.store(tokens, Ordering::Relaxed);
     }
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -23,7 +23,7 @@
 
 pub use job::Job;
 
-/// The header with the name of the reservation whose memory an attempt takes over.
+/// The header with the ID of the reservation whose memory an attempt takes over.
 const RESERVATION_HEADER: &str = "x-reservation";
 
 /// A claim, probe, cancel, reservation or retry decision in flight.
@@ -454,7 +454,7 @@
         }
     }
 
-    /// Reports a failure of the endpoint, which becomes suspect after several within a short time.
+    /// Reports a failed call to the endpoint, so that the membership can mark it as suspect.
     fn report_failure_if(&self, has_failed: bool) {
         if let Some(target) = self.target.as_ref().filter(|_| has_failed) {
             self.context.members.report_failure(&target.endpoint);
--- a/crates/kumquatdrum_host/src/reservations.rs
+++ b/crates/kumquatdrum_host/src/reservations.rs
@@ -26,7 +26,8 @@
 
 struct Entry {
     targets: IndexMap<EndpointId, Target>,
-    /// The engine that the attempt was dispatched to, where it holds the memory itself.
+    /// The engine that the attempt was dispatched to. Its part isn't renewed, because the running
+    /// attempt holds the memory there.
     head: Option<EndpointId>,
     ready: Option<oneshot::Sender<()>>,
     lost: Option<oneshot::Sender<()>>,
@@ -110,7 +111,7 @@
         self.wake.notify_one();
     }
 
-    /// Whether nothing is reserved or awaits its release.
+    /// Returns whether nothing is reserved or awaits its release.
     pub fn is_idle(&self) -> bool {
         self.state.lock().table.is_empty()
     }
--- a/crates/kumquatdrum_host/src/routers.rs
+++ b/crates/kumquatdrum_host/src/routers.rs
@@ -148,7 +148,7 @@
         result
     }
 
-    /// Sets the hosts that share the endpoints with this one.
+    /// Sets the hosts that share the endpoints, including this one.
     pub fn set_owners(&self, owners: Vec<String>) {
         for shard in &self.shards {
             for service in shard.services.lock().values_mut() {
--- a/crates/kumquatdrum_host/src/web.rs
+++ b/crates/kumquatdrum_host/src/web.rs
@@ -84,7 +84,7 @@
         }),
         Err(_) => match task.await {
             Ok(Err(error)) => Err(failed(error.to_string())),
-            _ => Err(failed("the server stopped at once".to_owned())),
+            _ => Err(failed("the server stopped during startup".to_owned())),
         },
     }
 }
