--- a/crates/kumquatdrum_host/tests/callers.rs
+++ b/crates/kumquatdrum_host/tests/callers.rs
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_long_prompts_at_once_stay_within_the_hosts_memory() {
+async fn concurrent_long_prompts_stay_within_the_hosts_body_budget() {
     const PROMPTS: usize = 200;
     let system = System::start_with(1, |settings| {
         settings.limits.held_body_bytes = 64 << 20;
--- a/crates/kumquatdrum_host/tests/faults.rs
+++ b/crates/kumquatdrum_host/tests/faults.rs
@@ -293,7 +293,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_is_cancelled_when_its_caller_leaves() {
+async fn an_attempt_is_cancelled_when_its_caller_disconnects() {
     let (system, engines) = start_slow(1).await;
     engines[0].inject(&Fault::LoseCancel {
         count: 2,
@@ -310,7 +310,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_is_cancelled_when_a_caller_without_streaming_leaves() {
+async fn an_attempt_without_streaming_is_cancelled_when_its_caller_disconnects() {
     let (system, engines) = start_slow(1).await;
     let body = completion(PROMPT, 2_000, false);
     let pending = tokio::spawn(send(
@@ -323,7 +323,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_is_cancelled_at_the_deadline() {
+async fn an_attempt_is_cancelled_at_the_deadline() {
     let (system, engines) = start_slow(1).await;
     let body = completion(PROMPT, 100, false);
     let request = call(system.callers(0), &body).header("x-deadline-ms", "1500");
--- a/crates/kumquatdrum_host/tests/leaving.rs
+++ b/crates/kumquatdrum_host/tests/leaving.rs
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_endpoint_gets_no_requests_although_its_notices_receiver_died() {
+async fn a_leaving_endpoint_gets_no_requests_even_if_the_host_that_received_its_notice_dies() {
     let mut system = System::start(HOSTS).await;
     let leaving = system.engine("e1", HOSTS - 1).await;
     let staying = system.engine("e2", 0).await;
--- a/crates/kumquatdrum_host/tests/long.rs
+++ b/crates/kumquatdrum_host/tests/long.rs
@@ -34,7 +34,7 @@
     "four".repeat(tokens)
 }
 
-async fn wait_until_idle(engines: &[Engine]) {
+async fn wait_until_memory_is_released(engines: &[Engine]) {
     let waiting = async {
         while engines
             .iter()
@@ -54,12 +54,12 @@
     let response = send(call(system.callers(0), &completion(&prompt, 5, false))).await;
     assert_eq!(response.status, 200, "{}", response.body);
     assert_eq!(response.text(), answer(&prompt, 5));
-    wait_until_idle(&engines).await;
+    wait_until_memory_is_released(&engines).await;
     stop(system, engines).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_beyond_all_engines_is_refused_at_once() {
+async fn a_prompt_that_exceeds_the_memory_of_all_engines_is_refused() {
     let (system, engines) = start(2).await;
     let prompt = prompt(3 * MEMORY_TOKENS as usize);
     let response = send(call(system.callers(0), &completion(&prompt, 5, false))).await;
@@ -86,7 +86,7 @@
     for response in [first, second] {
         assert_eq!(response.status, 200, "{}", response.body);
     }
-    wait_until_idle(&engines).await;
+    wait_until_memory_is_released(&engines).await;
     stop(system, engines).await;
 }
 
@@ -117,6 +117,6 @@
         response.body
     );
     engines.remove(1).shutdown().await;
-    wait_until_idle(&engines).await;
+    wait_until_memory_is_released(&engines).await;
     stop(system, engines).await;
 }
--- a/crates/kumquatdrum_host/tests/orders.rs
+++ b/crates/kumquatdrum_host/tests/orders.rs
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_checks_refuses_an_old_fencing_token() {
+async fn an_engine_that_checks_fencing_tokens_refuses_an_old_one() {
     let (engine, target, client) = start_checking_engine().await;
     let mut fence = load_order(&target, 8);
     fence.action = Action::Fence;
