--- a/crates/kumquatdrum_types/src/id.rs
+++ b/crates/kumquatdrum_types/src/id.rs
@@ -46,7 +46,7 @@
 }
 
 define_identifier!(
-    /// Name of an entry host, as given in its settings.
+    /// Name of a host, as given in its settings.
     HostId
 );
 define_identifier!(
--- a/crates/kumquatdrum_types/src/load.rs
+++ b/crates/kumquatdrum_types/src/load.rs
@@ -16,8 +16,8 @@
     pub prefill_tokens: u64,
     /// KV cache in use, in tokens.
     pub memory_used_tokens: u64,
-    /// Highest attempt counter included in this report for each owner, as `(owner, counter)`. A
-    /// host adds the attempts that it dispatched after its counter.
+    /// Highest attempt counter that this report includes for each owner, as `(owner, counter)`. An
+    /// owner adds its later attempts to the reported load.
     pub seen: Vec<(String, u64)>,
 }
 
@@ -28,7 +28,7 @@
     pub workspace: crate::WorkspaceName,
     /// Number of requests offered by callers, admitted or not.
     pub requests: u64,
-    /// Prompt and response tokens of these requests.
+    /// Prompt and expected response tokens of these requests.
     pub tokens: u64,
     /// Number of requests currently in flight.
     pub in_flight: u32,
