--- a/crates/kumquatdrum_fanout/src/batch.rs
+++ b/crates/kumquatdrum_fanout/src/batch.rs
@@ -5,10 +5,11 @@
 use kumquatdrum_types::Moment;
 use serde::{Deserialize, Serialize};
 
-/// The maximum time that an urgent event waits in a batch; well below the prefill time of a part.
+/// The maximum time that an urgent event waits in a batch; well below the prefill time of one
+/// engine's part of a long prompt.
 const MAX_URGENT_DELAY: Duration = Duration::from_millis(4);
-/// The maximum time that any other event waits in a batch. Until it arrives, other hosts may place
-/// a long prompt on an engine whose new requests they do not know.
+/// The maximum time that any other event waits in a batch. Until a dispatch is known, other hosts
+/// may place a long prompt on the same engine.
 const MAX_USUAL_DELAY: Duration = Duration::from_millis(20);
 
 /// The urgency with which an event is delivered to other data centres.
--- a/crates/kumquatdrum_fanout/src/recipients.rs
+++ b/crates/kumquatdrum_fanout/src/recipients.rs
@@ -89,7 +89,7 @@
     let relaying = peers.iter().filter(|peer| peer.can_relay);
     let mut candidates: Vec<&HostId> = relaying.map(|peer| &peer.id).collect();
     if candidates.is_empty() {
-        // A partitioned data centre may become reachable again at any time.
+        // No host seems to be live, perhaps because of a partition, which may heal at any time.
         candidates = peers.iter().map(|peer| &peer.id).collect();
     }
     let by_weight = |name: &str, candidates: &mut Vec<&HostId>| {
--- a/crates/kumquatdrum_fanout/tests/fanout.rs
+++ b/crates/kumquatdrum_fanout/tests/fanout.rs
@@ -12,9 +12,9 @@
 const MAX_BYTES: usize = 1_200;
 const EVENT_BYTES: usize = 45;
 
-fn peers(each: usize) -> Vec<Peer> {
+fn peers(hosts_per_data_centre: usize) -> Vec<Peer> {
     let of = |data_centre: &'static str| {
-        (1..=each).map(move |number| Peer {
+        (1..=hosts_per_data_centre).map(move |number| Peer {
             id: HostId::new(format!("{data_centre}-{number}")),
             data_centre: data_centre.into(),
             can_relay: true,
@@ -34,20 +34,21 @@
     batches: IndexMap<HostId, Batch<u32>>,
     /// Received events by host.
     received: IndexMap<HostId, Vec<u32>>,
+    /// The number of datagrams sent by each host.
     sent: IndexMap<HostId, usize>,
-    /// The number of datagrams between data centres.
-    crossings: usize,
+    /// The number of datagrams sent between data centres.
+    remote_sent: usize,
 }
 
 impl Network {
-    fn new(each: usize) -> Self {
+    fn new(hosts_per_data_centre: usize) -> Self {
         Self {
-            peers: peers(each),
+            peers: peers(hosts_per_data_centre),
             lost: IndexSet::new(),
             batches: IndexMap::new(),
             received: IndexMap::new(),
             sent: IndexMap::new(),
-            crossings: 0,
+            remote_sent: 0,
         }
     }
 
@@ -55,7 +56,7 @@
         *self.sent.entry(from.clone()).or_default() += 1;
         let peer = |id: &HostId| self.peers.iter().find(|peer| peer.id == *id);
         let data_centre = |id| peer(id).map(|peer| &peer.data_centre);
-        self.crossings += usize::from(data_centre(from) != data_centre(to));
+        self.remote_sent += usize::from(data_centre(from) != data_centre(to));
         if self.lost.contains(to) || self.lost.contains(from) {
             return false;
         }
@@ -110,8 +111,8 @@
 
 #[test]
 fn every_live_host_receives_each_event_once() {
-    for each in [1, 3, 8, 9, 59] {
-        let mut network = Network::new(each);
+    for hosts_per_data_centre in [1, 3, 8, 9, 59] {
+        let mut network = Network::new(hosts_per_data_centre);
         let events = 40;
         for event in 0..events {
             let from = event as usize * 7 % network.peers.len();
@@ -130,7 +131,7 @@
             assert_eq!(
                 received,
                 expected,
-                "{each} hosts each, {}",
+                "{} with {hosts_per_data_centre} hosts per data centre",
                 peer.id.as_str()
             );
         }
@@ -170,8 +171,8 @@
 fn losing_a_relay_moves_only_its_senders_and_those_of_its_replacement() {
     let mut all = peers(59);
     let before: Vec<Recipients> = all.iter().map(|local| recipients(local, &all)).collect();
-    let gone = before[0].relays[0].primary.clone();
-    let peer = all.iter_mut().find(|peer| peer.id == gone);
+    let lost_relay = before[0].relays[0].primary.clone();
+    let peer = all.iter_mut().find(|peer| peer.id == lost_relay);
     peer.expect("the relay").can_relay = false;
     let mut known_relays: IndexSet<&HostId> = IndexSet::new();
     for relay in before.iter().flat_map(|recipients| &recipients.relays) {
@@ -181,7 +182,7 @@
         for (old, new) in before.relays.iter().zip(&recipients(local, &all).relays) {
             // The replacement relay takes a share of all senders; other senders keep their relay.
             let is_new = !known_relays.contains(&new.primary);
-            let expected = if old.primary == gone {
+            let expected = if old.primary == lost_relay {
                 &old.secondary
             } else {
                 &old.primary
@@ -239,11 +240,11 @@
         sent * 2 < mesh_sent,
         "{sent} datagrams instead of {mesh_sent}"
     );
-    let mesh_crossings = events as usize * 4 * 59;
-    let crossings = network.crossings;
+    let mesh_remote_sent = events as usize * 4 * 59;
+    let remote_sent = network.remote_sent;
     assert!(
-        crossings * 3 < mesh_crossings,
-        "{crossings} datagrams between data centres instead of {mesh_crossings}"
+        remote_sent * 3 < mesh_remote_sent,
+        "{remote_sent} datagrams between data centres instead of {mesh_remote_sent}"
     );
 }
 
