--- a/crates/kumquatdrum_registry/src/announcement.rs
+++ b/crates/kumquatdrum_registry/src/announcement.rs
@@ -22,7 +22,7 @@
     pub data_centre: DataCentre,
     /// The number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// Whether the endpoint is draining and will stop accepting requests.
+    /// Whether the endpoint is draining: it gets no new requests.
     pub leaving: bool,
     /// The remaining warm-up time in milliseconds.
     pub warming_ms: u64,
--- a/crates/kumquatdrum_registry/src/registry.rs
+++ b/crates/kumquatdrum_registry/src/registry.rs
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Returns whether a later incarnation of another endpoint uses the announced address.
+    /// Returns whether another endpoint, started later, uses the announced address.
     fn is_displaced(&self, announcement: &Announcement) -> bool {
         self.entries.values().any(|entry| {
             let other = &entry.announcement;
@@ -172,7 +172,7 @@
         })
     }
 
-    /// Marks earlier incarnations of other endpoints at the announced address as gone.
+    /// Marks other endpoints at the announced address as gone if they were started earlier.
     fn displace_earlier(&mut self, announcement: &Announcement) {
         for entry in self.entries.values_mut() {
             let other = &entry.announcement;
--- a/crates/kumquatdrum_routes/src/record.rs
+++ b/crates/kumquatdrum_routes/src/record.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The compressed bytes are corrupt or have an unknown format.
-    #[error("the packed text can't be read: {0}")]
+    #[error("can't decompress the text: {0}")]
     Damaged(#[from] std::io::Error),
     /// The text exceeds [`Record::MAX_TEXT_BYTES`].
     #[error("the text is longer than {} bytes", Record::MAX_TEXT_BYTES)]
--- a/crates/kumquatdrum_routes/src/table.rs
+++ b/crates/kumquatdrum_routes/src/table.rs
@@ -8,8 +8,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     setup: Setup,
-    // Indices of each host's routes, longest prefix first.
+    /// Indices of each host's routes, longest prefix first.
     hosts: IndexMap<String, Vec<usize>>,
+    /// The index of each key's workspace.
     keys: IndexMap<String, usize>,
 }
 
--- a/crates/kumquatdrum_routes/src/validate.rs
+++ b/crates/kumquatdrum_routes/src/validate.rs
@@ -14,10 +14,10 @@
 /// ```
 pub fn validate(setup: &Setup) -> Vec<Finding> {
     let mut findings = Vec::new();
-    let mut places = IndexSet::new();
+    let mut host_prefixes = IndexSet::new();
     for (number, route) in setup.routes.iter().enumerate() {
         validate_route(setup, number, route, &mut findings);
-        if !places.insert((route.host.to_ascii_lowercase(), &route.prefix)) {
+        if !host_prefixes.insert((route.host.to_ascii_lowercase(), &route.prefix)) {
             let message = "another route has the same host and prefix";
             findings.push(Finding::new(format!("/routes/{number}"), message));
         }
--- a/crates/kumquatdrum_routes/tests/distribution.rs
+++ b/crates/kumquatdrum_routes/tests/distribution.rs
@@ -23,8 +23,9 @@
     let record = Record::new(3, text.as_bytes()).expect("a text within the limit");
     assert!(
         record.packed_len() * 10 < text.len(),
-        "{}",
-        record.packed_len()
+        "{} of {} bytes",
+        record.packed_len(),
+        text.len()
     );
     assert_eq!(record.text().expect("its text"), text.as_bytes());
 }
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn shares_are_even_and_a_lost_host_moves_only_its_share() {
+fn hosts_are_spread_over_senders_and_a_lost_sender_moves_only_its_share() {
     let (control, caller_hosts) = (hosts("control", 6), hosts("entry", 640));
     let sender = |host: &HostId, control: &[HostId]| {
         let sender = distribution::sender(host, control);
@@ -72,9 +73,6 @@
     assert_eq!(distribution::sender(&caller_hosts[0], &[]), None);
 }
 
-// Guards against a leader that loses its quorum because heartbeats queue behind records on its
-// link.
-
 /// The bandwidth of a control host's link in bytes per millisecond.
 const CONTROL_LINK_BYTES_PER_MS: usize = 170_000_000 / 8 / 1_000;
 /// The bandwidth of a caller-facing host's link in bytes per millisecond.
@@ -122,6 +120,8 @@
     (longest_wait, last_arrival - last_change)
 }
 
+/// Guards against a leader that loses its quorum because heartbeats queue behind records on its
+/// link.
 #[test]
 fn records_delay_a_heartbeat_by_at_most_its_interval() {
     for bytes in [20_000, 70_000, 250_000, 600_000] {
