--- a/crates/kumquatdrum_placement/src/candidate.rs
+++ b/crates/kumquatdrum_placement/src/candidate.rs
@@ -95,7 +95,7 @@
         self.endpoint.decodes.len()
     }
 
-    /// Returns the number of answers whose longest pause is at most `pause_ms`.
+    /// Returns the number of answers whose maximum pause is at most `pause_ms`.
     pub(crate) fn decodes_within(&self, pause_ms: f64) -> usize {
         let decodes = self.endpoint.decodes.values();
         decodes
--- a/crates/kumquatdrum_placement/src/cost.rs
+++ b/crates/kumquatdrum_placement/src/cost.rs
@@ -24,8 +24,8 @@
     pub fn prefill_ms(&self, tokens: u64) -> f64 {
         let tokens = tokens as f64;
         let linear = tokens / self.engine.prefill_tokens_per_ms.max(f64::MIN_POSITIVE);
-        let pairs = tokens * tokens / 2.0 / 1e6;
-        linear + pairs * self.engine.attention_ms_per_m_pairs
+        let million_pairs = tokens * tokens / 2.0 / 1e6;
+        linear + million_pairs * self.engine.attention_ms_per_m_pairs
     }
 
     /// Returns the milliseconds of a pass that decodes `decodes` answers with `context` tokens in
--- a/crates/kumquatdrum_placement/src/health.rs
+++ b/crates/kumquatdrum_placement/src/health.rs
@@ -29,10 +29,10 @@
 /// The duration of an ejection after one failure, doubled by each further consecutive failure. It
 /// is short, so that a transient failure costs little.
 const MIN_EJECTION: Duration = Duration::from_millis(400);
-/// The longest ejection, after which the next request probes the endpoint.
+/// The longest ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// The number of consecutive failures from which a broken response ejects the endpoint; fewer may
-/// be isolated losses.
+/// The number of consecutive failures at which a broken response ejects the endpoint; fewer may be
+/// isolated errors.
 const FAILURES_BEFORE_EJECTION: u32 = 3;
 /// The weight of the newest response in the failure rate.
 const NEWEST_WEIGHT: f64 = 0.1;
--- a/crates/kumquatdrum_placement/src/job.rs
+++ b/crates/kumquatdrum_placement/src/job.rs
@@ -6,7 +6,7 @@
 use kumquatdrum_types::{EndpointId, Moment, hash};
 use serde::{Deserialize, Serialize};
 
-/// Identifies a request to engines across all hosts.
+/// Identifies a job; unique across all hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId {
     /// The number of the dispatching host.
@@ -33,8 +33,8 @@
     /// ```
     /// use kumquatdrum_placement::EndpointKey;
     ///
-    /// let (first, again) = (EndpointKey::of(&"e".into(), 1), EndpointKey::of(&"e".into(), 2));
-    /// assert_ne!(first, again);
+    /// let (first, next) = (EndpointKey::of(&"e".into(), 1), EndpointKey::of(&"e".into(), 2));
+    /// assert_ne!(first, next);
     /// ```
     pub fn of(id: &EndpointId, incarnation: u64) -> Self {
         let bytes = id.as_str().bytes().chain(incarnation.to_le_bytes());
@@ -45,7 +45,7 @@
 /// A prompt to place on engines.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Identifies the job across all hosts.
+    /// Identifies the job.
     pub id: JobId,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
@@ -97,7 +97,8 @@
     /// The job.
     pub job: JobId,
     /// The prefill time on one engine, in milliseconds.
-    pub read_ms: f32,
+    #[serde(rename = "read_ms")]
+    pub prefill_ms: f32,
     /// Tokens of the prompt.
     pub prompt: u32,
     /// The time since arrival, in milliseconds.
--- a/crates/kumquatdrum_placement/src/long_prompt.rs
+++ b/crates/kumquatdrum_placement/src/long_prompt.rs
@@ -1,4 +1,4 @@
-//! Places prompts whose prefill doesn't fit between two events of the engines' answers.
+//! Places prompts whose prefill doesn't fit into the allowed pauses of the answers in progress.
 //!
 //! Several engines share such a prefill, which may take seconds on one engine. Their number is a
 //! trade-off between the time to first token and the answers that pause meanwhile. An engine runs
@@ -86,7 +86,7 @@
         _ => return Placement::TooDisruptive { part_ms },
     };
     ready.truncate(count);
-    match reserve_memory(job, candidates, ready, prefill_ms, local_data_centre) {
+    match build_plan(job, candidates, ready, prefill_ms, local_data_centre) {
         Some(plan) => Placement::Send(plan),
         None => Placement::Blocked,
     }
@@ -101,7 +101,7 @@
     candidates
 }
 
-/// Returns the number of engines with the earliest weighted finish, among the numbers whose
+/// Returns the number of engines with the lowest [`finish_ms`] plus overhead, among those whose
 /// disruption is at most `max_disruption`.
 fn best_engine_count(
     candidates: &[&Candidate<'_>],
@@ -134,9 +134,10 @@
     last.fold(0.0, f64::max) + part_ms + disruption(candidates, part_ms) * DISRUPTION_PENALTY_MS
 }
 
-/// Reserves memory on one engine if possible, otherwise on several. An engine of the host's own
-/// data centre is preferred for the answer, because a network partition does not break its stream.
-fn reserve_memory<'a>(
+/// Chooses the first engine and reserves memory, on that engine alone if possible; `None` if the
+/// engines have too little. An engine of the host's own data centre is preferred as the first,
+/// because a network partition does not break its stream.
+fn build_plan<'a>(
     job: &Job,
     candidates: &'a [Candidate<'a>],
     mut members: Vec<&'a Candidate<'a>>,
--- a/crates/kumquatdrum_placement/src/planner.rs
+++ b/crates/kumquatdrum_placement/src/planner.rs
@@ -389,7 +389,7 @@
 fn new_waiter(now: Moment, job: &Job, prefill_ms: f64) -> Waiter {
     Waiter {
         job: job.id,
-        read_ms: prefill_ms as f32,
+        prefill_ms: prefill_ms as f32,
         prompt: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
         waited_ms: (now - job.arrived).as_millis() as u32,
         left_ms: (job.due - now).as_millis() as u32,
--- a/crates/kumquatdrum_placement/src/queue.rs
+++ b/crates/kumquatdrum_placement/src/queue.rs
@@ -61,7 +61,7 @@
             .retain(|_, entry| now - entry.refreshed_at <= ENTRY_EXPIRY);
     }
 
-    /// Returns whether no other prompt is before this one.
+    /// Returns whether no other prompt that can be dispatched precedes this one.
     pub(crate) fn is_next(&self, now: Moment, waiter: Waiter) -> bool {
         let remaining = Duration::from_millis(waiter.left_ms.into());
         let elapsed = Duration::from_millis(waiter.waited_ms.into());
@@ -80,7 +80,7 @@
 /// of its time that it has waited and reduced if it is overdue.
 fn score(waiter: &Waiter, elapsed: Duration, remaining: Duration) -> f64 {
     let weight = weight(waiter.prompt.into());
-    let rate = weight / f64::from(waiter.read_ms).max(1.0);
+    let rate = weight / f64::from(waiter.prefill_ms).max(1.0);
     let time = (elapsed + remaining).as_secs_f64().max(f64::MIN_POSITIVE);
     let aged = rate * (1.0 + elapsed.as_secs_f64() / time);
     if remaining.is_zero() {
--- a/crates/kumquatdrum_placement/src/short_prompt.rs
+++ b/crates/kumquatdrum_placement/src/short_prompt.rs
@@ -1,4 +1,4 @@
-//! Places prompts whose prefill fits between two events of the engine's answers.
+//! Places prompts whose prefill fits into the allowed pauses of the answers in progress.
 //!
 //! Callers of such prompts expect a first token within a fraction of a second and short pauses. The
 //! prompts are packed on engines that already decode answers with equally short pauses, which
@@ -17,16 +17,16 @@
 /// The share of the longest pause that a short prompt's prefill may take; the rest is left for a
 /// decode pass.
 const PREFILL_PAUSE_SHARE: f64 = 0.8;
-/// The share of the time left until the first token is due that queueing may take on a packed
-/// engine. The rest is left for the prefill and for concurrent dispatches of other hosts.
-const PACKED_DELAY_SHARE: f64 = 0.36;
+/// The share of the time left until the first token is due that queueing may take on an engine that
+/// can start soon. The rest is left for the prefill and for concurrent dispatches of other hosts.
+const START_SOON_SHARE: f64 = 0.36;
 /// The share of the time left until the first token is due that queueing and prefill may take
 /// before an engine that isn't packed yet is preferred. The rest is left for concurrent dispatches
 /// of other hosts.
 const ON_TIME_SHARE: f64 = 0.7;
-/// The choice is random among as many engines as prompts are dispatched in this window. Hosts learn
-/// of each other's dispatches late, and would otherwise all choose the same engine and exceed its
-/// slots.
+/// The choice is pseudo-random among as many engines as prompts are dispatched in this window. Hosts
+/// learn of each other's dispatches late, and would otherwise all choose the same engine and exceed
+/// its slots.
 const SPREAD_WINDOW: Duration = Duration::from_millis(80);
 /// Passes before the first token besides the prefill: half of the current one, and the one that
 /// runs the prefill.
@@ -64,9 +64,9 @@
     Late,
 }
 
-/// The sort key of a candidate, best first.
+/// The rank of a candidate; the lowest is the best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Key {
+struct Rank {
     is_late: bool,
     /// The engine is in another data centre, so that a network partition breaks the stream. Ignored
     /// if the first token would be late.
@@ -78,8 +78,8 @@
     first_token_us: u64,
 }
 
-/// Chooses the engine for a short prompt: the best one, or one of the next if many hosts compete
-/// for it.
+/// Chooses the engine for a short prompt: the best one, or one of the next best if other hosts
+/// dispatch at the same time.
 pub(crate) fn place<'a>(
     cost: &Cost,
     now: Moment,
@@ -93,17 +93,15 @@
         .iter()
         .filter(|candidate| candidate.free_tokens >= job.memory_tokens());
     let fits = fits.filter(|candidate| candidate.decodes() < slots);
-    let ranked = fits.map(|candidate| {
-        (
-            build_key(cost, job, candidate, left_ms, conditions),
-            candidate,
-        )
-    });
-    let mut ranked: Vec<(Key, &Candidate<'_>)> = ranked.collect();
-    ranked.sort_by_key(|(key, candidate)| (*key, candidate.key));
+    let ranked = fits.map(|candidate| (rank(cost, job, candidate, left_ms, conditions), candidate));
+    let mut ranked: Vec<(Rank, &Candidate<'_>)> = ranked.collect();
+    ranked.sort_by_key(|(rank, candidate)| (*rank, candidate.key));
     let (best, _) = ranked.first()?;
-    let is_equivalent = |key: &Key| !key.is_late && key.is_remote == best.is_remote;
-    let equivalent = ranked.iter().filter(|(key, _)| is_equivalent(key)).count();
+    let is_equivalent = |rank: &Rank| !rank.is_late && rank.is_remote == best.is_remote;
+    let equivalent = ranked
+        .iter()
+        .filter(|(rank, _)| is_equivalent(rank))
+        .count();
     let choices = (1
         + (competing_rate(candidates, conditions) * SPREAD_WINDOW.as_secs_f64()) as usize)
         .min(equivalent.max(1));
@@ -111,20 +109,19 @@
     ranked.get(index as usize).map(|(_, candidate)| *candidate)
 }
 
-fn build_key(
+fn rank(
     cost: &Cost,
     job: &Job,
     candidate: &Candidate<'_>,
     left_ms: f64,
     conditions: &Conditions,
-) -> Key {
+) -> Rank {
     let prefill_ms = cost.prefill_ms(job.prompt_tokens).min(MIN_PART_MS);
     let pass_ms = cost.pass_ms(candidate.decodes() + 1, candidate.used_tokens());
     let delay_ms = candidate.backlog_ms + PASSES_TO_FIRST_TOKEN * pass_ms;
     let first_token_us = ((delay_ms + prefill_ms) * 1e3) as u64;
     let packed_decodes = candidate.decodes_within(job.max_pause.as_secs_f64() * 1e3);
-    let can_start_soon =
-        delay_ms <= left_ms * PACKED_DELAY_SHARE && candidate.long_prefill_ms <= 0.0;
+    let can_start_soon = delay_ms <= left_ms * START_SOON_SHARE && candidate.long_prefill_ms <= 0.0;
     let is_on_time = delay_ms + prefill_ms <= left_ms * ON_TIME_SHARE;
     let is_remote = conditions
         .local_data_centre
@@ -136,7 +133,7 @@
         _ => (Preference::Late, 0),
     };
     let is_late = preference == Preference::Late;
-    Key {
+    Rank {
         is_late,
         is_remote: is_remote && !is_late,
         preference,
--- a/crates/kumquatdrum_placement/src/tombstones.rs
+++ b/crates/kumquatdrum_placement/src/tombstones.rs
@@ -30,7 +30,7 @@
         self.recent.contains(&job) || self.older.contains(&job)
     }
 
-    /// Drops the older generation when it has reached the retention time.
+    /// Drops the older generation and starts a new one, once per retention time.
     pub(crate) fn expire(&mut self, now: Moment) {
         if now - self.rotated_at >= MIN_RETENTION {
             self.older = std::mem::take(&mut self.recent);
--- a/crates/kumquatdrum_placement/tests/model/engine.rs
+++ b/crates/kumquatdrum_placement/tests/model/engine.rs
@@ -88,7 +88,7 @@
         self.fill_slots();
     }
 
-    /// Starts decoding with the next pass, when all parts of the prefill are complete.
+    /// Starts decoding with the next pass. All parts of the prefill must be complete.
     pub fn decode(&mut self, now: f64, job: JobId, context: u64, events: u32) {
         self.free_at = self.free_at.max(now);
         self.answers.push(Answer {
--- a/crates/kumquatdrum_placement/tests/model/simulation.rs
+++ b/crates/kumquatdrum_placement/tests/model/simulation.rs
@@ -60,7 +60,7 @@
 struct Execution {
     prompt: Prompt,
     plan: Plan,
-    parts: usize,
+    parts_left: usize,
     first_token_ms: Option<f64>,
     last_event_ms: f64,
     is_paused: bool,
@@ -120,7 +120,7 @@
     }
 }
 
-/// An update from a host to the other hosts.
+/// An update from a host to the other hosts, or from an engine to the job's own host.
 #[derive(Debug, Clone)]
 enum Notice {
     Sent(Plan),
@@ -134,7 +134,8 @@
 /// The planners of all hosts and the updates in transit.
 struct Planners {
     hosts: Vec<Planner>,
-    /// Ordered by arrival in microseconds, then by order of sending.
+    /// Ordered by arrival in microseconds, then by order of sending. Each has the host that does not
+    /// receive it, or none if only the job's own host does.
     notices: BTreeMap<(u64, u64), (Option<usize>, Notice)>,
     sequence: u64,
     propagation_ms: f64,
@@ -363,7 +364,7 @@
 
 fn start_job(prompt: &Prompt, plan: Plan) -> Execution {
     Execution {
-        parts: plan.helpers.len() + 1,
+        parts_left: plan.helpers.len() + 1,
         prompt: prompt.clone(),
         plan,
         first_token_ms: None,
@@ -409,8 +410,8 @@
     };
     match event {
         Event::PrefillDone(_) => {
-            job.parts -= 1;
-            if job.parts == 0 {
+            job.parts_left -= 1;
+            if job.parts_left == 0 {
                 let first = &mut engines[&job.plan.first];
                 let mut remaining_events = job.prompt.events;
                 // An engine that completes the last part starts decoding in the same pass.
--- a/crates/kumquatdrum_placement/tests/planner.rs
+++ b/crates/kumquatdrum_placement/tests/planner.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_disruptive_prompt_waits_and_is_rejected_when_overdue() {
+fn a_disruptive_prompt_waits_and_is_rejected_once_it_would_be_late() {
     let mut planner = planner(4);
     let at = |ms| START + Duration::from_millis(ms);
     // Eight answers on each engine, which have been running for a while.
--- a/crates/kumquatdrum_placement/tests/policy.rs
+++ b/crates/kumquatdrum_placement/tests/policy.rs
@@ -40,9 +40,9 @@
 }
 
 #[track_caller]
-fn assert_on_time(outcome: &Outcome, on_time_share: f64) {
+fn assert_on_time(outcome: &Outcome, min_share: f64) {
     assert!(
-        outcome.on_time_share() >= on_time_share,
+        outcome.on_time_share() >= min_share,
         "{:.3} of {} on time, {} refused, first token after {:.0} ms (median) and {:.0} ms (95th percentile)",
         outcome.on_time_share(),
         outcome.requests,
@@ -85,7 +85,7 @@
 
 /// Guards against hosts that all choose the same engine for short prompts.
 #[test]
-fn concurrent_hosts_do_not_overload_one_engine() {
+fn prompts_placed_by_many_hosts_are_answered_in_time() {
     let scenario = Scenario {
         hosts: 28,
         propagation_ms: 8.0,
@@ -99,7 +99,7 @@
 
 /// Guards against long prefills that delay more answers than the prompt is worth.
 #[test]
-fn a_prompt_that_disrupts_too_many_answers_is_rejected() {
+fn prompts_that_occupy_all_engines_starve_no_prompt_class() {
     let outcomes = run_scenario(
         &LONGER_PROMPT_CLASSES,
         3,
