--- a/crates/kumquatdrum_routing/benches/policies/engine.rs
+++ b/crates/kumquatdrum_routing/benches/policies/engine.rs
@@ -46,6 +46,7 @@
     }
 }
 
+/// An event of a step; requests are given as arrival, daemon and attempt.
 pub enum Event {
     FirstToken(usize, usize, u64),
     Finished(usize, usize, u64),
@@ -125,13 +126,13 @@
         let mut events = Vec::new();
         let planned_tokens = std::mem::take(&mut self.planned_tokens);
         for (task, tokens) in self.running.iter_mut().zip(planned_tokens) {
-            let had_prefill_left = task.prefill_left;
+            let prefill_before = task.prefill_left;
             task.prefill_left -= tokens;
             if task.prefill_left > 0 {
                 continue;
             }
             task.output_tokens = task.output_tokens.saturating_sub(1);
-            if had_prefill_left > 0 {
+            if prefill_before > 0 {
                 events.push(Event::FirstToken(task.arrival, task.daemon, task.attempt));
                 store(&mut self.cached, &task.prefix, &mut events);
             }
--- a/crates/kumquatdrum_routing/src/endpoint.rs
+++ b/crates/kumquatdrum_routing/src/endpoint.rs
@@ -13,7 +13,8 @@
 const MIN_EJECTION: Duration = Duration::from_millis(250);
 /// The longest ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(8);
-/// The least share of reported prompts that counts as backlog until their first token.
+/// The minimum share of this owner's reported prompt tokens that counts as backlog until the first
+/// token.
 const PENDING_SHARE: f64 = 0.1;
 
 /// The load that an attempt adds to an endpoint.
--- a/crates/kumquatdrum_routing/src/gang.rs
+++ b/crates/kumquatdrum_routing/src/gang.rs
@@ -74,6 +74,7 @@
     Gone,
 }
 
+/// The reservation on one engine and the time of the next message about it.
 #[derive(Debug)]
 struct Member {
     reservation: Reservation,
@@ -81,6 +82,7 @@
     next_message: Moment,
 }
 
+/// The state of all reservations of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Reserving,
@@ -88,6 +90,7 @@
     Ended,
 }
 
+/// The reservations of one attempt.
 #[derive(Debug)]
 struct Gang {
     members: Vec<Member>,
--- a/crates/kumquatdrum_routing/src/limits/coordinator.rs
+++ b/crates/kumquatdrum_routing/src/limits/coordinator.rs
@@ -32,7 +32,7 @@
 /// let mut limiter = Limiter::new("a".into(), 1, Moment::ZERO);
 /// limiter.set_limit(Moment::ZERO, "salon".into(), limit);
 ///
-/// // The first answer carries the timestamp that binds the host, the second one grants the pool.
+/// // The first grant is empty and carries the timestamp that binds the host.
 /// let now = Moment::ZERO + BINDING_DURATION;
 /// for granted in [0.0, 70.0] {
 ///     let (_, demand) = limiter.build_demands(now, &["a".into()]).remove(0);
--- a/crates/kumquatdrum_routing/src/limits/limiter.rs
+++ b/crates/kumquatdrum_routing/src/limits/limiter.rs
@@ -10,7 +10,7 @@
 
 /// The most demands that wait for a grant.
 const MAX_PENDING_DEMANDS: usize = 8;
-/// The advised retry time when the concurrency is used up.
+/// The advised retry time when the concurrency limit is reached.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// The interval over which the offered load is counted.
 const COUNT_INTERVAL: Duration = Duration::from_secs(1);
@@ -32,7 +32,7 @@
     until: Moment,
 }
 
-/// The offered load per second: requests, tokens, and refusals by concurrency.
+/// Counts the offered load per second: requests, tokens, and refusals for lack of concurrency.
 #[derive(Debug, Default)]
 struct Counter {
     since: Moment,
@@ -50,7 +50,9 @@
     granted_until: Moment,
     offered: Counter,
     binding: Option<Binding>,
+    /// The last timestamp received, and its coordinator.
     timestamp: Option<(HostId, Timestamp)>,
+    /// The round and time of each demand without a grant.
     pending_demands: VecDeque<(u64, Moment)>,
 }
 
--- a/crates/kumquatdrum_routing/src/policy.rs
+++ b/crates/kumquatdrum_routing/src/policy.rs
@@ -67,7 +67,7 @@
     pool.is_candidate(index) && !job.request.excluded.contains(&pool.endpoint(index).id)
 }
 
-/// Chooses the fewest of the engines, in order, that can hold the request together.
+/// Chooses the first engines of a ranking that can hold the request together, as few as possible.
 pub(crate) fn choose_spanning(
     job: &Job,
     pool: &Pool,
--- a/crates/kumquatdrum_routing/src/policy/latency.rs
+++ b/crates/kumquatdrum_routing/src/policy/latency.rs
@@ -33,9 +33,9 @@
 /// The cached share of a long prompt from which its holders are candidates, even if protected.
 const MIN_CACHED_SHARE: f64 = 0.5;
 
-/// The traffic at the time of a placement.
+/// The properties of a placement that are common to all candidates.
 #[derive(Debug, Clone, Copy)]
-struct Traffic {
+struct Context {
     is_saturated: bool,
     is_preferred: bool,
     /// This owner's lowest rank among the candidates.
@@ -85,7 +85,8 @@
     }
 
     /// Returns whether short requests need more than their protected share. Strict priorities would
-    /// then starve other sizes, so all get equal priority and short requests avoid their engines.
+    /// then starve other sizes, so requests that are not preferred get equal priority, and short ones
+    /// among them count the whole backlog of an engine as wait.
     fn is_saturated(&self, now: Moment, pool: &Pool) -> bool {
         let count = pool.candidates().len() as f64;
         self.short_load(now, pool) > count * MAX_PROTECTED_SHARE
@@ -150,7 +151,7 @@
         job: &Job,
         pool: &Pool,
         index: EndpointIndex,
-        traffic: Traffic,
+        context: Context,
     ) -> Candidate {
         let endpoint = pool.endpoint(index);
         let rate = pool.rates.backlog_rate() * endpoint.speed_factor;
@@ -160,14 +161,14 @@
         let uncached = (job.prefill_tokens() as f64 - cached).max(1.0);
         // A cached prompt outweighs the precedence of other owners.
         let uncached_share = uncached / job.prefill_tokens().max(1) as f64;
-        let rank = f64::from(endpoint.rank - traffic.min_rank)
+        let rank = f64::from(endpoint.rank - context.min_rank)
             * pool.settings.rank_step.as_secs_f64()
             * uncached_share;
         let jitter = f64::from(self.random.next_u32()) / f64::from(u32::MAX) * MAX_JITTER_SECONDS;
         let tie_break = f64::from(endpoint.rank) * RANK_COST_SECONDS + jitter;
         let wait_seconds = match job.size {
-            Size::Short if traffic.is_saturated && !traffic.is_preferred => backlog + tie_break,
-            Size::Short if traffic.is_preferred => {
+            Size::Short if context.is_saturated && !context.is_preferred => backlog + tie_break,
+            Size::Short if context.is_preferred => {
                 short_wait(
                     backlog,
                     endpoint.pending_first_priority_tokens() as f64 / rate,
@@ -216,14 +217,14 @@
         }
         // Precedence matters only relative to the best candidate.
         let ranks = found.iter().map(|&index| pool.endpoint(index).rank);
-        let traffic = Traffic {
+        let context = Context {
             is_saturated: self.is_saturated(now, pool),
             is_preferred: self.is_preferred(now, job, pool),
             min_rank: ranks.min().unwrap_or(0),
         };
         let mut evaluated: Vec<Candidate> = found
             .into_iter()
-            .map(|index| self.evaluate(now, job, pool, index, traffic))
+            .map(|index| self.evaluate(now, job, pool, index, context))
             .collect();
         evaluated.sort_by(|a, b| a.first_token_seconds.total_cmp(&b.first_token_seconds));
         if job.size == Size::Spanning {
--- a/crates/kumquatdrum_routing/src/queue.rs
+++ b/crates/kumquatdrum_routing/src/queue.rs
@@ -17,7 +17,7 @@
     BASE_WORK + job.prefill_tokens() + job.request.expected_output_tokens
 }
 
-/// The position of a request within its workspace.
+/// The position of a request within its workspace: its deadline and a sequence number.
 type Position = (Moment, u64);
 
 #[derive(Debug)]
@@ -38,11 +38,13 @@
     weight: u64,
 }
 
+/// The requests of one priority level.
 #[derive(Debug, Default)]
 struct Level {
     virtual_time: u64,
     flows: IndexMap<WorkspaceName, Flow>,
     by_start_tag: BTreeSet<(u64, WorkspaceName)>,
+    /// Arrival times, each with the sequence number of its request.
     arrivals: BTreeSet<(Moment, u64)>,
     aging: Duration,
     work_tokens: u64,
@@ -60,7 +62,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     levels: BTreeMap<u8, Level>,
-    counter: u64,
+    last_sequence: u64,
     len: usize,
 }
 
@@ -79,18 +81,18 @@
         let weight = u64::from(weight.max(1));
         let flow = same_level.flows.get(workspace);
         let (flow_work, flow_weight) = flow.map_or((0, 0), |flow| (flow.work_tokens, flow.weight));
-        let competitors = same_level.weight - flow_weight;
-        // While this workspace's work is served, competitors are served in proportion to their
+        let competing_weight = same_level.weight - flow_weight;
+        // While this workspace's work is served, the others are served in proportion to their
         // weight.
-        let competing_work = (flow_work + BASE_WORK) * competitors / weight;
+        let competing_work = (flow_work + BASE_WORK) * competing_weight / weight;
         above + flow_work + competing_work.min(same_level.work_tokens - flow_work)
     }
 
     pub(crate) fn push(&mut self, job: &Job) -> Ticket {
-        self.counter += 1;
+        self.last_sequence += 1;
         self.len += 1;
         let request = &job.request;
-        let position = (request.deadline, self.counter);
+        let position = (request.deadline, self.last_sequence);
         let entry = Entry {
             request: request.id.clone(),
             arrived: job.arrived,
@@ -112,7 +114,8 @@
             .levels
             .iter()
             .filter(|(_, level)| level.work_tokens > 0);
-        // Each level counts as one aging interval of waiting time; the earliest request is first.
+        // Each level counts as one aging interval of waiting time; the level with the earliest
+        // arrival, adjusted in this way, comes first.
         let first = busy.min_by_key(|(number, level)| {
             let arrived = level
                 .arrivals
--- a/crates/kumquatdrum_routing/src/request.rs
+++ b/crates/kumquatdrum_routing/src/request.rs
@@ -42,7 +42,7 @@
     pub id: RequestId,
     /// The workspace of the caller.
     pub workspace: WorkspaceName,
-    /// The weight of the workspace against others; at least 1.
+    /// The weight of the workspace in fair queueing; 0 counts as 1.
     pub weight: u32,
     /// The priority of the request.
     pub priority: Priority,
--- a/crates/kumquatdrum_routing/src/router.rs
+++ b/crates/kumquatdrum_routing/src/router.rs
@@ -39,6 +39,7 @@
 struct Attempt {
     sent: Moment,
     first_token: Option<Moment>,
+    /// Prompt tokens on each endpoint.
     tokens: u64,
     size: Size,
     /// Endpoints, each with its incarnation and the backlog before the attempt, in tokens.
--- a/crates/kumquatdrum_routing/tests/endpoints.rs
+++ b/crates/kumquatdrum_routing/tests/endpoints.rs
@@ -157,7 +157,10 @@
         distinct += chosen.len();
     }
     // Nine uniform choices among 24 engines give 7.6 different ones on average.
-    assert!(distinct > 50 * 77 / 10, "{distinct} in 50 rounds of nine");
+    assert!(
+        distinct > 50 * 77 / 10,
+        "{distinct} distinct choices in 50 rounds of nine"
+    );
 }
 
 #[test]
--- a/crates/kumquatdrum_routing/tests/gang.rs
+++ b/crates/kumquatdrum_routing/tests/gang.rs
@@ -65,6 +65,7 @@
     now: Moment,
     owners: Vec<Reservations>,
     engines: BTreeMap<EndpointId, Memory>,
+    /// The arrival, the owner and the message.
     in_transit: Vec<(Moment, usize, Message)>,
     ready: Vec<(usize, AttemptId)>,
     failed: Vec<AttemptId>,
@@ -118,14 +119,18 @@
             match message {
                 Message::ToEngine(to, output) => {
                     let memory = self.engines.get_mut(&to).expect("a known engine");
-                    let expires = self.can_expire;
+                    let can_expire = self.can_expire;
                     let (attempt, reply) = match output {
                         Output::Reserve {
                             attempt,
                             reservation,
                             time_to_live,
                         } => {
-                            let time_to_live = if expires { time_to_live } else { NEVER_EXPIRES };
+                            let time_to_live = if can_expire {
+                                time_to_live
+                            } else {
+                                NEVER_EXPIRES
+                            };
                             let reply =
                                 memory.reserve(now, &attempt, reservation.tokens, time_to_live);
                             (attempt, reply)
@@ -247,7 +252,7 @@
 #[test]
 fn every_reservation_is_released_despite_message_loss_and_crashes() {
     for case in 0..CASES {
-        let property = |u: &mut Unstructured<'_>| property(u, true);
+        let property = |u: &mut Unstructured<'_>| check_releases(u, true);
         arbtest(property).seed(ENTROPY_BYTES | case << 32).run();
     }
 }
@@ -255,20 +260,20 @@
 #[test]
 fn every_reservation_is_released_without_expiry_if_no_message_is_lost() {
     for case in 0..CASES {
-        let property = |u: &mut Unstructured<'_>| property(u, false);
+        let property = |u: &mut Unstructured<'_>| check_releases(u, false);
         arbtest(property).seed(ENTROPY_BYTES | case << 32).run();
     }
 }
 
 /// Runs owners and engines with delayed, duplicated and reordered messages, crashes of both and, if
 /// `is_lossy`, message loss. Engines expire reservations only if messages can be lost.
-fn property(u: &mut Unstructured<'_>, is_lossy: bool) -> Result<()> {
+fn check_releases(u: &mut Unstructured<'_>, is_lossy: bool) -> Result<()> {
     let (owner_count, engines) = (3, 4);
     let mut cluster = Cluster::new(owner_count, engines);
     cluster.can_expire = is_lossy;
     let mut started = Vec::new();
     for step in 0..400 {
-        // A tenth of the messages is lost and a tenth is duplicated, in any order.
+        // A tenth of the messages is lost if `is_lossy`, and a tenth is duplicated.
         let mut delays = Vec::new();
         for _ in 0..8 {
             delays.push(match u.int_in_range(0..=9)? {
@@ -318,7 +323,7 @@
                 });
                 let successor = (owner + 1) % owner_count;
                 // Includes attempts of earlier incarnations, which engines may have granted since.
-                let orphans = started.iter().filter(|(of, _)| *of == owner);
+                let orphans = started.iter().filter(|(starter, _)| *starter == owner);
                 for (_, attempt) in orphans.cloned().collect::<Vec<_>>() {
                     for index in 0..engines {
                         let to = engine(index);
@@ -332,7 +337,7 @@
         }
         cluster.deliver(&mut delay);
     }
-    // An attempt is ready only with all engines and fails at most once.
+    // All attempts end, and the remaining messages are delivered.
     for (owner, attempt) in started {
         let outputs = cluster.owners[owner].end(cluster.now, &attempt);
         cluster.send(owner, outputs, || vec![10]);
@@ -353,6 +358,7 @@
             "{memory:?} at {now:?}"
         );
     }
+    // An attempt fails at most once.
     let mut failed = cluster.failed.clone();
     failed.sort();
     failed.dedup();
--- a/crates/kumquatdrum_routing/tests/limits.rs
+++ b/crates/kumquatdrum_routing/tests/limits.rs
@@ -42,7 +42,9 @@
 }
 
 enum Message {
+    /// The sending host, the receiving host and the demand.
     Demand(usize, usize, Demand),
+    /// The receiving host and the grant.
     Grant(usize, Grant),
 }
 
@@ -137,19 +139,19 @@
         for _ in host.running.extract_if(.., |end| *end <= now) {
             host.limiter.finish(local_time, &workspace(), 0, 0);
         }
-        // Hosts send their demands at different times.
-        let count = local_time.micros / STEP.as_micros() as u64;
+        let step = local_time.micros / STEP.as_micros() as u64;
         let steps_per_demand = (DEMAND_INTERVAL.as_micros() / STEP.as_micros()) as u64;
         let offered = self.offered[index] * STEP.as_secs_f64();
-        let previous_total = (count - 1) as f64 * offered;
-        let requests = (count as f64 * offered) as u64 - previous_total as u64;
+        let offered_before = (step - 1) as f64 * offered;
+        let requests = (step as f64 * offered) as u64 - offered_before as u64;
         for _ in 0..requests {
             if host.limiter.admit(local_time, &workspace(), 0).is_ok() {
                 host.running.push(now + self.request_duration);
                 *self.admitted.entry(now.micros).or_default() += 1;
             }
         }
-        if (count + index as u64).is_multiple_of(steps_per_demand) {
+        // Hosts send their demands at different times.
+        if (step + index as u64).is_multiple_of(steps_per_demand) {
             self.send_demands(index, local_time);
         }
     }
@@ -219,7 +221,7 @@
                 let max_count = LIMIT * (window + SLACK_SECONDS);
                 assert!(
                     sum as f64 <= max_count,
-                    "{sum} in {window} s up to {at}, {max_count} allowed"
+                    "{sum} requests in {window} s until {at} us, {max_count} allowed"
                 );
             }
         }
@@ -234,7 +236,7 @@
     cluster.run(20);
     cluster.assert_within_limit();
     let rate = cluster.rate_since(since);
-    assert!(rate > LIMIT * 0.9, "{rate} of {LIMIT}");
+    assert!(rate > LIMIT * 0.9, "{rate} of {LIMIT} requests per second");
 }
 
 #[test]
@@ -248,11 +250,11 @@
     cluster.assert_within_limit();
     let rate = cluster.rate_since(since);
     // The floors of the other eight hosts stay unused.
-    assert!(rate > LIMIT * 0.65, "{rate} of {LIMIT}");
+    assert!(rate > LIMIT * 0.65, "{rate} of {LIMIT} requests per second");
 }
 
 #[test]
-fn a_partition_keeps_the_sum_within_the_limit_and_each_side_admits_requests() {
+fn a_partition_keeps_the_sum_within_the_limit_while_requests_are_admitted() {
     for partition in [
         [0, 0, 0, 1, 1, 1, 2, 2, 2],
         [0, 0, 0, 0, 0, 0, 1, 1, 1],
@@ -298,7 +300,7 @@
 }
 
 #[test]
-fn flapping_partitions_never_let_two_coordinators_grant() {
+fn flapping_partitions_keep_the_sum_within_the_limit() {
     let mut cluster = Cluster::new(&[400.0; HOSTS]);
     cluster.run(10);
     for round in 0..40 {
@@ -374,5 +376,8 @@
     cluster.run(10);
     let floor = limit().floor(HOSTS).requests;
     let rate = cluster.rate_since(since);
-    assert!((rate - floor).abs() < floor * 0.1, "{rate} against {floor}");
+    assert!(
+        (rate - floor).abs() < floor * 0.1,
+        "{rate} requests per second with a floor of {floor}"
+    );
 }
--- a/crates/kumquatdrum_routing/tests/queue.rs
+++ b/crates/kumquatdrum_routing/tests/queue.rs
@@ -228,19 +228,20 @@
     );
 }
 
-/// Returns the 95th percentile of a light workspace's time to first token beside a busy one.
-fn light_workspace_p95_seconds(busy_requests: u32, limit: f64) -> f64 {
+/// Returns the 95th percentile of a light workspace's time to first token while a busy one with a
+/// token limit offers this many requests per step.
+fn light_workspace_p95_seconds(busy_requests_per_step: u32, busy_tokens_per_second: f64) -> f64 {
     let mut simulation = Simulation::new(8);
     let mut limiter = Limiter::new("a".into(), 1, Moment::ZERO);
-    let limit_tokens = Limit {
-        tokens_per_second: Some(limit / kumquatdrum_routing::limits::FLOOR_SHARE),
+    let limit = Limit {
+        tokens_per_second: Some(busy_tokens_per_second / kumquatdrum_routing::limits::FLOOR_SHARE),
         ..Limit::default()
     };
-    limiter.set_limit(Moment::ZERO, "busy".into(), limit_tokens);
+    limiter.set_limit(Moment::ZERO, "busy".into(), limit);
     let mut submitted_at = std::collections::HashMap::new();
     for tick in 0..1_500 {
         let now = seconds(f64::from(tick) * STEP_SECONDS);
-        for index in 0..busy_requests {
+        for index in 0..busy_requests_per_step {
             let mut request = build_request(
                 format!("b{tick}-{index}"),
                 1_500,
@@ -283,7 +284,10 @@
     // The limit is 40% of the engines' capacity; the flood offers more than twice all of it.
     let baseline = light_workspace_p95_seconds(1, 60_000.0);
     let flooded = light_workspace_p95_seconds(10, 60_000.0);
-    assert!(flooded <= baseline * 1.2, "{flooded} against {baseline}");
+    assert!(
+        flooded <= baseline * 1.2,
+        "{flooded} s with a flood, {baseline} s without"
+    );
 }
 
 #[test]
@@ -291,7 +295,10 @@
     let baseline = light_workspace_p95_seconds(1, 60_000.0);
     let flooded = light_workspace_p95_seconds(10, f64::INFINITY);
     // Without a limit, requests wait for the engines' backlog, but not for the whole queue.
-    assert!(flooded <= baseline * 3.0, "{flooded} against {baseline}");
+    assert!(
+        flooded <= baseline * 3.0,
+        "{flooded} s with a flood, {baseline} s without"
+    );
 }
 
 #[test]
@@ -386,7 +393,10 @@
         .pool()
         .rates
         .prefill(kumquatdrum_routing::Size::Short);
-    assert!(after < before * 1.1, "{after} against {before}");
+    assert!(
+        after < before * 1.1,
+        "{after} tokens per second, {before} before"
+    );
 }
 
 #[test]
--- a/crates/kumquatdrum_routing/tests/retry.rs
+++ b/crates/kumquatdrum_routing/tests/retry.rs
@@ -16,16 +16,19 @@
         }
         assert!(
             (attempts - 1) * 10 < requests * 12,
-            "{attempts} of {requests}"
+            "{attempts} attempts for {requests} requests"
         );
         let is_settled = requests > 20;
         assert!(
             !is_settled || attempts * 10 < requests * 12,
-            "{attempts} of {requests}"
+            "{attempts} attempts for {requests} requests"
         );
     }
     // Most of the budget can be used.
-    assert!(attempts * 100 > requests * 114, "{attempts} of {requests}");
+    assert!(
+        attempts * 100 > requests * 114,
+        "{attempts} attempts for {requests} requests"
+    );
 }
 
 #[test]
