--- a/crates/kumquatdrum_gateway/src/active_setup.rs
+++ b/crates/kumquatdrum_gateway/src/active_setup.rs
@@ -63,8 +63,8 @@
     }
 
     /// Offers a committed record, which [`Self::activate_next`] activates if its revision is the
-    /// highest. `is_leader` states whether it comes from the log of this host's replica as the
-    /// leader.
+    /// highest. `is_leader` states whether this host's replica applied it as the leader; it is
+    /// false for records from other hosts.
     pub fn offer(&self, record: &Record, from: &str, is_leader: bool) {
         let mut offer = self.offer.lock();
         let offered = offer.as_ref().map_or(0, |offer| offer.record.revision);
@@ -79,8 +79,8 @@
         self.wake.notify_one();
     }
 
-    /// Waits for a record of a higher revision and activates it. Also returns whether it was
-    /// offered by the leader.
+    /// Waits for a record of a higher revision and activates it. Also returns the record's
+    /// `is_leader` as passed to [`Self::offer`].
     pub async fn activate_next(self: &Arc<Self>) -> (Arc<Revision>, bool) {
         loop {
             let offer = self.offer.lock().take();
--- a/crates/kumquatdrum_gateway/src/broadcast.rs
+++ b/crates/kumquatdrum_gateway/src/broadcast.rs
@@ -144,7 +144,7 @@
     pub async fn listen(&self, handle: impl Fn(Vec<Event>)) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut batch = Batch::new(MAX_BATCH_BYTES);
-        let mut logged = Moment::ZERO;
+        let mut last_logged = Moment::ZERO;
         loop {
             let due = batch.due().map(|due| due - self.clock.now());
             let received = tokio::select! {
@@ -159,7 +159,7 @@
                         .inc();
                     match decode(&buffer[..length]) {
                         Ok(datagram) => handle(self.accept(datagram, length, &mut batch)),
-                        Err(reason) => self.log_unreadable(from, &reason, &mut logged),
+                        Err(reason) => self.log_unreadable(from, &reason, &mut last_logged),
                     }
                 }
                 // An ICMP error for an earlier datagram; the socket still works.
@@ -185,12 +185,12 @@
         datagram.events
     }
 
-    fn log_unreadable(&self, from: SocketAddr, reason: &Error, logged: &mut Moment) {
+    fn log_unreadable(&self, from: SocketAddr, reason: &Error, last_logged: &mut Moment) {
         let counter = self.metrics.datagrams.with_label_values(&["unreadable"]);
         counter.inc();
         let now = self.clock.now();
-        if now - *logged >= UNREADABLE_LOG_INTERVAL {
-            *logged = now;
+        if now - *last_logged >= UNREADABLE_LOG_INTERVAL {
+            *last_logged = now;
             warn!(self.logger, "datagram_unreadable"; "event" => "datagram_unreadable",
                 "from" => %from, "reason" => %reason, "so_far" => counter.get());
         }
--- a/crates/kumquatdrum_gateway/src/call/run.rs
+++ b/crates/kumquatdrum_gateway/src/call/run.rs
@@ -274,7 +274,7 @@
             _ => "longest",
         };
         let seconds = (at - self.arrived).as_secs_f64();
-        let first = &self.gateway.metrics.first;
-        first.with_label_values(&[prompt]).observe(seconds);
+        let first_event = &self.gateway.metrics.first_event;
+        first_event.with_label_values(&[prompt]).observe(seconds);
     }
 }
--- a/crates/kumquatdrum_gateway/src/call/stream.rs
+++ b/crates/kumquatdrum_gateway/src/call/stream.rs
@@ -33,7 +33,7 @@
 /// The minimum silence after which a stream is resumed elsewhere.
 const MIN_SILENCE: Duration = Duration::from_secs(2);
 
-/// A stream whose first event has arrived.
+/// A stream whose first event has arrived, or that has ended without one.
 pub(super) struct Started {
     forwarder: Forwarder,
     headers: HeaderMap,
@@ -134,6 +134,7 @@
 }
 
 impl Forwarder {
+    /// Records the failure of the endpoint, and returns the attempts to the caller.
     fn fail(mut self, attempts: &mut Attempts, reason: String) -> (Pick, String) {
         *attempts = std::mem::take(&mut self.attempts);
         let pick = self.pick.take().expect("the picked endpoint");
--- a/crates/kumquatdrum_gateway/src/control.rs
+++ b/crates/kumquatdrum_gateway/src/control.rs
@@ -61,11 +61,11 @@
     work: impl FnOnce() -> T + Send + 'static,
 ) -> Option<T> {
     let joined = spawn_blocking(work).await;
-    let failed = |reason: &JoinError| {
+    let log_error = |reason: &JoinError| {
         error!(gateway.logger, "setup_not_worked_on"; "event" => "setup_not_worked_on",
             "reason" => %reason);
     };
-    joined.inspect_err(failed).ok()
+    joined.inspect_err(log_error).ok()
 }
 
 async fn apply(gateway: &Arc<Gateway>, text: Bytes) -> Response<Body> {
--- a/crates/kumquatdrum_gateway/src/distribution.rs
+++ b/crates/kumquatdrum_gateway/src/distribution.rs
@@ -132,11 +132,11 @@
             _ => {
                 let request = Request::Record(current.record.clone());
                 let body = postcard::to_stdvec(&request).map(Bytes::from);
-                let unencoded = |reason| {
+                let log_error = |reason| {
                     error!(self.logger, "record_not_encoded"; "event" => "record_not_encoded",
                         "reason" => %reason);
                 };
-                body.map_err(unencoded).ok()?
+                body.map_err(log_error).ok()?
             }
         };
         state.body = Some((revision, body.clone()));
--- a/crates/kumquatdrum_gateway/src/endpoints.rs
+++ b/crates/kumquatdrum_gateway/src/endpoints.rs
@@ -25,8 +25,8 @@
 #[derive(Default)]
 struct State {
     registry: Registry,
-    /// Endpoints that announced themselves to this host since the last round.
-    heard: IndexSet<EndpointId>,
+    /// Endpoints that sent an announcement or a leave request to this host since the last round.
+    unpublished: IndexSet<EndpointId>,
 }
 
 impl Endpoints {
@@ -46,7 +46,7 @@
         let id = announcement.id.clone();
         let mut state = self.state.lock();
         let change = state.registry.announce(now, announcement);
-        state.heard.insert(id.clone());
+        state.unpublished.insert(id.clone());
         let update = state.registry.update_for(now, &id);
         drop(state);
         self.log_change(change, update.as_ref(), "endpoint");
@@ -58,7 +58,7 @@
         let now = self.clock.now();
         let mut state = self.state.lock();
         let update = state.registry.leave(now, id, incarnation);
-        state.heard.insert(id.clone());
+        state.unpublished.insert(id.clone());
         drop(state);
         self.changed.notify_one();
         info!(self.logger, "endpoint_left"; "event" => "endpoint_left", "endpoint" => id.as_str(),
@@ -118,12 +118,12 @@
     pub fn take_round(&self) -> Vec<Update> {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        let heard = std::mem::take(&mut state.heard);
+        let unpublished = std::mem::take(&mut state.unpublished);
         let updates = state.registry.updates(now, Duration::MAX);
         let is_published = |update: &Update| {
             let is_leaving = update.gone || update.announcement.leaving;
             let is_recent = Duration::from_millis(update.age_ms) < LEAVE_REPEAT_DURATION;
-            heard.contains(&update.announcement.id) || (is_leaving && is_recent)
+            unpublished.contains(&update.announcement.id) || (is_leaving && is_recent)
         };
         let published = updates.into_iter().filter(is_published).collect();
         for id in state.registry.evict_expired(now) {
--- a/crates/kumquatdrum_gateway/src/event.rs
+++ b/crates/kumquatdrum_gateway/src/event.rs
@@ -5,7 +5,7 @@
 const EVENT_END: &[u8] = b"\n\n";
 const ID_FIELD: &[u8] = b"id:";
 
-/// One or more complete events.
+/// The complete events in a part of a stream, possibly none.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Events {
     /// The encoded events.
--- a/crates/kumquatdrum_gateway/src/gateway.rs
+++ b/crates/kumquatdrum_gateway/src/gateway.rs
@@ -94,7 +94,9 @@
     replica: Option<Handle>,
     settings: Settings,
     started: Moment,
-    has_heard_majority: Mutex<bool>,
+    /// Whether this host had the newest known setup while in contact with a majority of the control
+    /// hosts.
+    has_confirmed_setup: Mutex<bool>,
     background: Mutex<JoinSet<()>>,
 }
 
@@ -156,8 +158,8 @@
     /// Waits on a newly started host until it has an active setup, since a caller whose first host
     /// failed may retry only once.
     pub(crate) async fn wait_for_setup(&self, timeout: Option<Duration>) {
-        let share = timeout.map_or(SETUP_WAIT, |timeout| timeout.mul_f64(SETUP_WAIT_FRACTION));
-        let deadline = self.clock.now() + share.min(SETUP_WAIT);
+        let wait = timeout.map_or(SETUP_WAIT, |timeout| timeout.mul_f64(SETUP_WAIT_FRACTION));
+        let deadline = self.clock.now() + wait.min(SETUP_WAIT);
         while self.active_setup.current().is_none() && self.clock.now() < deadline {
             sleep(INITIAL_HELLO_INTERVAL / 4).await;
         }
@@ -166,7 +168,7 @@
     /// Returns whether this host accepts callers.
     pub(crate) fn is_ready(&self) -> bool {
         let can_trust_setup =
-            *self.has_heard_majority.lock() || self.clock.now() - self.started > MAJORITY_WAIT;
+            *self.has_confirmed_setup.lock() || self.clock.now() - self.started > MAJORITY_WAIT;
         !self.drain.is_draining() && can_trust_setup && self.active_setup.current().is_some()
     }
 
@@ -176,7 +178,7 @@
         self.metrics.revision.set(revision);
         self.metrics.hosts.set(self.hosts.live_hosts().len() as i64);
         self.metrics.under_way.set(self.drain.under_way());
-        self.metrics.count_peers(&self.traffic);
+        self.metrics.update_peer_bytes(&self.traffic);
     }
 
     /// Sends a request to another host. Returns `None` if there is no response in time.
@@ -216,7 +218,7 @@
     }
 
     /// Offers a committed record from another host or the local log. `is_leader` states whether
-    /// this host's replica is the leader.
+    /// this host's replica applied it as the leader.
     pub(crate) fn offer_record(&self, record: &Record, from: &str, is_leader: bool) {
         self.active_setup.offer(record, from, is_leader);
     }
--- a/crates/kumquatdrum_gateway/src/gateway/endpoint_updates.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/endpoint_updates.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Sends endpoint updates to all hosts and waits for their confirmation. A leave request is
-    /// only acknowledged once the other hosts have stopped using the endpoint.
+    /// Sends endpoint updates to all hosts and waits until they confirm them or time out. A leave
+    /// request is acknowledged only afterwards: hosts that confirmed it no longer use the endpoint.
     pub(crate) async fn confirm_endpoints(self: &Arc<Self>, updates: Vec<Update>) {
         self.refresh_pool();
         let recipients = self.hosts.live_recipients();
--- a/crates/kumquatdrum_gateway/src/gateway/periodic.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/periodic.rs
@@ -61,7 +61,7 @@
             while let Some(is_welcomed) = hellos.join_next().await {
                 is_new &= !is_welcomed.unwrap_or(false);
                 if self.hosts.has_control_majority() && !self.distributor.is_behind() {
-                    *self.has_heard_majority.lock() = true;
+                    *self.has_confirmed_setup.lock() = true;
                 }
             }
             self.hosts.expire_silent();
--- a/crates/kumquatdrum_gateway/src/gateway/start.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/start.rs
@@ -32,8 +32,8 @@
 use crate::replica::{self, Event, Handle};
 use crate::{Protocol, Settings, active_setup, call, control, health, sockets};
 
-/// How long a stopping host accepts connections, until two health checks a second apart have
-/// failed.
+/// How long a stopping host still accepts connections, so that two health checks a second apart
+/// fail before the listener closes.
 const DRAIN_DELAY: Duration = Duration::from_millis(2_600);
 /// The part of the shutdown time that remains after the last requests are cancelled.
 const CLEANUP_TIME: Duration = Duration::from_millis(300);
@@ -87,8 +87,8 @@
             }
         }
         let mut background = std::mem::take(&mut *gateway.background.lock());
-        let released = async { while background.join_next().await.is_some() {} };
-        let _ = timeout(CLEANUP_TIME, released).await;
+        let joined = async { while background.join_next().await.is_some() {} };
+        let _ = timeout(CLEANUP_TIME, joined).await;
         self.stopped.send_replace(true);
         self.auxiliary_phase.send_replace(Phase::Closing);
         self.callers.shutdown().await;
@@ -219,7 +219,7 @@
         replica,
         started: clock.now(),
         settings,
-        has_heard_majority: Mutex::new(false),
+        has_confirmed_setup: Mutex::new(false),
         background: Mutex::default(),
     }))
 }
--- a/crates/kumquatdrum_gateway/src/health.rs
+++ b/crates/kumquatdrum_gateway/src/health.rs
@@ -8,11 +8,11 @@
 
 /// Answers a health check: whether this host accepts callers.
 pub fn handle(gateway: &Gateway, request: &Request<Incoming>) -> Response<Body> {
-    let is_known = gateway
+    let is_health_check = gateway
         .protocol
         .is_health_check(request.method(), request.uri().path());
     let status = match gateway.is_ready() {
-        _ if !is_known => StatusCode::NOT_FOUND,
+        _ if !is_health_check => StatusCode::NOT_FOUND,
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
     };
--- a/crates/kumquatdrum_gateway/src/hosts.rs
+++ b/crates/kumquatdrum_gateway/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Membership: the known hosts and when they were last heard.
+//! Membership: the known hosts and when they were last heard from.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -40,19 +40,20 @@
     seeds: Vec<HostId>,
     others: IndexMap<HostId, Entry>,
     reports: Reports,
-    /// The number of membership changes so far, which versions the listings.
+    /// The number of membership changes so far, used as the version of the listings.
     changes: u64,
 }
 
 impl State {
-    /// Returns the time since a host was last heard, directly or through a control host's report.
+    /// Returns the time since a host was last heard from, directly or through a control host's
+    /// report.
     fn age(&self, now: Moment, entry: &Entry) -> Duration {
-        let heard = now - entry.heard;
+        let direct = now - entry.last_contact;
         let reported = self.reports.age(now, &entry.host.id);
-        reported.map_or(heard, |reported| reported.min(heard))
+        reported.map_or(direct, |reported| reported.min(direct))
     }
 
-    /// Returns the other hosts, each with the time since it was last heard.
+    /// Returns the other hosts, each with the time since it was last heard from.
     fn aged(&self, now: Moment) -> impl Iterator<Item = (&Entry, Duration)> {
         let others = self.others.values();
         others.map(move |entry| (entry, self.age(now, entry)))
@@ -61,7 +62,7 @@
 
 struct Entry {
     host: Host,
-    heard: Moment,
+    last_contact: Moment,
     is_lost: bool,
     /// The value of [`State::changes`] at the host's last change.
     changed: u64,
@@ -174,7 +175,7 @@
 
     fn observe(&self, host: Host, age: Duration) {
         let now = self.clock.now();
-        let heard = Moment {
+        let last_contact = Moment {
             micros: now.micros.saturating_sub(age.as_micros() as u64),
         };
         let mut state = self.state.lock();
@@ -187,12 +188,12 @@
         match state.others.get_mut(&id) {
             Some(entry) if host.boot < entry.host.boot => has_changed = false,
             Some(entry) => {
-                has_changed = heard > entry.heard && entry.host != host;
-                if heard > entry.heard {
+                has_changed = last_contact > entry.last_contact && entry.host != host;
+                if last_contact > entry.last_contact {
                     entry.host = host;
-                    entry.heard = heard;
+                    entry.last_contact = last_contact;
                 }
-                if entry.is_lost && now - entry.heard <= LOST_AFTER {
+                if entry.is_lost && now - entry.last_contact <= LOST_AFTER {
                     entry.is_lost = false;
                     has_changed = true;
                     info!(self.logger, "host_back"; "event" => "host_back", "peer" => id.as_str());
@@ -208,7 +209,7 @@
                 let is_lost = false;
                 let entry = Entry {
                     host,
-                    heard,
+                    last_contact,
                     is_lost,
                     changed: change,
                 };
@@ -231,9 +232,9 @@
             ..
         } = &mut *state;
         others.retain(|id, entry| {
-            let heard = now - entry.heard;
+            let direct = now - entry.last_contact;
             let reported = reports.age(now, id);
-            let age = reported.map_or(heard, |reported| reported.min(heard));
+            let age = reported.map_or(direct, |reported| reported.min(direct));
             if !entry.is_lost && age > LOST_AFTER {
                 entry.is_lost = true;
                 *changes += 1;
@@ -357,14 +358,14 @@
         let now = self.clock.now();
         let state = self.state.lock();
         let control = state.others.values().filter(|entry| entry.host.control);
-        let (mut known, mut heard) = (0, 0);
+        let (mut known, mut live) = (0, 0);
         for entry in control {
             known += 1;
-            heard += usize::from(now - entry.heard <= LOST_AFTER);
+            live += usize::from(now - entry.last_contact <= LOST_AFTER);
         }
         let own = usize::from(state.local.control);
         let known = (known + own).max(state.seeds.len());
-        (heard + own) * 2 > known
+        (live + own) * 2 > known
     }
 
     fn register_address(&self, id: &HostId) {
@@ -375,11 +376,11 @@
     }
 }
 
-fn to_peer(host: &Host, is_heard: bool) -> Peer {
+fn to_peer(host: &Host, is_live: bool) -> Peer {
     Peer {
         id: host.id.clone(),
         data_centre: host.data_centre.clone(),
-        can_relay: host.callers && is_heard && !host.stopping,
+        can_relay: host.callers && is_live && !host.stopping,
     }
 }
 
--- a/crates/kumquatdrum_gateway/src/hosts/reports.rs
+++ b/crates/kumquatdrum_gateway/src/hosts/reports.rs
@@ -24,7 +24,7 @@
 }
 
 impl Reports {
-    /// Applies a control host's listing. Hosts heard within `lost_after` count as live.
+    /// Applies a control host's listing. Hosts heard from within `lost_after` count as live.
     pub fn apply(&mut self, now: Moment, from: &HostId, listing: &Listing, lost_after: Duration) {
         let report = self.reports.entry(from.clone());
         let report = report.or_insert_with(|| Report {
--- a/crates/kumquatdrum_gateway/src/message.rs
+++ b/crates/kumquatdrum_gateway/src/message.rs
@@ -34,7 +34,7 @@
 pub struct Member {
     /// The host.
     pub host: Host,
-    /// The time since the host was last heard, in milliseconds.
+    /// The time since the host was last heard from, in milliseconds.
     pub age_ms: u64,
 }
 
--- a/crates/kumquatdrum_gateway/src/metrics.rs
+++ b/crates/kumquatdrum_gateway/src/metrics.rs
@@ -18,7 +18,7 @@
     /// Requests sent to endpoints, by outcome.
     pub attempts: IntCounterVec,
     /// Seconds to the first event or the complete response, by prompt length.
-    pub first: HistogramVec,
+    pub first_event: HistogramVec,
     /// Requests in flight.
     pub under_way: IntGauge,
     /// The active revision.
@@ -48,7 +48,7 @@
                 "Requests sent to endpoints, by outcome.",
                 &["outcome"],
             )?,
-            first: r.histogram_vec(
+            first_event: r.histogram_vec(
                 "kumquatdrum_gateway_first_seconds",
                 "Seconds to the first event or the whole answer, by length of the prompt.",
                 &BUCKET_BOUNDS_SECONDS,
@@ -72,8 +72,8 @@
         })
     }
 
-    /// Updates the traffic counters from those of the peer connections.
-    pub fn count_peers(&self, counters: &Counters) {
+    /// Updates [`Self::peer_bytes`] from the counters of the peer connections.
+    pub fn update_peer_bytes(&self, counters: &Counters) {
         for channel in Channel::ALL {
             let traffic = counters.read(channel);
             let directions = [
--- a/crates/kumquatdrum_gateway/src/replica/voters.rs
+++ b/crates/kumquatdrum_gateway/src/replica/voters.rs
@@ -63,7 +63,7 @@
             }
             return Some(next);
         }
-        // An even number of voters tolerates no more failures than one voter less.
+        // An even number of voters tolerates no more failures than one voter fewer.
         let additions = target.saturating_sub(voters.len());
         let additions = additions.min(spares.len());
         let additions = if (voters.len() + additions).is_multiple_of(2) {
@@ -84,13 +84,13 @@
         let mut spares: Vec<Member> = live
             .filter(|spare| !voters.iter().any(|voter| voter.id.host == spare.id.host))
             .collect();
-        let voters_nearby = |spare: &Member| {
+        let voters_in_data_centre = |spare: &Member| {
             let voters = voters.iter();
             voters
                 .filter(|voter| voter.data_centre == spare.data_centre)
                 .count()
         };
-        spares.sort_by_key(|spare| (voters_nearby(spare), spare.id.clone()));
+        spares.sort_by_key(|spare| (voters_in_data_centre(spare), spare.id.clone()));
         spares
     }
 }
--- a/crates/kumquatdrum_gateway/src/reservation.rs
+++ b/crates/kumquatdrum_gateway/src/reservation.rs
@@ -50,7 +50,7 @@
 pub enum Error {
     /// The engine has too little free memory.
     Full,
-    /// The order was not acknowledged, and may still take effect.
+    /// The engine rejected the order or did not acknowledge it. It may still take effect.
     Unanswered,
 }
 
