--- a/crates/kumquatdrum_gateway/tests/active_setup.rs
+++ b/crates/kumquatdrum_gateway/tests/active_setup.rs
@@ -24,16 +24,16 @@
 
 /// A protocol that blocks in decoding a setup until it receives a signal.
 struct Decoder {
-    end: Mutex<Receiver<()>>,
+    unblock: Mutex<Receiver<()>>,
     has_timed_out: Arc<AtomicBool>,
 }
 
 impl Decoder {
     fn new() -> (Self, Sender<()>, Arc<AtomicBool>) {
-        let (sender, end) = channel();
+        let (sender, unblock) = channel();
         let has_timed_out = Arc::new(AtomicBool::new(false));
         let decoder = Self {
-            end: Mutex::new(end),
+            unblock: Mutex::new(unblock),
             has_timed_out: has_timed_out.clone(),
         };
         (decoder, sender, has_timed_out)
@@ -42,7 +42,7 @@
 
 impl Protocol for Decoder {
     fn decode_setup(&self, _: &[u8]) -> Result<Setup, Vec<Finding>> {
-        let ended = self.end.lock().recv_timeout(TIMEOUT);
+        let ended = self.unblock.lock().recv_timeout(TIMEOUT);
         self.has_timed_out.store(ended.is_err(), Ordering::Relaxed);
         Ok(Setup::default())
     }
@@ -96,7 +96,7 @@
 
 #[tokio::test]
 async fn other_tasks_run_while_a_setup_is_decoded() {
-    let (decoder, end, has_timed_out) = Decoder::new();
+    let (decoder, unblock, has_timed_out) = Decoder::new();
     let store = Arc::new(Store::new(Arc::new(decoder), logger()));
     store.offer(&record(1), "log", true);
     let activating = store.clone();
@@ -104,7 +104,7 @@
     // Other tasks, such as heartbeats, run before decoding ends.
     tokio::task::yield_now().await;
     tokio::task::yield_now().await;
-    end.send(()).expect("the decoder waits");
+    unblock.send(()).expect("the decoder waits");
     let (active_setup, is_leader) = activated.await.expect("an active record");
     assert!(!has_timed_out.load(Ordering::Relaxed));
     assert!(is_leader);
@@ -113,17 +113,17 @@
 
 #[tokio::test]
 async fn superseded_records_are_not_decoded() {
-    let (decoder, end, _) = Decoder::new();
+    let (decoder, unblock, _) = Decoder::new();
     let store = Arc::new(Store::new(Arc::new(decoder), logger()));
     for revision in [2, 5, 4, 9, 9, 1] {
         store.offer(&record(revision), "log", false);
     }
-    end.send(()).expect("the decoder waits");
+    unblock.send(()).expect("the decoder waits");
     let (active_setup, _) = store.activate_next().await;
     assert_eq!(active_setup.record.revision, 9);
     // An offer older than the active revision is ignored.
     store.offer(&record(8), "another host", false);
     store.offer(&record(10), "another host", false);
-    end.send(()).expect("the decoder waits");
+    unblock.send(()).expect("the decoder waits");
     assert_eq!(store.activate_next().await.0.record.revision, 10);
 }
--- a/crates/kumquatdrum_gateway/tests/broadcast.rs
+++ b/crates/kumquatdrum_gateway/tests/broadcast.rs
@@ -76,23 +76,23 @@
 
 /// Starts the hosts of two data centres, each listening on its own loopback address.
 async fn members(net: u8, port: u16, listening: &mut JoinSet<()>) -> Vec<Member> {
-    let of = |place: u8, data_centre: &'static str| {
+    let hosts_of = |subnet: u8, data_centre: &'static str| {
         (1..=HOSTS_PER_DATA_CENTRE)
-            .map(move |number| host([127, net, place, number].into(), data_centre))
+            .map(move |number| host([127, net, subnet, number].into(), data_centre))
     };
-    let all: Vec<Host> = of(1, "tartu").chain(of(2, "riga")).collect();
+    let all: Vec<Host> = hosts_of(1, "tartu").chain(hosts_of(2, "riga")).collect();
     let members: Vec<Member> = all.iter().map(|local| member(port, local, &all)).collect();
     for member in &members {
         let (broadcaster, received) = (member.broadcaster.clone(), member.received.clone());
         listening.spawn(async move {
-            let take = |events: Vec<Event>| {
+            let record = |events: Vec<Event>| {
                 let jobs = events.into_iter().filter_map(|event| match event {
                     Event::Began(_, job) => Some(job.number),
                     _ => None,
                 });
                 received.lock().extend(jobs);
             };
-            broadcaster.listen(take).await;
+            broadcaster.listen(record).await;
         });
     }
     // Sending fails until the runtime has registered the socket as writable.
@@ -104,7 +104,8 @@
     Event::Began("formula-llm".into(), JobId { host: 1, number })
 }
 
-async fn all_have_received(members: &[Member], from: usize, expected: &[u64]) {
+/// Waits until all hosts except `from` have received the expected job numbers, each once.
+async fn assert_received(members: &[Member], from: usize, expected: &[u64]) {
     let others = || members.iter().enumerate().filter(|(at, _)| *at != from);
     let has_received = |member: &Member| {
         let mut received = member.received.lock().clone();
@@ -123,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn every_host_receives_an_event_once_and_few_datagrams_are_sent() {
+async fn every_host_receives_each_event_once_with_one_datagram_per_remote_data_centre() {
     let mut listening = JoinSet::new();
     let members = members(71, 7_310, &mut listening).await;
     let events: Vec<u64> = (0..20).collect();
@@ -138,9 +139,9 @@
             .broadcaster
             .broadcast(began(*number), urgency, path);
     }
-    all_have_received(&members, 3, &events).await;
+    assert_received(&members, 3, &events).await;
     let sent = members[3].metrics.datagrams.with_label_values(&["sent"]);
-    // The other hosts of the data centre and one relay.
+    // Each event goes to the other hosts of the data centre and to one relay.
     assert_eq!(
         sent.get(),
         events.len() as u64 * u64::from(HOSTS_PER_DATA_CENTRE)
@@ -178,6 +179,6 @@
     members[1]
         .broadcaster
         .broadcast(began(7), Urgency::Urgent, RelayPath::Primary);
-    all_have_received(&members, 1, &[7]).await;
+    assert_received(&members, 1, &[7]).await;
     listening.shutdown().await;
 }
