--- a/crates/kumquatdrum_process/src/drain.rs
+++ b/crates/kumquatdrum_process/src/drain.rs
@@ -25,7 +25,7 @@
     changed: Notify,
 }
 
-/// A guard for a piece of work, which a shutdown waits for until the guard is dropped.
+/// A guard for a piece of work in flight. A shutdown waits until it is dropped.
 #[derive(Debug)]
 pub struct Work(Arc<Drain>);
 
--- a/crates/kumquatdrum_process/src/random.rs
+++ b/crates/kumquatdrum_process/src/random.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{BuildHasher, RandomState};
 
-/// Returns a number drawn from the operating system's random source.
+/// Returns a random number, seeded by the operating system's random source.
 ///
 /// ```
 /// use kumquatdrum_process::random;
--- a/crates/kumquatdrum_service/src/service.rs
+++ b/crates/kumquatdrum_service/src/service.rs
@@ -5,7 +5,7 @@
 use futures::Stream;
 use kumquatdrum_types::exchange::{Call, Event};
 
-/// Events of one exchange. The stream ends after `Finished` or a fault.
+/// Events of one exchange, to be read until `Finished` or a fault.
 pub type Events = Pin<Box<dyn Stream<Item = Event> + Send>>;
 
 /// The daemon's interface to plain services. Dropping an exchange's events closes its connection.
