--- a/crates/kumquatdrum/src/cli.rs
+++ b/crates/kumquatdrum/src/cli.rs
@@ -164,7 +164,7 @@
     }
 }
 
-/// Runs an operator's subcommand.
+/// Runs an operator's subcommand. `main` runs the other subcommands.
 pub async fn operate(command: Command) -> Exit {
     let out = &mut std::io::stdout();
     match command {
--- a/crates/kumquatdrum/tests/control.rs
+++ b/crates/kumquatdrum/tests/control.rs
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_control_host_comes_back_without_its_disk() {
+async fn a_control_host_that_lost_its_disk_votes_again() {
     let mut cluster = Cluster::start(THREE_DATA_CENTRES).await;
     let hosts = cluster.hosts();
     cluster.nodes[2].kill();
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_data_centre_that_is_cut_off_serves_what_it_can() {
+async fn an_isolated_data_centre_serves_requests_but_accepts_no_declaration() {
     let (cluster, engines) = start_with_engine().await;
     let (hosts, isolated) = (cluster.hosts(), [cluster.nodes[0].operators()]);
     let callers = cluster.nodes[0].callers();
--- a/crates/kumquatdrum/tests/gateway/path.rs
+++ b/crates/kumquatdrum/tests/gateway/path.rs
@@ -44,14 +44,14 @@
 
     let unknown = cluster.request(3, "/nowhere/", "at-2").send().await;
     assert_eq!(unknown.expect("an answer").status(), StatusCode::NOT_FOUND);
-    let keyless = cluster
+    let unknown_key = cluster
         .client
         .get(format!("http://{}/safe/x", cluster.callers(3)));
-    let keyless = keyless
+    let unknown_key = unknown_key
         .header("Host", "a.example")
         .header("Kumquatdrum-Key", "other");
-    let keyless = keyless.send().await.expect("an answer");
-    assert_eq!(keyless.status(), StatusCode::UNAUTHORIZED);
+    let unknown_key = unknown_key.send().await.expect("an answer");
+    assert_eq!(unknown_key.status(), StatusCode::UNAUTHORIZED);
     let large = cluster
         .request(3, "/safe/x", "at-3")
         .body(vec![b'x'; 100_001]);
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn another_endpoint_at_the_address_runs_nothing() {
+async fn requests_succeed_despite_a_stale_announcement_of_the_same_address() {
     let (cluster, endpoint) = start_with_endpoint(6, Behaviour::Whole).await;
     let mut stale = Endpoint::start("i-0", Behaviour::Whole).await;
     stale.address = endpoint.address;
--- a/crates/kumquatdrum/tests/gateway/soak.rs
+++ b/crates/kumquatdrum/tests/gateway/soak.rs
@@ -23,10 +23,11 @@
 use crate::proxy::{FAULTS, Mode, Proxy};
 
 /// Seeds that run by default.
-const SEEDS: Range<u64> = 0..2;
-const SECONDS: u64 = 8;
+const DEFAULT_SEEDS: Range<u64> = 0..2;
+/// Duration of fault injection per seed by default.
+const DEFAULT_SECONDS: u64 = 8;
 const CALLERS: u64 = 6;
-/// Time after its acknowledgement within which a revision must be in force on all hosts.
+/// Time after its acknowledgement from which no control host may return an older revision.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 /// Time in which a control host recovers from the loss of its disk.
 const RECOVERY_TIME: Duration = Duration::from_secs(4);
@@ -60,12 +61,12 @@
             let (first, last) = text.split_once("..").expect("FIRST..LAST");
             first.parse().expect("a seed")..last.parse().expect("a seed")
         }
-        Err(_) => SEEDS,
+        Err(_) => DEFAULT_SEEDS,
     };
     let seconds = std::env::var("SOAK_SECONDS").ok();
     let seconds = seconds
         .and_then(|text| text.parse().ok())
-        .unwrap_or(SECONDS);
+        .unwrap_or(DEFAULT_SECONDS);
     for seed in seeds {
         let violations = run_seed(seed, Duration::from_secs(seconds)).await;
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
--- a/crates/kumquatdrum/tests/gateway/streams.rs
+++ b/crates/kumquatdrum/tests/gateway/streams.rs
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_within_an_event_goes_on_elsewhere() {
+async fn a_stream_that_breaks_within_an_event_is_resumed_elsewhere() {
     let (cluster, broken, healthy) = start_with_endpoints(11, 4, 9).await;
     // Each event arrives once and in order, whichever endpoint is tried first.
     for attempt in ["at-1", "at-2", "at-3"] {
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_ends_the_endpoint_s_work_at_once() {
+async fn a_caller_that_disconnects_cancels_the_endpoints_work() {
     let cluster = Cluster::start(12);
     cluster.apply(&config(3)).await;
     let pause = Duration::from_secs(5);
--- a/crates/kumquatdrum/tests/support/mod.rs
+++ b/crates/kumquatdrum/tests/support/mod.rs
@@ -36,7 +36,7 @@
 /// Number of lines of each host's log that a failed test prints.
 const LOG_TAIL_LINES: usize = 25;
 
-/// A host and its process, if that runs.
+/// A host, and its process while it runs.
 pub struct Node {
     pub name: String,
     pub data_centre: String,
