--- a/crates/kumquatdrum_gateway/src/gateway.rs
+++ b/crates/kumquatdrum_gateway/src/gateway.rs
@@ -177,7 +177,7 @@
         let revision = i64::try_from(self.active_setup.revision()).unwrap_or(i64::MAX);
         self.metrics.revision.set(revision);
         self.metrics.hosts.set(self.hosts.live_hosts().len() as i64);
-        self.metrics.under_way.set(self.drain.under_way());
+        self.metrics.in_flight.set(self.drain.in_flight());
         self.metrics.update_peer_bytes(&self.traffic);
     }
 
--- a/crates/kumquatdrum_gateway/src/gateway/start.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/start.rs
@@ -68,7 +68,7 @@
     /// Stops the host: fails health checks, completes requests, closes listeners and joins tasks.
     pub(super) async fn stop(mut self, gateway: &Arc<Gateway>, limit: Duration) {
         info!(gateway.logger, "stopping"; "event" => "stopping",
-            "under_way" => gateway.drain.under_way());
+            "under_way" => gateway.drain.in_flight());
         gateway.drain.begin();
         gateway.hosts.set_stopping();
         if let Some(replica) = &gateway.replica {
@@ -83,7 +83,7 @@
             let is_joined = timeout(remaining, joined).await.is_ok();
             if !is_joined {
                 info!(gateway.logger, "requests_cut"; "event" => "requests_cut",
-                    "under_way" => gateway.drain.under_way());
+                    "under_way" => gateway.drain.in_flight());
             }
         }
         let mut background = std::mem::take(&mut *gateway.background.lock());
--- a/crates/kumquatdrum_gateway/src/metrics.rs
+++ b/crates/kumquatdrum_gateway/src/metrics.rs
@@ -20,7 +20,7 @@
     /// Seconds to the first event or the complete response, by prompt length.
     pub first_event: HistogramVec,
     /// Requests in flight.
-    pub under_way: IntGauge,
+    pub in_flight: IntGauge,
     /// The active revision.
     pub revision: IntGauge,
     /// 1 on the leader's host, 0 elsewhere.
@@ -54,7 +54,7 @@
                 &BUCKET_BOUNDS_SECONDS,
                 &["prompt"],
             )?,
-            under_way: r.gauge("kumquatdrum_gateway_under_way", "Requests under way.")?,
+            in_flight: r.gauge("kumquatdrum_gateway_under_way", "Requests under way.")?,
             revision: r.gauge("kumquatdrum_gateway_revision", "The revision in force.")?,
             leader: r.gauge("kumquatdrum_gateway_leader", "1 on the leading replica.")?,
             hosts: r.gauge("kumquatdrum_gateway_hosts", "Hosts heard lately.")?,
--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -266,7 +266,7 @@
     /// flight run to their end, then all tasks are joined.
     pub async fn stop(mut self) {
         let drain = &self.context.settings.drain;
-        info!(self.context.logger, ""; "event" => "draining", "under_way" => self.context.drain.under_way());
+        info!(self.context.logger, ""; "event" => "draining", "under_way" => self.context.drain.in_flight());
         self.context.drain.begin();
         tokio::time::sleep(Duration::from_millis(drain.notice_ms)).await;
         let drain_timeout = Duration::from_millis(drain.longest_ms);
--- a/crates/kumquatdrum_process/src/drain.rs
+++ b/crates/kumquatdrum_process/src/drain.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the number of pieces of work in flight.
-    pub fn under_way(&self) -> i64 {
+    pub fn in_flight(&self) -> i64 {
         self.work_count.load(Ordering::Relaxed)
     }
 
@@ -66,7 +66,7 @@
     pub async fn wait_until_idle(&self) {
         loop {
             let changed = self.changed.notified();
-            if self.under_way() == 0 {
+            if self.in_flight() == 0 {
                 return;
             }
             changed.await;
