--- a/crates/kumquatdrum_gateway/src/gateway/start.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/start.rs
@@ -32,8 +32,8 @@
 use crate::replica::{self, Event, Handle};
 use crate::{Protocol, Settings, active_setup, call, control, health, sockets};
 
-/// How long a stopping host accepts connections, until two health checks a second apart have
-/// failed.
+/// How long a stopping host still accepts connections, so that two health checks a second apart
+/// fail before the listener closes.
 const DRAIN_DELAY: Duration = Duration::from_millis(2_600);
 /// The part of the shutdown time that remains after the last requests are cancelled.
 const CLEANUP_TIME: Duration = Duration::from_millis(300);
@@ -68,7 +68,7 @@
     /// Stops the host: fails health checks, completes requests, closes listeners and joins tasks.
     pub(super) async fn stop(mut self, gateway: &Arc<Gateway>, limit: Duration) {
         info!(gateway.logger, "stopping"; "event" => "stopping",
-            "under_way" => gateway.drain.under_way());
+            "under_way" => gateway.drain.in_flight());
         gateway.drain.begin();
         gateway.hosts.set_stopping();
         if let Some(replica) = &gateway.replica {
@@ -83,12 +83,12 @@
             let is_joined = timeout(remaining, joined).await.is_ok();
             if !is_joined {
                 info!(gateway.logger, "requests_cut"; "event" => "requests_cut",
-                    "under_way" => gateway.drain.under_way());
+                    "under_way" => gateway.drain.in_flight());
             }
         }
         let mut background = std::mem::take(&mut *gateway.background.lock());
-        let released = async { while background.join_next().await.is_some() {} };
-        let _ = timeout(CLEANUP_TIME, released).await;
+        let joined = async { while background.join_next().await.is_some() {} };
+        let _ = timeout(CLEANUP_TIME, joined).await;
         self.stopped.send_replace(true);
         self.auxiliary_phase.send_replace(Phase::Closing);
         self.callers.shutdown().await;
@@ -219,7 +219,7 @@
         replica,
         started: clock.now(),
         settings,
-        has_heard_majority: Mutex::new(false),
+        has_confirmed_setup: Mutex::new(false),
         background: Mutex::default(),
     }))
 }
--- a/crates/kumquatdrum_gateway/src/metrics.rs
+++ b/crates/kumquatdrum_gateway/src/metrics.rs
@@ -18,9 +18,9 @@
     /// Requests sent to endpoints, by outcome.
     pub attempts: IntCounterVec,
     /// Seconds to the first event or the complete response, by prompt length.
-    pub first: HistogramVec,
+    pub first_event: HistogramVec,
     /// Requests in flight.
-    pub under_way: IntGauge,
+    pub in_flight: IntGauge,
     /// The active revision.
     pub revision: IntGauge,
     /// 1 on the leader's host, 0 elsewhere.
@@ -48,13 +48,13 @@
                 "Requests sent to endpoints, by outcome.",
                 &["outcome"],
             )?,
-            first: r.histogram_vec(
+            first_event: r.histogram_vec(
                 "kumquatdrum_gateway_first_seconds",
                 "Seconds to the first event or the whole answer, by length of the prompt.",
                 &BUCKET_BOUNDS_SECONDS,
                 &["prompt"],
             )?,
-            under_way: r.gauge("kumquatdrum_gateway_under_way", "Requests under way.")?,
+            in_flight: r.gauge("kumquatdrum_gateway_under_way", "Requests under way.")?,
             revision: r.gauge("kumquatdrum_gateway_revision", "The revision in force.")?,
             leader: r.gauge("kumquatdrum_gateway_leader", "1 on the leading replica.")?,
             hosts: r.gauge("kumquatdrum_gateway_hosts", "Hosts heard lately.")?,
@@ -72,8 +72,8 @@
         })
     }
 
-    /// Updates the traffic counters from those of the peer connections.
-    pub fn count_peers(&self, counters: &Counters) {
+    /// Updates [`Self::peer_bytes`] from the counters of the peer connections.
+    pub fn update_peer_bytes(&self, counters: &Counters) {
         for channel in Channel::ALL {
             let traffic = counters.read(channel);
             let directions = [
