--- a/crates/kumquatdrum_disk/src/fake.rs
+++ b/crates/kumquatdrum_disk/src/fake.rs
@@ -44,7 +44,8 @@
         Self::default()
     }
 
-    /// Discards unsynced writes, except in sectors for which `keep` returns true.
+    /// Discards unsynced writes, except in sectors for which `keep` returns true. Later syncs no
+    /// longer fail.
     pub fn crash(&self, mut keep: impl FnMut(usize) -> bool) {
         let mut state = self.state.lock();
         let state = &mut *state;
--- a/crates/kumquatdrum_engine/src/engine.rs
+++ b/crates/kumquatdrum_engine/src/engine.rs
@@ -21,7 +21,7 @@
 /// it returns `false`.
 pub type Precondition = Box<dyn Fn() -> bool + Send + Sync>;
 
-/// An engine did not respond in time, or sent an invalid response.
+/// An engine could not be reached, did not respond in time, or sent an invalid response.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("request to engine {endpoint} failed: {reason}")]
 pub struct Unreachable {
@@ -31,7 +31,7 @@
     pub reason: String,
 }
 
-/// An attempt that runs on an engine.
+/// An attempt that an engine has accepted and that has not ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
     /// Attempt id.
@@ -71,11 +71,11 @@
     /// Requests the status of an attempt over a new connection.
     fn probe(&self, target: &Target, attempt: &AttemptId) -> ResponseFuture<Status>;
 
-    /// Cancels an attempt over a new connection and returns the status it had. An attempt unknown
-    /// to the engine will not be started if it arrives later.
+    /// Cancels an attempt over a new connection and returns its status afterwards. An attempt
+    /// unknown to the engine will not be started if it arrives later.
     fn cancel(&self, target: &Target, attempt: &AttemptId) -> ResponseFuture<Status>;
 
-    /// Lists the attempts that run for an owner.
+    /// Lists an owner's attempts that are waiting or running.
     fn running_attempts(&self, target: &Target, owner: &HostId) -> ResponseFuture<Vec<Attempt>>;
 
     /// Returns the cache events after a sequence number. Events may be late or missing.
@@ -98,7 +98,7 @@
     /// Sends an order over a new connection, if `precondition` holds right before it is written.
     fn order(&self, target: &Target, order: &Order, precondition: Precondition) -> OrderFuture;
 
-    /// Returns the engine's report on its loaded version and its orders.
+    /// Returns the engine's report of its loaded model, adapters and role.
     fn order_report(&self, target: &Target) -> ResponseFuture<Report>;
 
     /// Drops the pooled connections to an endpoint that stopped responding.
--- a/crates/kumquatdrum_engine/src/http.rs
+++ b/crates/kumquatdrum_engine/src/http.rs
@@ -349,8 +349,8 @@
         event
     }
 
-    /// Returns whether an event belongs to this attempt. Rejects events with the id of another one,
-    /// which must not reach this caller.
+    /// Returns whether an event has this attempt's id, or none. An event with another id must not
+    /// reach this caller.
     fn is_own(&self, data: &[u8]) -> bool {
         let event = serde_json::from_slice::<EventId<'_>>(data).ok();
         let id = event.and_then(|event| event.id);
--- a/crates/kumquatdrum_engine/src/order.rs
+++ b/crates/kumquatdrum_engine/src/order.rs
@@ -44,8 +44,8 @@
     Settings::default().delivery_timeout
 }
 
-/// Creates a client whose connections give up within the delivery timeout of an order, which also
-/// covers data in kernel buffers.
+/// Creates the client for orders. Its requests fail after the delivery timeout, and its connections
+/// are closed if sent data stays unacknowledged that long, so that no order arrives later.
 pub fn client() -> Result<reqwest::Client, reqwest::Error> {
     crate::http::client_builder()
         .tcp_user_timeout(delivery_timeout())
--- a/crates/kumquatdrum_testing/src/engine/answer.rs
+++ b/crates/kumquatdrum_testing/src/engine/answer.rs
@@ -1,4 +1,4 @@
-//! Streams the events of an answer, and cuts a stream where a fault demands it.
+//! Streams the events of an answer, and cuts the stream if a fault requires it.
 
 use std::io::Cursor;
 use std::time::Duration;
--- a/crates/kumquatdrum_testing/src/engine/http.rs
+++ b/crates/kumquatdrum_testing/src/engine/http.rs
@@ -151,7 +151,8 @@
     stream_reply(source, headers, engine)
 }
 
-/// Streams a new attempt, crossed or cut if such a fault is active.
+/// Streams a new attempt. Sends another attempt's answer or cuts the stream if such a fault is
+/// active.
 fn stream_reply(mut source: Source, headers: &Headers<'_>, engine: &Shared) -> Reply {
     let mut attempt_id = source.id.clone();
     if let Some(header) = engine.faults.take_cross() {
--- a/crates/kumquatdrum_testing/src/fault.rs
+++ b/crates/kumquatdrum_testing/src/fault.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Default)]
 pub struct Faults(Mutex<Active>);
 
-/// The fault parameters, each with the number of times that it still applies.
+/// Parameters of each fault, with the number of times that it still applies.
 #[derive(Debug, Default)]
 struct Active {
     late: (Duration, u32),
@@ -113,7 +113,8 @@
         take(&mut self.0.lock().late)
     }
 
-    /// Returns `Some` if the current answer is crossed, with `true` if its header is crossed too.
+    /// Returns `Some` if the current request gets another attempt's answer, with `true` if the
+    /// header names the other attempt too.
     pub fn take_cross(&self) -> Option<bool> {
         take(&mut self.0.lock().cross)
     }
@@ -142,7 +143,7 @@
     }
 }
 
-/// Uses up one application of a fault.
+/// Consumes one use of a fault and returns its parameter.
 fn take<T: Copy>(fault: &mut (T, u32)) -> Option<T> {
     if fault.1 == 0 {
         return None;
--- a/crates/kumquatdrum_testing/src/model/attempt.rs
+++ b/crates/kumquatdrum_testing/src/model/attempt.rs
@@ -6,7 +6,7 @@
 /// A request submitted to an engine.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Unique identifier; a known one is refused.
+    /// Unique identifier; a request with a known one is refused.
     pub id: AttemptId,
     /// The host that sent the request.
     pub owner: String,
--- a/crates/kumquatdrum_testing/src/model/cache.rs
+++ b/crates/kumquatdrum_testing/src/model/cache.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Number of latest events that stay readable.
+/// Maximum number of events kept; older ones are dropped.
 const MAX_EVENTS: usize = 8_192;
 
 /// Change of a block.
@@ -24,9 +24,9 @@
 pub struct Event {
     /// Sequence number within one boot; a gap means lost events.
     pub seq: u64,
-    /// The change.
+    /// Whether the block was stored or evicted.
     pub op: Change,
-    /// The block's chained name.
+    /// Name of the block, which also identifies all blocks before it.
     pub prefix: String,
     /// Size of the block, in tokens.
     pub tokens: u64,
@@ -39,7 +39,7 @@
     blocks: IndexMap<String, Block>,
     /// Block names in order of last use.
     names_by_last_use: BTreeMap<u64, String>,
-    /// Counter of uses, the latest value.
+    /// Use counter, incremented each time that a block is used.
     last_use: u64,
     next_seq: u64,
     events: VecDeque<Event>,
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 struct Block {
     tokens: u64,
-    /// Value of the cache's counter at the last use.
+    /// Value of the cache's use counter at the block's last use.
     last_used: u64,
 }
 
--- a/crates/kumquatdrum_testing/src/model/options.rs
+++ b/crates/kumquatdrum_testing/src/model/options.rs
@@ -21,9 +21,9 @@
     pub decode_token: Duration,
     /// Size of the prefix cache, in tokens; it takes no KV memory.
     pub cache_tokens: u64,
-    /// Number of ended attempts that stay readable.
+    /// Number of ended attempts whose details are kept.
     pub ended_limit: usize,
-    /// Number of attempt identifiers remembered to refuse duplicates.
+    /// Number of attempt identifiers remembered to refuse duplicates; up to twice as many are kept.
     pub known_limit: usize,
 }
 
--- a/crates/kumquatdrum_testing/src/model/scheduler.rs
+++ b/crates/kumquatdrum_testing/src/model/scheduler.rs
@@ -50,7 +50,7 @@
     pub tokens: u32,
 }
 
-/// A step, whose progress counts once its cost has elapsed.
+/// Result of a step. The engine publishes the progress once the cost has elapsed.
 #[derive(Debug, Default)]
 pub struct Step {
     /// Duration of the step; zero if nothing was computed.
@@ -126,7 +126,7 @@
     /// Adds a request to the queue.
     pub fn submit(&mut self, now: Moment, request: Request) -> Result<(), Rejection> {
         self.ledger.expire(now);
-        // A refused request adds no load, so the load report accounts for it too.
+        // A refused request adds no load, so later load reports already account for it.
         self.record_counter(&request);
         let summary = self.summary(&request.id);
         let own_tokens = request.prompt_tokens + u64::from(request.max_tokens);
