--- a/crates/kumquatdrum_caller/src/admission.rs
+++ b/crates/kumquatdrum_caller/src/admission.rs
@@ -86,12 +86,13 @@
     pub relayed: Option<Bytes>,
 }
 
-/// An event on the response to a caller.
+/// An event of the response to a caller.
 #[derive(Debug)]
 pub enum Reply {
     /// Status and headers of a plain service's response.
     Head(Head),
-    /// The response restarts from its beginning after a retry. Nothing of it has been sent yet.
+    /// The response restarts from its beginning after a retry. The caller has received nothing of
+    /// it yet.
     Restart,
     /// Event data of one token.
     Token(Bytes),
--- a/crates/kumquatdrum_caller/src/wire.rs
+++ b/crates/kumquatdrum_caller/src/wire.rs
@@ -23,7 +23,7 @@
 /// A parsed model request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Name of the service.
+    /// Name of the service, from the field `model`.
     pub service: String,
     /// Whether the caller requests a streamed response.
     pub is_streamed: bool,
--- a/crates/kumquatdrum_operator/src/progress.rs
+++ b/crates/kumquatdrum_operator/src/progress.rs
@@ -22,9 +22,9 @@
         }
     }
 
-    /// Processes a status report and returns the hosts whose state changed. A host that has the
-    /// version stays in force whatever later reports say, since hosts never return to an older
-    /// version.
+    /// Processes a status report and returns the hosts whose state changed. Once the version is in
+    /// force on a host, later reports do not change the host's state, since hosts never return to
+    /// an older version.
     pub fn observe(&mut self, status: &Status) -> Vec<HostRollout> {
         let mut changed = Vec::new();
         for host in &status.hosts {
--- a/crates/kumquatdrum_replay/src/mix.rs
+++ b/crates/kumquatdrum_replay/src/mix.rs
@@ -1,4 +1,4 @@
-//! Request mixes of the two users.
+//! Request mixes of two users: salons and a treasury desk.
 
 use std::ops::RangeInclusive;
 
--- a/crates/kumquatdrum_replay/src/outcome.rs
+++ b/crates/kumquatdrum_replay/src/outcome.rs
@@ -38,7 +38,7 @@
 pub struct Observation {
     /// The outcome.
     pub outcome: Outcome,
-    /// Error code, of the system or of this client.
+    /// Error code from the response, or from this client if it detected the failure.
     pub code: Option<String>,
     /// Time to wait before a retry, if the answer states one.
     pub retry_after: Option<Duration>,
--- a/crates/kumquatdrum_replay/src/prompt.rs
+++ b/crates/kumquatdrum_replay/src/prompt.rs
@@ -85,7 +85,7 @@
     text
 }
 
-/// Hashes a name to the index of the first word.
+/// Hashes a name to a seed for [`fill`].
 fn seed(name: &str) -> usize {
     name.bytes().fold(0, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(byte.into())
