--- a/crates/kumquatdrum_operator/src/client.rs
+++ b/crates/kumquatdrum_operator/src/client.rs
@@ -159,16 +159,16 @@
 
     /// Returns a page of the audit trail.
     pub async fn audit(&self, from: u64, limit: usize) -> Result<Page, Error> {
-        self.json(&format!("/v1/audit?from={from}&limit={limit}"))
+        self.get_json(&format!("/v1/audit?from={from}&limit={limit}"))
             .await
     }
 
     /// Returns the status of the whole system as known to the first host that responds.
     pub async fn status(&self) -> Result<Status, Error> {
-        self.json("/v1/status").await
+        self.get_json("/v1/status").await
     }
 
-    async fn json<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
+    async fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let answer = self.send(|host| self.http.get(format!("{host}{path}")));
         answer.await?.json()
     }
--- a/crates/kumquatdrum_operator/tests/commands.rs
+++ b/crates/kumquatdrum_operator/tests/commands.rs
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn apply_maps_each_outcome_to_an_exit_code() {
+async fn exit_codes_distinguish_success_refusal_and_an_invalid_key() {
     let control = Arc::new(Fake::default());
     let host = Host::start(Arc::clone(&control)).await;
     let hosts = [host.url.as_str()];
--- a/crates/kumquatdrum_operator/tests/routes.rs
+++ b/crates/kumquatdrum_operator/tests/routes.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn each_outcome_has_a_status() {
+fn each_apply_answer_has_a_status() {
     let fixture = Fixture::new(Fake::default());
     let first = "/v1/apply?base=0&apply_id=change-1";
     assert_eq!(fixture.apply(first, 1), (Status::Ok, accepted(1)));
