--- a/crates/kumquatdrum_caller/src/routes.rs
+++ b/crates/kumquatdrum_caller/src/routes.rs
@@ -28,7 +28,7 @@
 /// Maximum time that the head of a streamed response is delayed for the first token.
 pub const FIRST_TOKEN_TIMEOUT: Duration = Duration::from_millis(250);
 /// Interval of comments on an idle stream, and of checks whether a caller is still connected.
-pub const KEEP_ALIVE: Duration = Duration::from_millis(500);
+pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
 const KEEP_ALIVE_COMMENT: &[u8] = b": waiting\n\n";
 const END_EVENT: &[u8] = b"data: [DONE]\n\n";
@@ -98,8 +98,13 @@
 struct Key(Option<(WorkspaceName, String)>);
 
 impl Key {
-    fn new(caller: &Caller, call: &Submission) -> Self {
-        Self(call.key.clone().map(|key| (caller.workspace.clone(), key)))
+    fn new(caller: &Caller, submission: &Submission) -> Self {
+        Self(
+            submission
+                .key
+                .clone()
+                .map(|key| (caller.workspace.clone(), key)),
+        )
     }
 
     /// Returns the problem to report for a refused request.
@@ -127,7 +132,7 @@
     respond(request, Buffered::problem(problem))
 }
 
-fn invalid(caller: &Caller, message: impl Into<String>) -> Problem {
+fn bad_request_problem(caller: &Caller, message: impl Into<String>) -> Problem {
     Problem::refused(Refusal::BadRequest, None, Some(caller.request.clone())).with_message(message)
 }
 
@@ -136,7 +141,7 @@
         return Ok(None);
     };
     let parsed = text.trim().parse().map(Some);
-    parsed.map_err(|_| invalid(caller, format!("header {name} must be a whole number")))
+    parsed.map_err(|_| bad_request_problem(caller, format!("header {name} must be a whole number")))
 }
 
 fn parse_flag(caller: &Caller, request: &Request<'_>, name: &str) -> Result<Option<bool>, Problem> {
@@ -144,7 +149,7 @@
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
-        Some(_) => Err(invalid(
+        Some(_) => Err(bad_request_problem(
             caller,
             format!("header {name} must be true or false"),
         )),
@@ -154,8 +159,11 @@
 fn parse_key(caller: &Caller, request: &Request<'_>) -> Result<Option<String>, Problem> {
     const MAX_BYTES: usize = 256;
     match request.headers().get_one("idempotency-key") {
-        Some("") => Err(invalid(caller, "header idempotency-key must not be empty")),
-        Some(key) if key.len() > MAX_BYTES => Err(invalid(
+        Some("") => Err(bad_request_problem(
+            caller,
+            "header idempotency-key must not be empty",
+        )),
+        Some(key) if key.len() > MAX_BYTES => Err(bad_request_problem(
             caller,
             format!("header idempotency-key must have at most {MAX_BYTES} bytes"),
         )),
@@ -198,7 +206,7 @@
 }
 
 /// Authenticates the caller and parses the headers. Also returns the `content-length`.
-fn open(
+fn authenticate_and_parse(
     admission: &Arc<dyn Admission>,
     request: &Request<'_>,
 ) -> Result<(Caller, Submission, Option<u64>), Problem> {
@@ -229,8 +237,8 @@
         request: &'r Request<'_>,
         data: Data<'r>,
     ) -> Result<(Exchange, String, bool), Problem> {
-        let (mut caller, mut submission, length) = match open(&self.0, request) {
-            Ok(opened) => opened,
+        let (mut caller, mut submission, length) = match authenticate_and_parse(&self.0, request) {
+            Ok(parsed) => parsed,
             Err(refusal) => {
                 body::discard(data).await;
                 return Err(refusal);
@@ -240,7 +248,7 @@
         let result = async {
             submission.body = body::read(&mut caller, data, length).await?;
             let parsed = wire::parse(&submission.body)
-                .map_err(|error| invalid(&caller, error.to_string()))?;
+                .map_err(|error| bad_request_problem(&caller, error.to_string()))?;
             submission.is_model_request = true;
             submission.path = request.uri().path().to_string();
             submission.service.clone_from(&parsed.service);
@@ -273,8 +281,8 @@
         request: &'r Request<'_>,
         data: Data<'r>,
     ) -> Result<Exchange, Problem> {
-        let (mut caller, mut submission, length) = match open(&self.0, request) {
-            Ok(opened) => opened,
+        let (mut caller, mut submission, length) = match authenticate_and_parse(&self.0, request) {
+            Ok(parsed) => parsed,
             Err(refusal) => {
                 body::discard(data).await;
                 return Err(refusal);
@@ -343,8 +351,10 @@
     /// Returns the next reply, or `None` once the caller has disconnected.
     async fn next(&mut self) -> Option<Reply> {
         loop {
-            let reply = timeout(KEEP_ALIVE, next(&mut self.exchange)).await.ok();
-            if self.last_check.elapsed() >= KEEP_ALIVE {
+            let reply = timeout(KEEP_ALIVE_INTERVAL, next(&mut self.exchange))
+                .await
+                .ok();
+            if self.last_check.elapsed() >= KEEP_ALIVE_INTERVAL {
                 self.last_check = Instant::now();
                 let is_disconnected = self
                     .caller
@@ -385,7 +395,7 @@
     let first = stream::iter(first.map(|reply| event(&reply)));
     let rest = stream::unfold(Some(exchange), |exchange| async move {
         let mut exchange = exchange?;
-        match timeout(KEEP_ALIVE, next(&mut exchange)).await {
+        match timeout(KEEP_ALIVE_INTERVAL, next(&mut exchange)).await {
             Ok(reply) => {
                 let is_last = matches!(reply, Reply::Finished | Reply::Problem(_));
                 Some((event(&reply), (!is_last).then_some(exchange)))
