--- a/crates/kumquatdrum_disk/tests/damage.rs
+++ b/crates/kumquatdrum_disk/tests/damage.rs
@@ -87,11 +87,11 @@
 }
 
 #[test]
-fn a_decreasing_term_is_reported_with_its_place() {
-    let old_term = Batch {
+fn a_hard_state_older_than_the_log_is_reported_with_its_place() {
+    let old_hard_state = Batch {
         hard_state: Some(hard_state(1)),
         entries: vec![entry(1, 10)],
         ..Batch::default()
     };
-    assert_eq!(damaged_place(old_term), "hard state");
+    assert_eq!(damaged_place(old_hard_state), "hard state");
 }
--- a/crates/kumquatdrum_replay/src/report.rs
+++ b/crates/kumquatdrum_replay/src/report.rs
@@ -49,7 +49,7 @@
     /// Answers that ended after the deadline.
     pub late: u64,
     /// Comparison with the stand-ins' counts, if they were read.
-    pub counted: Option<Counted>,
+    pub counted: Option<Discrepancies>,
     /// Errors by code.
     pub codes: IndexMap<String, u64>,
     /// Number of violations.
@@ -66,7 +66,7 @@
 
 /// Discrepancies between the stand-ins' counts and the answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counted {
+pub struct Discrepancies {
     /// Non-idempotent requests that ran more than once.
     pub run_twice: u64,
     /// Idempotent requests that ran more than once.
@@ -146,7 +146,7 @@
             violations: findings.len() as u64,
             listed: findings.into_iter().take(MAX_LISTED_VIOLATIONS).collect(),
             first_token: first_token_bands(trace, records),
-            slowdown: baseline.map(|baseline| measure_slowdown(trace, records, baseline, options)),
+            slowdown: baseline.map(|baseline| compute_slowdown(trace, records, baseline, options)),
             elapsed_ms: elapsed.as_millis() as u64,
         }
     }
@@ -188,26 +188,26 @@
 }
 
 /// Compares the stand-ins' counts with the answers; a request and its resends count as one.
-fn compare_counts(trace: &[Entry], records: &[Record], counts: &Counts) -> Counted {
+fn compare_counts(trace: &[Entry], records: &[Record], counts: &Counts) -> Discrepancies {
     let mut may_have_run: IndexMap<usize, bool> = IndexMap::new();
     for record in records {
         let original = trace[record.index].resend_of.unwrap_or(record.index);
         let has_possibly_run = record.observation.outcome != Outcome::NotRun;
         *may_have_run.entry(original).or_default() |= has_possibly_run;
     }
-    let mut counted = Counted::default();
+    let mut discrepancies = Discrepancies::default();
     for record in records {
         let entry = &trace[record.index];
         match counts.runs(&record.identity) {
             _ if entry.resend_of.is_some() => {}
             0 => {}
-            _ if !may_have_run[&record.index] => counted.ran_though_not_run += 1,
+            _ if !may_have_run[&record.index] => discrepancies.ran_though_not_run += 1,
             1 => {}
-            _ if entry.idempotent => counted.repeated += 1,
-            _ => counted.run_twice += 1,
+            _ if entry.idempotent => discrepancies.repeated += 1,
+            _ => discrepancies.run_twice += 1,
         }
     }
-    counted
+    discrepancies
 }
 
 fn first_token_bands(trace: &[Entry], records: &[Record]) -> Vec<Band> {
@@ -241,7 +241,7 @@
         .collect()
 }
 
-fn measure_slowdown(
+fn compute_slowdown(
     trace: &[Entry],
     records: &[Record],
     baseline: &[Record],
--- a/crates/kumquatdrum_replay/tests/replay.rs
+++ b/crates/kumquatdrum_replay/tests/replay.rs
@@ -226,8 +226,8 @@
         path: "/stock".to_owned(),
         ..entry()
     };
-    let straight = replay_one(Behaviour::Complete, std::slice::from_ref(&call)).await;
-    assert_eq!(straight.finished, 1);
+    let complete = replay_one(Behaviour::Complete, std::slice::from_ref(&call)).await;
+    assert_eq!(complete.finished, 1);
     let crossed = replay_one(Behaviour::AnotherAnswer, &[call]).await;
     assert_eq!(crossed.crossed, 1);
 }
--- a/crates/kumquatdrum_replay/tests/trace.rs
+++ b/crates/kumquatdrum_replay/tests/trace.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn mixes_have_the_configured_distribution() {
+fn mixes_have_the_configured_lengths_and_keys() {
     for mix in [Mix::Toonikaart, Mix::Treasury] {
         let entries = generate(&Options {
             mix,
--- a/crates/kumquatdrum_testing/src/engine/shared.rs
+++ b/crates/kumquatdrum_testing/src/engine/shared.rs
@@ -299,12 +299,12 @@
         let Some(channel) = self.channels.get(id) else {
             return;
         };
-        channel.status.send_if_modified(|shown| {
-            let changes = !shown.state.has_ended() && *shown != status;
-            if changes {
-                *shown = status;
+        channel.status.send_if_modified(|published| {
+            let is_modified = !published.state.has_ended() && *published != status;
+            if is_modified {
+                *published = status;
             }
-            changes
+            is_modified
         });
     }
 
--- a/crates/kumquatdrum_testing/tests/announcer.rs
+++ b/crates/kumquatdrum_testing/tests/announcer.rs
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn a_plain_service_echoes_and_counts() {
+async fn a_plain_service_echoes_calls_and_counts_runs() {
     let service = Service::start(Options::new("p1", "salon-api", "hall-raatuse"));
     let service = service.await.unwrap();
     let client = reqwest::Client::new();
--- a/crates/kumquatdrum_testing/tests/engine.rs
+++ b/crates/kumquatdrum_testing/tests/engine.rs
@@ -189,7 +189,7 @@
 }
 
 #[tokio::test]
-async fn crossed_answers_contain_another_attempt() {
+async fn crossed_answers_belong_to_another_attempt() {
     let fixture = Fixture::start().await;
     fixture.post("a", "first", 1).await.text().await.unwrap();
     for (id, header, shown) in [("b", true, "a"), ("c", false, "c")] {
