--- a/crates/kumquatdrum_operator/src/client.rs
+++ b/crates/kumquatdrum_operator/src/client.rs
@@ -38,11 +38,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// No host processed the request.
-    #[error("no host could be reached or could answer: {}", .0.join("; "))]
+    #[error("no host could be reached or could process the request: {}", .0.join("; "))]
     Unreachable(Vec<String>),
     /// A host may have processed the request, but its response was lost. The same request can be
     /// repeated to learn the outcome.
-    #[error("the outcome is unknown; send the same again to learn it: {}", .0.join("; "))]
+    #[error("the outcome is unknown; repeat the same request to learn it: {}", .0.join("; "))]
     Unknown(Vec<String>),
     /// A host rejected the request.
     #[error("{}", describe(.0))]
@@ -51,7 +51,7 @@
 
 fn describe(report: &Report) -> String {
     match report {
-        Report::Unauthorized => "the key is no operator's key".to_owned(),
+        Report::Unauthorized => "the key is not an operator's key".to_owned(),
         Report::NoSuchVersion => "there is no such version".to_owned(),
         Report::BadRequest { message } => message.clone(),
         other => other.outcome().to_owned(),
@@ -210,10 +210,12 @@
     let status = response.status();
     let host = response.url().authority().to_owned();
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        return Attempt::NotProcessed(format!("{host} reaches no majority"));
+        return Attempt::NotProcessed(format!(
+            "{host} is unavailable: no control leader processed the request"
+        ));
     }
     if status.is_server_error() {
-        return Attempt::Unknown(format!("{host} answered {status}"));
+        return Attempt::Unknown(format!("{host} responded with status {status}"));
     }
     let headers = response.headers().clone();
     match response.text().await {
@@ -271,7 +273,10 @@
 
     /// Returns the error for a response that is not from an operators' listener of this version.
     fn malformed(&self) -> Error {
-        Error::Unknown(vec![format!("an answer {} can't be read", self.status)])
+        Error::Unknown(vec![format!(
+            "malformed response with status {}",
+            self.status
+        )])
     }
 }
 
--- a/crates/kumquatdrum_operator/src/command.rs
+++ b/crates/kumquatdrum_operator/src/command.rs
@@ -122,7 +122,7 @@
 
 pub(crate) fn new_client(connection: &Connection) -> Result<Client, Failure> {
     if connection.hosts.is_empty() {
-        return Err(Failure::Usage("name at least one host".to_owned()));
+        return Err(Failure::Usage("at least one host is required".to_owned()));
     }
     let client = Client::new(connection.clone());
     client.map_err(|error| Failure::Usage(error.to_string()))
--- a/crates/kumquatdrum_operator/src/command/apply.rs
+++ b/crates/kumquatdrum_operator/src/command/apply.rs
@@ -94,7 +94,7 @@
             )
         }
         Report::Refused { findings } => print_findings(out, findings),
-        Report::Unauthorized => writeln!(out, "the key is no operator's key"),
+        Report::Unauthorized => writeln!(out, "the key is not an operator's key"),
         Report::BadRequest { message } => writeln!(out, "{message}"),
         other => writeln!(out, "{}", other.outcome()),
     }
--- a/crates/kumquatdrum_operator/src/command/audit.rs
+++ b/crates/kumquatdrum_operator/src/command/audit.rs
@@ -114,9 +114,9 @@
     let record = &entry.record;
     let outcome = match record.outcome {
         Outcome::Accepted(version) => format!("accepted as {version}"),
-        Outcome::Conflict(current) => format!("conflict with {current}"),
+        Outcome::Conflict(current) => format!("conflict, the current version was {current}"),
         Outcome::Refused => format!("refused, {} findings", record.places_total),
-        Outcome::IdTaken(version) => format!("apply id of {version}"),
+        Outcome::IdTaken(version) => format!("apply id belongs to version {version}"),
     };
     writeln!(
         out,
--- a/crates/kumquatdrum_operator/src/command/show.rs
+++ b/crates/kumquatdrum_operator/src/command/show.rs
@@ -69,7 +69,10 @@
         (None, Some(at)) => {
             let unix_ms = at.parse().ok().or_else(|| rfc3339::parse(at));
             let unix_ms = unix_ms.ok_or_else(|| {
-                Failure::Usage(format!("{at} is no time, such as 2026-12-02T21:30:00Z"))
+                Failure::Usage(format!(
+                    "{at} is neither an RFC 3339 time, such as 2026-12-02T21:30:00Z, nor \
+                     milliseconds since the Unix epoch"
+                ))
             })?;
             Ok(Selector::At(unix_ms))
         }
