--- a/crates/kumquatdrum/src/explain/timeline.rs
+++ b/crates/kumquatdrum/src/explain/timeline.rs
@@ -48,25 +48,26 @@
     /// Describes why the request ended as it did.
     pub fn cause(&self) -> String {
         let Some(end) = self.lines.iter().rev().find(|line| is_end(line.event())) else {
-            return "its end is in none of the logs: its host was lost, or its caller left"
+            return "no log contains the end of the request; its host may have failed, or its \
+                    caller may have disconnected"
                 .to_owned();
         };
         let reason = end.get("reason");
         match (end.event(), end.get("end")) {
             ("request_refused", _) => {
                 let revision = end.get("revision");
-                format!("not sent: {reason} (this host goes by revision {revision})")
+                format!("not sent: {reason} (the host was at revision {revision})")
             }
             (_, "streamed" | "answered") => format!("answered: {reason}"),
             _ => match self.last_failure() {
                 Some(attempt) => format!(
-                    "{reason}; the last endpoint, {} at {}, {}: {}",
+                    "{reason}; last failed attempt: endpoint {} at {}, {}: {}",
                     attempt.get("endpoint"),
                     attempt.get("address"),
                     attempt.get("outcome"),
                     attempt.get("reason")
                 ),
-                None => format!("sent to no endpoint: {reason}"),
+                None => format!("not answered in full: {reason}"),
             },
         }
     }
@@ -119,7 +120,10 @@
         }
         writeln!(f, "cause: {}", self.cause())?;
         if !self.state_changes.is_empty() {
-            writeln!(f, "state changes of its hosts before its end:")?;
+            writeln!(
+                f,
+                "state changes of the hosts before the end of the request:"
+            )?;
         }
         for line in &self.state_changes {
             write_line(f, line, start)?;
