--- a/crates/kumquatdrum/src/cli.rs
+++ b/crates/kumquatdrum/src/cli.rs
@@ -12,9 +12,9 @@
 /// Limit on the time that one host takes to answer an operator's request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A serving layer for prompts of very unlike lengths
+/// A serving layer for prompts of very different lengths
 ///
-/// Exit codes: 0 done, 1 the answer is no, 2 usage or settings, 3 unreachable or unknown outcome.
+/// Exit codes: 0 success, 1 refused or failed, 2 usage or settings, 3 unreachable or unknown outcome.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, generate(command), version)]
 pub enum Command {
@@ -27,7 +27,7 @@
         #[bpaf(argument("FILE"))]
         settings: PathBuf,
     },
-    /// Runs a gateway host, which passes any HTTP request of a declared route on
+    /// Runs a gateway host, which forwards any HTTP request on a declared route
     ///
     /// Example: kumquatdrum gateway --settings /etc/kumquatdrum/gateway.json
     #[bpaf(command)]
@@ -110,7 +110,7 @@
         #[bpaf(external)]
         json: bool,
     },
-    /// Sends a recorded trace to a running system and judges each answer
+    /// Sends a recorded trace to a running system and checks each answer
     ///
     /// Example: kumquatdrum replay trace.jsonl --target 127.0.0.1:7101 --keys keys.json
     #[bpaf(command)]
--- a/crates/kumquatdrum/src/losses.rs
+++ b/crates/kumquatdrum/src/losses.rs
@@ -32,7 +32,10 @@
     let mut lines = Vec::new();
     for file in &arguments.files {
         match logs::read(file) {
-            Ok(read) if read.is_empty() => eprintln!("{}: not a log of a host", file.display()),
+            Ok(read) if read.is_empty() => eprintln!(
+                "{}: contains no log lines of a host; skipped",
+                file.display()
+            ),
             Ok(read) => lines.extend(read),
             Err(reason) => eprintln!("{}: {reason}", file.display()),
         }
