--- a/crates/kumquatdrum_routing/src/limits/limiter.rs
+++ b/crates/kumquatdrum_routing/src/limits/limiter.rs
@@ -32,12 +32,21 @@
     until: Moment,
 }
 
-/// Counts the offered load per second: requests, tokens, and refusals for lack of concurrency.
+/// The offered load of one second.
+#[derive(Debug, Clone, Copy, Default)]
+struct OfferedLoad {
+    requests: u64,
+    tokens: u64,
+    /// Refusals for lack of concurrency.
+    refused: u32,
+}
+
+/// Counts the offered load per second.
 #[derive(Debug, Default)]
 struct Counter {
     since: Moment,
-    current: (u64, u64, u32),
-    last: (u64, u64, u32),
+    current: OfferedLoad,
+    last: OfferedLoad,
 }
 
 #[derive(Debug)]
@@ -162,11 +171,11 @@
             if state.pending_demands.len() > MAX_PENDING_DEMANDS {
                 state.pending_demands.pop_front();
             }
-            let (requests, tokens, refused) = state.offered.last_second(now);
+            let offered = state.offered.last_second(now);
             let load = load::Demand {
                 workspace: workspace.clone(),
-                requests,
-                tokens,
+                requests: offered.requests,
+                tokens: offered.tokens,
                 in_flight: state.in_flight,
             };
             let demand = Demand {
@@ -174,7 +183,7 @@
                 round: self.round,
                 echo,
                 load,
-                wanted_concurrency: state.in_flight + refused,
+                wanted_concurrency: state.in_flight + offered.refused,
             };
             demands.push((coordinator.clone(), demand));
         }
@@ -251,7 +260,7 @@
         self.offered.record(now, tokens);
         let max_in_flight = self.limit.floor(hosts).concurrency + self.granted.concurrency;
         if self.limit.concurrency.is_some() && self.in_flight >= max_in_flight {
-            self.offered.current.2 += 1;
+            self.offered.current.refused += 1;
             return Err(Refused {
                 reason: Refusal::ConcurrencyLimited,
                 retry_after: CONCURRENCY_RETRY_AFTER,
@@ -302,11 +311,11 @@
 impl Counter {
     fn record(&mut self, now: Moment, tokens: u64) {
         self.advance(now);
-        self.current.0 += 1;
-        self.current.1 += tokens;
+        self.current.requests += 1;
+        self.current.tokens += tokens;
     }
 
-    fn last_second(&mut self, now: Moment) -> (u64, u64, u32) {
+    fn last_second(&mut self, now: Moment) -> OfferedLoad {
         self.advance(now);
         self.last
     }
@@ -320,7 +329,7 @@
         self.last = if elapsed < 2 * COUNT_INTERVAL {
             current
         } else {
-            (0, 0, 0)
+            OfferedLoad::default()
         };
         self.since = now;
     }
