--- a/crates/kumquatdrum_consensus/src/event.rs
+++ b/crates/kumquatdrum_consensus/src/event.rs
@@ -189,9 +189,9 @@
     /// Returns the outcome's name as logged.
     ///
     /// ```
-    /// assert_eq!(kumquatdrum_consensus::ProposalOutcome::Busy.name(), "busy");
+    /// assert_eq!(kumquatdrum_consensus::ProposalOutcome::Busy.as_str(), "busy");
     /// ```
-    pub fn name(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Self::Committed { .. } => "committed",
             Self::NotLeader { .. } => "not leader",
--- a/crates/kumquatdrum_gateway/src/replica/commands.rs
+++ b/crates/kumquatdrum_gateway/src/replica/commands.rs
@@ -113,7 +113,7 @@
             _ => (None, String::new()),
         };
         info!(self.context.logger, "setup_proposed"; "event" => "setup_proposed",
-            "revision" => proposal.revision, "outcome" => outcome.name(),
+            "revision" => proposal.revision, "outcome" => outcome.as_str(),
             "term" => %self.node.term(), "index" => index, "holders" => holders, "ms" => ms);
     }
 
--- a/crates/kumquatdrum_routing/src/policy/latency.rs
+++ b/crates/kumquatdrum_routing/src/policy/latency.rs
@@ -73,9 +73,9 @@
     /// Returns how many of `count` engines are kept clear of long prefills: those that the short
     /// requests of all daemons need, with headroom.
     fn protected_count(&self, now: Moment, pool: &Pool, count: usize) -> usize {
-        let wanted = (self.short_load(now, pool) * pool.settings.short_headroom).ceil() + 1.0;
+        let needed_count = (self.short_load(now, pool) * pool.settings.short_headroom).ceil() + 1.0;
         let max_count = (count as f64 * MAX_PROTECTED_SHARE).floor();
-        wanted.min(max_count).max(0.0) as usize
+        needed_count.min(max_count).max(0.0) as usize
     }
 
     /// Returns the load of all daemons' short requests, in engines.
