--- a/crates/kumquatdrum_gateway/src/hosts.rs
+++ b/crates/kumquatdrum_gateway/src/hosts.rs
@@ -168,7 +168,7 @@
         });
         Some(Listing {
             version,
-            is_whole: since.is_none(),
+            is_complete: since.is_none(),
             hosts: std::iter::once(local).chain(others).collect(),
         })
     }
--- a/crates/kumquatdrum_gateway/src/hosts/reports.rs
+++ b/crates/kumquatdrum_gateway/src/hosts/reports.rs
@@ -32,7 +32,7 @@
             received: now,
             live: IndexSet::new(),
         });
-        if listing.is_whole {
+        if listing.is_complete {
             report.live.clear();
         }
         for Member { host, age_ms } in &listing.hosts {
--- a/crates/kumquatdrum_gateway/src/message.rs
+++ b/crates/kumquatdrum_gateway/src/message.rs
@@ -65,7 +65,7 @@
     #[serde(rename = "edition")]
     pub version: Version,
     /// Whether the listing contains all hosts, not only the changed ones.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// The listed hosts.
     pub hosts: Vec<Member>,
 }
--- a/crates/kumquatdrum_gateway/tests/hosts.rs
+++ b/crates/kumquatdrum_gateway/tests/hosts.rs
@@ -65,10 +65,10 @@
         sender.record_contact(host(number, 5, false));
     }
     assert_eq!(receiver.listing_selection(&control.id), Selection::All);
-    let whole = listing(&sender, receiver.listing_selection(&control.id));
-    assert!(whole.is_whole);
-    assert_eq!(whole.hosts.len(), 9);
-    receiver.merge_listing(&control.id, whole);
+    let complete = listing(&sender, receiver.listing_selection(&control.id));
+    assert!(complete.is_complete);
+    assert_eq!(complete.hosts.len(), 9);
+    receiver.merge_listing(&control.id, complete);
 
     // A hello alone is no change; a restart, a stop and a new host are.
     for number in 2..=9 {
@@ -84,7 +84,7 @@
     });
     sender.record_contact(host(10, 5, false));
     let changed = listing(&sender, receiver.listing_selection(&control.id));
-    assert!(!changed.is_whole);
+    assert!(!changed.is_complete);
     assert_eq!(
         names(&changed),
         ["10.0.0.1", "10.0.0.3", "10.0.0.4", "10.0.0.10"]
@@ -120,9 +120,9 @@
     receiver.merge_listing(&control.id, listing(&before, Selection::All));
     let after = hosts(&host(1, 7, true));
     after.record_contact(host(4, 5, false));
-    let whole = listing(&after, receiver.listing_selection(&control.id));
-    assert!(whole.is_whole);
-    assert_eq!(names(&whole), ["10.0.0.1", "10.0.0.4"]);
+    let complete = listing(&after, receiver.listing_selection(&control.id));
+    assert!(complete.is_complete);
+    assert_eq!(names(&complete), ["10.0.0.1", "10.0.0.4"]);
 }
 
 #[tokio::test]
@@ -170,14 +170,14 @@
     );
 }
 
-fn build_listing(changes: u64, is_whole: bool, hosts: &[(u8, u64)]) -> Listing {
+fn build_listing(changes: u64, is_complete: bool, hosts: &[(u8, u64)]) -> Listing {
     let hosts = hosts.iter().map(|(number, age_ms)| Member {
         host: host(*number, 5, false),
         age_ms: *age_ms,
     });
     Listing {
         version: Version { boot: 5, changes },
-        is_whole,
+        is_complete,
         hosts: hosts.collect(),
     }
 }
