--- a/crates/kumquatdrum/tests/gateway/control.rs
+++ b/crates/kumquatdrum/tests/gateway/control.rs
@@ -124,8 +124,8 @@
 async fn a_leaving_endpoint_gets_no_requests_once_its_leave_is_acknowledged() {
     let cluster = Cluster::start(24);
     cluster.apply(&config(1)).await;
-    let leaving = Endpoint::start("i-1", Behaviour::Whole).await;
-    let staying = Endpoint::start("i-2", Behaviour::Whole).await;
+    let leaving = Endpoint::start("i-1", Behaviour::CompleteBody).await;
+    let staying = Endpoint::start("i-2", Behaviour::CompleteBody).await;
     cluster.announce(&leaving, "plain", "ready", 1).await;
     cluster.announce(&staying, "plain", "ready", 1).await;
     for host in [3, 4] {
@@ -151,8 +151,8 @@
 async fn hosts_that_all_restart_recall_the_endpoints_from_disk() {
     let mut cluster = Cluster::start(26);
     cluster.apply(&config(1)).await;
-    let staying = Endpoint::start("i-1", Behaviour::Whole).await;
-    let leaving = Endpoint::start("i-2", Behaviour::Whole).await;
+    let staying = Endpoint::start("i-1", Behaviour::CompleteBody).await;
+    let leaving = Endpoint::start("i-2", Behaviour::CompleteBody).await;
     cluster.announce(&staying, "plain", "ready", 1).await;
     cluster.announce(&leaving, "plain", "ready", 1).await;
     cluster.wait_until_ready(3, &leaving).await;
@@ -184,7 +184,7 @@
 async fn a_damaged_endpoints_file_is_logged_and_the_host_starts_without_it() {
     let mut cluster = Cluster::start(27);
     cluster.apply(&config(1)).await;
-    let endpoint = Endpoint::start("i-1", Behaviour::Whole).await;
+    let endpoint = Endpoint::start("i-1", Behaviour::CompleteBody).await;
     cluster.announce(&endpoint, "plain", "ready", 1).await;
     cluster.wait_until_stored(0, &endpoint).await;
     cluster.kill(0);
--- a/crates/kumquatdrum/tests/gateway/endpoint.rs
+++ b/crates/kumquatdrum/tests/gateway/endpoint.rs
@@ -16,25 +16,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behaviour {
     /// With a complete body of known length.
-    Whole,
-    /// With [`SIX_EVENTS`] on stream routes, else as [`Self::Whole`].
-    ByPath,
+    CompleteBody,
+    /// With [`SIX_EVENTS`] on stream routes, else as [`Self::CompleteBody`].
+    StreamOrCompleteBody,
     /// With the answer to a different attempt.
-    OtherAttempt,
+    AnswerOtherAttempt,
     /// Not at all: closes the connection after reading the request.
-    NoAnswer,
+    CloseWithoutAnswer,
     /// With the answer, followed by an unsolicited second one.
-    ExtraAnswer,
+    AnswerTwice,
     /// With a complete stream of events, resumed after the last event id of the request.
-    Stream { events: u64, pause: Duration },
+    CompleteStream { events: u64, pause: Duration },
     /// With events up to `after`, and half of the next one.
-    Truncated { after: u64 },
+    TruncatedStream { after: u64 },
     /// With half a body of unknown length, and then a reset of the connection.
-    Reset,
+    ResetInBody,
 }
 
 /// A stream that lasts long enough for faults to occur during it.
-pub const SIX_EVENTS: Behaviour = Behaviour::Stream {
+pub const SIX_EVENTS: Behaviour = Behaviour::CompleteStream {
     events: 6,
     pause: Duration::from_millis(40),
 };
@@ -111,8 +111,8 @@
     let after: u64 = header("Last-Event-Id").parse().unwrap_or(0);
     *record.attempts.lock().entry(attempt.clone()).or_default() += 1;
     let behaviour = match behaviour {
-        Behaviour::ByPath if request.contains(" /stream/") => SIX_EVENTS,
-        Behaviour::ByPath => Behaviour::Whole,
+        Behaviour::StreamOrCompleteBody if request.contains(" /stream/") => SIX_EVENTS,
+        Behaviour::StreamOrCompleteBody => Behaviour::CompleteBody,
         behaviour => behaviour,
     };
     record.requests.lock().push(request.clone());
@@ -130,23 +130,25 @@
     behaviour: Behaviour,
     after: u64,
 ) -> std::io::Result<()> {
-    let whole = |attempt: &str| head("200 OK", attempt, "Content-Length: 5\r\n") + "whole";
+    let complete = |attempt: &str| head("200 OK", attempt, "Content-Length: 5\r\n") + "whole";
     let events = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n";
     match behaviour {
-        Behaviour::Whole | Behaviour::ByPath => stream.write_all(whole(attempt).as_bytes()).await,
-        Behaviour::OtherAttempt => stream.write_all(whole("another").as_bytes()).await,
-        Behaviour::ExtraAnswer => {
-            let twice = whole(attempt) + &whole("another");
+        Behaviour::CompleteBody | Behaviour::StreamOrCompleteBody => {
+            stream.write_all(complete(attempt).as_bytes()).await
+        }
+        Behaviour::AnswerOtherAttempt => stream.write_all(complete("another").as_bytes()).await,
+        Behaviour::AnswerTwice => {
+            let twice = complete(attempt) + &complete("another");
             stream.write_all(twice.as_bytes()).await
         }
-        Behaviour::NoAnswer => Ok(()),
-        Behaviour::Reset => {
+        Behaviour::CloseWithoutAnswer => Ok(()),
+        Behaviour::ResetInBody => {
             let half = head("200 OK", attempt, "Connection: close\r\n") + "ha";
             stream.write_all(half.as_bytes()).await?;
             reset_on_close(stream);
             Ok(())
         }
-        Behaviour::Truncated { after: last } => {
+        Behaviour::TruncatedStream { after: last } => {
             let mut text = head("200 OK", attempt, events);
             for event in after + 1..=last {
                 text += &chunk(&format!("id: {event}\ndata: piece {event}\n\n"));
@@ -154,7 +156,7 @@
             text += &chunk(&format!("id: {}\nda", last + 1));
             stream.write_all(text.as_bytes()).await
         }
-        Behaviour::Stream {
+        Behaviour::CompleteStream {
             events: last,
             pause,
         } => {
--- a/crates/kumquatdrum/tests/gateway/explain.rs
+++ b/crates/kumquatdrum/tests/gateway/explain.rs
@@ -39,7 +39,7 @@
 async fn an_endpoint_that_failed_midway_is_named() {
     let cluster = Cluster::start(41);
     cluster.apply(&config(1)).await;
-    let broken = Endpoint::start("i-broken", Behaviour::Truncated { after: 2 }).await;
+    let broken = Endpoint::start("i-broken", Behaviour::TruncatedStream { after: 2 }).await;
     cluster.announce(&broken, "plain", "ready", 1).await;
     cluster.wait_until_ready(3, &broken).await;
     let answer = cluster.request(3, "/stream/x", "at-midway").send().await;
@@ -58,7 +58,7 @@
 async fn a_refusal_names_its_reason() {
     let cluster = Cluster::start(42);
     cluster.apply(&config(1)).await;
-    let other = Endpoint::start("i-1", Behaviour::Whole).await;
+    let other = Endpoint::start("i-1", Behaviour::CompleteBody).await;
     cluster
         .announce(&other, "another-service", "ready", 1)
         .await;
--- a/crates/kumquatdrum/tests/gateway/fanout.rs
+++ b/crates/kumquatdrum/tests/gateway/fanout.rs
@@ -26,8 +26,8 @@
 async fn a_leaving_endpoint_is_known_on_all_hosts_once_acknowledged_even_with_a_frozen_relay() {
     let cluster = Cluster::with_hosts(51, HOSTS);
     cluster.apply(&config(1)).await;
-    let endpoint = Endpoint::start("i-1", Behaviour::Whole).await;
-    let next = Endpoint::start("i-2", Behaviour::Whole).await;
+    let endpoint = Endpoint::start("i-1", Behaviour::CompleteBody).await;
+    let next = Endpoint::start("i-2", Behaviour::CompleteBody).await;
     for endpoint in [&endpoint, &next] {
         cluster.announce(endpoint, "plain", "ready", 1).await;
     }
--- a/crates/kumquatdrum/tests/gateway/path.rs
+++ b/crates/kumquatdrum/tests/gateway/path.rs
@@ -16,7 +16,7 @@
 
 #[tokio::test]
 async fn a_request_reaches_its_endpoint_unchanged() {
-    let (cluster, endpoint) = start_with_endpoint(1, Behaviour::Whole).await;
+    let (cluster, endpoint) = start_with_endpoint(1, Behaviour::CompleteBody).await;
     let call = cluster.request(3, "/safe/a%20b?c=d&e", "at-1");
     let answer = call
         .header("Kumquatdrum-Tenant", "forged")
@@ -62,7 +62,7 @@
 
 #[tokio::test]
 async fn an_answer_to_another_request_is_not_forwarded() {
-    let (cluster, endpoint) = start_with_endpoint(2, Behaviour::OtherAttempt).await;
+    let (cluster, endpoint) = start_with_endpoint(2, Behaviour::AnswerOtherAttempt).await;
     let answer = cluster.request(3, "/unsafe/x", "at-1").send().await;
     assert_eq!(answer.expect("an answer").status(), StatusCode::BAD_GATEWAY);
     assert_eq!(endpoint.runs(), 1);
@@ -70,8 +70,8 @@
 
 #[tokio::test]
 async fn only_a_safe_request_is_retried_when_its_answer_is_lost() {
-    let (cluster, endpoint) = start_with_endpoint(3, Behaviour::NoAnswer).await;
-    let other = Endpoint::start("i-2", Behaviour::NoAnswer).await;
+    let (cluster, endpoint) = start_with_endpoint(3, Behaviour::CloseWithoutAnswer).await;
+    let other = Endpoint::start("i-2", Behaviour::CloseWithoutAnswer).await;
     cluster.announce(&other, "plain", "ready", 1).await;
     cluster.wait_until_ready(3, &other).await;
     let answer = cluster.request(3, "/unsafe/x", "at-1").send().await;
@@ -85,7 +85,7 @@
 
 #[tokio::test]
 async fn bytes_after_an_answer_are_not_forwarded() {
-    let (cluster, _endpoint) = start_with_endpoint(4, Behaviour::ExtraAnswer).await;
+    let (cluster, _endpoint) = start_with_endpoint(4, Behaviour::AnswerTwice).await;
     for attempt in ["at-1", "at-2", "at-3"] {
         let answer = cluster.request(3, "/safe/x", attempt).send().await;
         let answer = answer.expect("an answer");
@@ -97,15 +97,15 @@
 
 #[tokio::test]
 async fn an_answer_without_length_that_is_reset_fails_with_bad_gateway() {
-    let (cluster, _endpoint) = start_with_endpoint(5, Behaviour::Reset).await;
+    let (cluster, _endpoint) = start_with_endpoint(5, Behaviour::ResetInBody).await;
     let answer = cluster.request(3, "/unsafe/x", "at-1").send().await;
     assert_eq!(answer.expect("an answer").status(), StatusCode::BAD_GATEWAY);
 }
 
 #[tokio::test]
 async fn requests_succeed_despite_a_stale_announcement_of_the_same_address() {
-    let (cluster, endpoint) = start_with_endpoint(6, Behaviour::Whole).await;
-    let mut stale = Endpoint::start("i-0", Behaviour::Whole).await;
+    let (cluster, endpoint) = start_with_endpoint(6, Behaviour::CompleteBody).await;
+    let mut stale = Endpoint::start("i-0", Behaviour::CompleteBody).await;
     stale.address = endpoint.address;
     // Both have the same start time, so that neither replaces the other.
     cluster.announce(&stale, "plain", "ready", 1).await;
--- a/crates/kumquatdrum/tests/gateway/soak.rs
+++ b/crates/kumquatdrum/tests/gateway/soak.rs
@@ -79,7 +79,8 @@
     let mut endpoints = Vec::new();
     let mut proxies = Vec::new();
     for number in 0..3 {
-        let mut endpoint = Endpoint::start(&format!("i-{number}"), Behaviour::ByPath).await;
+        let mut endpoint =
+            Endpoint::start(&format!("i-{number}"), Behaviour::StreamOrCompleteBody).await;
         let proxy = Proxy::start(endpoint.address).await;
         endpoint.address = proxy.address;
         cluster.announce(&endpoint, "plain", "ready", 1).await;
--- a/crates/kumquatdrum/tests/gateway/stop.rs
+++ b/crates/kumquatdrum/tests/gateway/stop.rs
@@ -12,7 +12,7 @@
     let mut cluster = Cluster::start(31);
     cluster.apply(&config(1)).await;
     let pause = Duration::from_millis(300);
-    let endpoint = Endpoint::start("i-1", Behaviour::Stream { events: 10, pause }).await;
+    let endpoint = Endpoint::start("i-1", Behaviour::CompleteStream { events: 10, pause }).await;
     cluster.announce(&endpoint, "plain", "ready", 1).await;
     cluster.wait_until_ready(3, &endpoint).await;
     let call = cluster.request(3, "/stream/x", "at-1").send();
--- a/crates/kumquatdrum/tests/gateway/streams.rs
+++ b/crates/kumquatdrum/tests/gateway/streams.rs
@@ -23,9 +23,9 @@
 ) -> (Cluster, Endpoint, Endpoint) {
     let cluster = Cluster::start(subnet);
     cluster.apply(&config(3)).await;
-    let broken = Endpoint::start("i-1", Behaviour::Truncated { after }).await;
+    let broken = Endpoint::start("i-1", Behaviour::TruncatedStream { after }).await;
     let pause = Duration::from_millis(5);
-    let healthy = Endpoint::start("i-2", Behaviour::Stream { events, pause }).await;
+    let healthy = Endpoint::start("i-2", Behaviour::CompleteStream { events, pause }).await;
     for endpoint in [&broken, &healthy] {
         cluster.announce(endpoint, "plain", "ready", 1).await;
         cluster.wait_until_ready(3, endpoint).await;
@@ -73,7 +73,7 @@
     let cluster = Cluster::start(12);
     cluster.apply(&config(3)).await;
     let pause = Duration::from_secs(5);
-    let slow = Endpoint::start("i-1", Behaviour::Stream { events: 3, pause }).await;
+    let slow = Endpoint::start("i-1", Behaviour::CompleteStream { events: 3, pause }).await;
     cluster.announce(&slow, "plain", "ready", 1).await;
     cluster.wait_until_ready(3, &slow).await;
     let call = cluster.request(3, "/stream/x", "at-1");
