--- a/crates/kumquatdrum_consensus/src/change.rs
+++ b/crates/kumquatdrum_consensus/src/change.rs
@@ -1,6 +1,7 @@
 //! Replica changes: new voters join as learners, then a joint change replaces the voters.
 //!
-//! One change runs at a time. The leader itself replaces a voter whose host has a new incarnation.
+//! One change runs at a time. Without a request, the leader replaces a voter whose host announces a
+//! new incarnation.
 
 use kumquatdrum_types::Moment;
 
--- a/crates/kumquatdrum_daemon/src/admission.rs
+++ b/crates/kumquatdrum_daemon/src/admission.rs
@@ -31,7 +31,8 @@
     requested.unwrap_or_else(|| kumquatdrum_declaration::is_idempotent(service, method, path))
 }
 
-/// Estimates the tokens in `bytes` of text, at least 1.
+/// Estimates the tokens in `bytes` of text, at least 1. `bytes_per_token_milli` is in thousandths
+/// of a byte.
 ///
 /// ```
 /// assert_eq!(kumquatdrum_daemon::admission::estimate_tokens(8_000, 4_000), 2_000);
--- a/crates/kumquatdrum_gateway/src/broadcast.rs
+++ b/crates/kumquatdrum_gateway/src/broadcast.rs
@@ -25,8 +25,8 @@
 /// The minimum interval between log lines about unreadable datagrams.
 const UNREADABLE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Broadcasts dispatch events to other hosts. A lost event is corrected when the job ends or
-/// expires.
+/// Broadcasts dispatch events to other hosts. A lost event is corrected by a later broadcast about
+/// the job, or when the job expires.
 pub struct Broadcaster {
     clock: Clock,
     socket: UdpSocket,
--- a/crates/kumquatdrum_gateway/src/call/stream.rs
+++ b/crates/kumquatdrum_gateway/src/call/stream.rs
@@ -134,7 +134,7 @@
 }
 
 impl Forwarder {
-    /// Records the failure of the endpoint, and returns the attempts to the caller.
+    /// Records the failure of the endpoint, and moves the attempts back into `attempts`.
     fn fail(mut self, attempts: &mut Attempts, reason: String) -> (Pick, String) {
         *attempts = std::mem::take(&mut self.attempts);
         let pick = self.pick.take().expect("the picked endpoint");
--- a/crates/kumquatdrum_gateway/src/pool.rs
+++ b/crates/kumquatdrum_gateway/src/pool.rs
@@ -95,7 +95,7 @@
 pub enum Rejection {
     /// No endpoint of the service is known.
     NoEndpoint,
-    /// The prompt exceeds the memory of every engine.
+    /// The prompt exceeds the combined memory of the candidate engines.
     TooLarge,
     /// The cost of the request to other callers exceeds its value.
     TooCostly,
--- a/crates/kumquatdrum_membership/src/key.rs
+++ b/crates/kumquatdrum_membership/src/key.rs
@@ -5,8 +5,8 @@
 use kumquatdrum_types::{Announcement, endpoint, hash};
 use serde::{Deserialize, Serialize};
 
-/// Digest of an announcement without its sequence number, load and leaving flag. A host requests
-/// the record of an unknown key; the response contains every record with a colliding key.
+/// Digest of an announcement without its sequence number, load and leaving flag. Keys may collide,
+/// so the response to a request for a key contains all records with that key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key([u8; 4]);
 
--- a/crates/kumquatdrum_membership/src/propagation/machine.rs
+++ b/crates/kumquatdrum_membership/src/propagation/machine.rs
@@ -55,6 +55,7 @@
     pub(super) pending_fetch: Option<Fetch>,
     /// Pending notifications about the current version, by data centre.
     pub(super) notifications: IndexMap<DataCentre, Notification>,
+    /// Latest contact of this host's own control replica with a majority.
     pub(super) own_majority_at: Option<Moment>,
     /// Latest contact with a majority reported directly by a control replica.
     pub(super) direct_majority_at: Option<Moment>,
--- a/crates/kumquatdrum_placement/src/short_prompt.rs
+++ b/crates/kumquatdrum_placement/src/short_prompt.rs
@@ -60,7 +60,8 @@
     Delayed,
     /// The engine decodes no such answers; placing one would keep long prefills away from it.
     Unpacked,
-    /// The first token would probably be late.
+    /// The first token would probably be late, or the engine decodes no such answers and cannot
+    /// start soon.
     Late,
 }
 
@@ -72,7 +73,7 @@
     /// if the first token would be late.
     is_remote: bool,
     preference: Preference,
-    /// The number of answers, if it matters for the preference.
+    /// The number of answers, the most first; 0 if it does not matter for the preference.
     decodes: Reverse<usize>,
     /// The estimated time to first token, in microseconds.
     first_token_us: u64,
--- a/crates/kumquatdrum_routing/src/endpoint.rs
+++ b/crates/kumquatdrum_routing/src/endpoint.rs
@@ -13,8 +13,8 @@
 const MIN_EJECTION: Duration = Duration::from_millis(250);
 /// The longest ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(8);
-/// The minimum share of this owner's reported prompt tokens that counts as backlog until the first
-/// token.
+/// The lower bound of the reported backlog, as a share of the prompt tokens of this owner's reported
+/// attempts without a first token.
 const PENDING_SHARE: f64 = 0.1;
 
 /// The load that an attempt adds to an endpoint.
@@ -56,6 +56,7 @@
     pending_tokens: u64,
     pending_short_tokens: u64,
     pending_first_priority_tokens: u64,
+    /// Memory of reported attempts that have ended since the report.
     freed_memory: u64,
 }
 
--- a/crates/kumquatdrum_routing/src/limits.rs
+++ b/crates/kumquatdrum_routing/src/limits.rs
@@ -24,9 +24,9 @@
 pub const FLOOR_SHARE: f64 = 0.3;
 /// The duration of a grant, starting when its demand was sent.
 pub const LEASE_DURATION: Duration = Duration::from_secs(2);
-/// How long a host stays bound to a coordinator after it echoed one of its timestamps: a lease
-/// during which the coordinator counts the host as bound, another for the last grant, and a margin
-/// for clock drift.
+/// How long a host stays bound to a coordinator after echoing a timestamp of that coordinator: a
+/// lease during which the coordinator counts the host as bound, another for the last grant, and a
+/// margin for clock drift.
 pub const BINDING_DURATION: Duration = Duration::from_millis(4_200);
 /// The interval at which a host sends demands.
 pub const DEMAND_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/kumquatdrum_routing/src/limits/limiter.rs
+++ b/crates/kumquatdrum_routing/src/limits/limiter.rs
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Records the end of an admitted request and the tokens that it used.
+    /// Records the end of an admitted request and the tokens that it used. `expected` is the number
+    /// that was passed to [`Limiter::admit`].
     pub fn finish(&mut self, now: Moment, workspace: &WorkspaceName, expected: u64, used: u64) {
         let hosts = self.hosts;
         let Some(state) = self.workspaces.get_mut(workspace) else {
@@ -249,7 +250,7 @@
         if now < self.granted_until || self.granted == Share::default() {
             return;
         }
-        // Refills since the end of the lease were not granted.
+        // The buckets refill at the granted rate only until the end of the lease.
         let end = self.granted_until;
         self.granted = Share::default();
         self.set_rates(end, hosts);
--- a/crates/kumquatdrum_routing/src/policy/arrivals.rs
+++ b/crates/kumquatdrum_routing/src/policy/arrivals.rs
@@ -31,7 +31,7 @@
         self.last_at = now;
     }
 
-    /// Returns the rate at `now`, averaged over the observed time only at the start.
+    /// Returns the rate at `now`. At the start, the average covers only the time observed so far.
     pub(super) fn per_second(&self, now: Moment) -> f64 {
         let Some(first_at) = self.first_at else {
             return 0.0;
--- a/crates/kumquatdrum_routing/src/settings.rs
+++ b/crates/kumquatdrum_routing/src/settings.rs
@@ -23,7 +23,8 @@
     pub report_lag: Duration,
     /// The most waiting requests.
     pub queue_limit: usize,
-    /// Engines kept clear of long prefills, as a multiple of those that short requests need.
+    /// Engines kept clear of medium and long prefills, as a multiple of those that short requests
+    /// need.
     pub short_headroom: f64,
     /// The estimated backlog up to which an engine gets another short request.
     pub short_depth: Duration,
@@ -32,7 +33,8 @@
     pub medium_depth: Duration,
     /// The estimated backlog up to which an engine gets another long request.
     pub long_depth: Duration,
-    /// The time added to an engine's estimate for each owner with precedence there.
+    /// The time added to an engine's estimate for a long or spanning request, for each owner with
+    /// precedence there.
     pub rank_step: Duration,
 }
 
--- a/crates/kumquatdrum_routing/tests/limits.rs
+++ b/crates/kumquatdrum_routing/tests/limits.rs
@@ -304,7 +304,7 @@
     let mut cluster = Cluster::new(&[400.0; HOSTS]);
     cluster.run(10);
     for round in 0..40 {
-        // Alternates between two majorities that share one host.
+        // Splits the hosts into five and four, shifted by one host each round.
         cluster.partition = (0..HOSTS)
             .map(|index| usize::from((index + round) % HOSTS < 4))
             .collect();
--- a/crates/kumquatdrum_routing/tests/queue.rs
+++ b/crates/kumquatdrum_routing/tests/queue.rs
@@ -141,7 +141,7 @@
             }
         }
     }
-    // At ten times the capacity, most requests are refused on arrival and few remain queued.
+    // At twenty times the capacity, most requests are refused on arrival and few remain queued.
     assert!(refusals_at.len() > 1_000, "{} refusals", refusals_at.len());
     assert!(
         simulation.router.queued() < 200,
