--- a/crates/kumquatdrum_consensus/src/leader.rs
+++ b/crates/kumquatdrum_consensus/src/leader.rs
@@ -28,7 +28,7 @@
     pub(crate) commit_at_heartbeat: LogIndex,
     /// Size of the uncommitted entries.
     uncommitted_bytes: usize,
-    pending_proposals: VecDeque<Waiter>,
+    pending_proposals: VecDeque<PendingProposal>,
     pub(crate) pending_reads: VecDeque<read::Request>,
     /// New incarnations of voters' hosts that are to become learners.
     pub(crate) joining: IndexMap<HostId, Member>,
@@ -37,7 +37,7 @@
 
 /// A proposal that awaits the commit and application of its entry.
 #[derive(Debug)]
-struct Waiter {
+struct PendingProposal {
     index: LogIndex,
     token: Token,
 }
@@ -249,7 +249,9 @@
         let index = self.append(Content::Payload(proposal.payload));
         if let Role::Leader(leader) = &mut self.role {
             let token = proposal.token;
-            leader.pending_proposals.push_back(Waiter { index, token });
+            leader
+                .pending_proposals
+                .push_back(PendingProposal { index, token });
         }
     }
 
@@ -291,8 +293,8 @@
         let done = leader
             .pending_proposals
             .partition_point(|proposal| proposal.index <= applied);
-        let done: Vec<Waiter> = leader.pending_proposals.drain(..done).collect();
-        for Waiter { index, token } in done {
+        let done: Vec<PendingProposal> = leader.pending_proposals.drain(..done).collect();
+        for PendingProposal { index, token } in done {
             self.report_outcome(token, ProposalOutcome::Committed { index });
         }
     }
--- a/crates/kumquatdrum_gateway/src/endpoints.rs
+++ b/crates/kumquatdrum_gateway/src/endpoints.rs
@@ -49,7 +49,7 @@
         state.unpublished.insert(id.clone());
         let update = state.registry.update_for(now, &id);
         drop(state);
-        self.log_change(change, update.as_ref(), "endpoint");
+        self.log_and_notify(change, update.as_ref(), "endpoint");
         (change, update)
     }
 
@@ -74,7 +74,7 @@
             let received = update.clone();
             let change = self.state.lock().registry.merge(now, update);
             has_changed |= matches!(change, Change::New | Change::Changed);
-            self.log_change(change, Some(&received), from);
+            self.log_and_notify(change, Some(&received), from);
         }
         has_changed
     }
@@ -133,7 +133,8 @@
         published
     }
 
-    fn log_change(&self, change: Change, update: Option<&Update>, from: &str) {
+    /// Logs a new or changed endpoint, and wakes the task that waits for changes.
+    fn log_and_notify(&self, change: Change, update: Option<&Update>, from: &str) {
         let Some(update) = update.filter(|_| matches!(change, Change::New | Change::Changed))
         else {
             return;
--- a/crates/kumquatdrum_routing/src/endpoint.rs
+++ b/crates/kumquatdrum_routing/src/endpoint.rs
@@ -53,7 +53,7 @@
     unreported_count: u32,
     unreported_tokens: u64,
     unreported_memory: u64,
-    pending_tokens: u64,
+    reported_pending_tokens: u64,
     pending_short_tokens: u64,
     pending_first_priority_tokens: u64,
     /// Memory of reported attempts that have ended since the report.
@@ -225,7 +225,7 @@
     pub fn backlog_tokens(&self, now: Moment, rate: f64) -> f64 {
         let age = (now - self.report.at).as_secs_f64();
         let reported = self.report.prefill_tokens as f64 - rate * self.speed_factor * age;
-        let pending = self.totals.pending_tokens as f64 * PENDING_SHARE;
+        let pending = self.totals.reported_pending_tokens as f64 * PENDING_SHARE;
         reported.max(pending) + self.totals.unreported_tokens as f64
     }
 
@@ -274,7 +274,7 @@
             self.pending_first_priority_tokens += attempt.load.tokens;
         }
         if attempt.is_reported {
-            self.pending_tokens += attempt.load.tokens;
+            self.reported_pending_tokens += attempt.load.tokens;
         } else {
             self.unreported_tokens += attempt.load.tokens;
         }
