--- a/crates/kumquatdrum_routing/src/endpoint.rs
+++ b/crates/kumquatdrum_routing/src/endpoint.rs
@@ -13,8 +13,8 @@
 const MIN_EJECTION: Duration = Duration::from_millis(250);
 /// The longest ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(8);
-/// The lower bound of the reported backlog, as a share of the prompt tokens of this owner's reported
-/// attempts without a first token.
+/// The lower bound of the reported backlog, as a share of the prompt tokens of this owner's
+/// reported attempts without a first token.
 const PENDING_SHARE: f64 = 0.1;
 
 /// The load that an attempt adds to an endpoint.
--- a/crates/kumquatdrum_routing/src/limits/coordinator.rs
+++ b/crates/kumquatdrum_routing/src/limits/coordinator.rs
@@ -138,7 +138,8 @@
         in_flight: 0,
         requests_until: now,
     });
-    // The host bound itself after `timestamp.at` and for longer, so its binding outlasts `bound_until`.
+    // The host bound itself after `timestamp.at` and for longer, so its binding outlasts
+    // `bound_until`.
     member.bound_until = member.bound_until.max(timestamp.at + LEASE_DURATION);
     member.in_flight = load.in_flight.saturating_sub(floor.concurrency);
     member.demanded = Share {
--- a/crates/kumquatdrum_routing/src/policy.rs
+++ b/crates/kumquatdrum_routing/src/policy.rs
@@ -48,8 +48,8 @@
     }
 }
 
-/// Returns the engine priority by size, short requests first. Requests close to their deadline rise
-/// by one. While short requests saturate the engines, all sizes are equal.
+/// Returns the engine priority by size, short requests first. Longer requests close to their
+/// deadline rise by one. While short requests saturate the engines, all sizes are equal.
 pub(crate) fn size_priority(now: Moment, job: &Job, pool: &Pool, is_saturated: bool) -> u8 {
     let tokens = job.prefill_tokens();
     let prefill = pool.rates.service_time(job.size, tokens, 0);
--- a/crates/kumquatdrum_routing/src/policy/latency.rs
+++ b/crates/kumquatdrum_routing/src/policy/latency.rs
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Returns how many of `count` engines are kept clear of medium and long prefills: those that the
-    /// short requests of all daemons need, with headroom.
+    /// Returns how many of `count` engines are kept clear of medium and long prefills: those that
+    /// the short requests of all daemons need, with headroom.
     fn protected_count(&self, now: Moment, pool: &Pool, count: usize) -> usize {
         let needed_count = (self.short_load(now, pool) * pool.settings.short_headroom).ceil() + 1.0;
         let max_count = (count as f64 * MAX_PROTECTED_SHARE).floor();
