--- a/crates/kumquatdrum_routing/src/endpoint.rs
+++ b/crates/kumquatdrum_routing/src/endpoint.rs
@@ -13,8 +13,8 @@
 const MIN_EJECTION: Duration = Duration::from_millis(250);
 /// The longest ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(8);
-/// The minimum share of this owner's reported prompt tokens that counts as backlog until the first
-/// token.
+/// The lower bound of the reported backlog, as a share of the prompt tokens of this owner's
+/// reported attempts without a first token.
 const PENDING_SHARE: f64 = 0.1;
 
 /// The load that an attempt adds to an endpoint.
@@ -53,9 +53,10 @@
     unreported_count: u32,
     unreported_tokens: u64,
     unreported_memory: u64,
-    pending_tokens: u64,
+    reported_pending_tokens: u64,
     pending_short_tokens: u64,
     pending_first_priority_tokens: u64,
+    /// Memory of reported attempts that have ended since the report.
     freed_memory: u64,
 }
 
@@ -224,7 +225,7 @@
     pub fn backlog_tokens(&self, now: Moment, rate: f64) -> f64 {
         let age = (now - self.report.at).as_secs_f64();
         let reported = self.report.prefill_tokens as f64 - rate * self.speed_factor * age;
-        let pending = self.totals.pending_tokens as f64 * PENDING_SHARE;
+        let pending = self.totals.reported_pending_tokens as f64 * PENDING_SHARE;
         reported.max(pending) + self.totals.unreported_tokens as f64
     }
 
@@ -273,7 +274,7 @@
             self.pending_first_priority_tokens += attempt.load.tokens;
         }
         if attempt.is_reported {
-            self.pending_tokens += attempt.load.tokens;
+            self.reported_pending_tokens += attempt.load.tokens;
         } else {
             self.unreported_tokens += attempt.load.tokens;
         }
