--- a/crates/kumquatdrum_host/src/control/replica.rs
+++ b/crates/kumquatdrum_host/src/control/replica.rs
@@ -365,8 +365,8 @@
     }
 
     fn publish_version(&mut self) {
-        if self.state.current() > self.published {
-            self.published = self.state.current();
+        if self.state.current_version() > self.published {
+            self.published = self.state.current_version();
             self.dependencies.members.publish(&self.state.offer());
         }
     }
--- a/crates/kumquatdrum_operator/tests/commands.rs
+++ b/crates/kumquatdrum_operator/tests/commands.rs
@@ -171,7 +171,7 @@
         (exit, out.as_str()),
         (Exit::Success, "accepted as version 1\n")
     );
-    assert_eq!(control.state.lock().unwrap().current(), Version(1));
+    assert_eq!(control.state.lock().unwrap().current_version(), Version(1));
     host.stop().await;
 }
 
--- a/crates/kumquatdrum_setup/src/history.rs
+++ b/crates/kumquatdrum_setup/src/history.rs
@@ -83,7 +83,7 @@
 
 impl History {
     /// Returns the version in force, 0 before the first apply.
-    pub fn current(&self) -> Version {
+    pub fn current_version(&self) -> Version {
         Version(self.versions.len() as u64)
     }
 
@@ -120,7 +120,7 @@
     ///
     /// The text is not verified; [`Record::content`] holds the digest of the original.
     pub fn text(&self, version: Version) -> Option<Arc<str>> {
-        if version == self.current() {
+        if version == self.current_version() {
             return Some(Arc::clone(&self.current));
         }
         if version == Version(0) {
@@ -159,7 +159,7 @@
             content: Digest::of(text.as_bytes()),
             text: encoding,
         });
-        self.by_id.insert(apply_id, self.current());
+        self.by_id.insert(apply_id, self.current_version());
         self.current = Arc::clone(text);
     }
 
--- a/crates/kumquatdrum_setup/src/state.rs
+++ b/crates/kumquatdrum_setup/src/state.rs
@@ -98,7 +98,7 @@
 
     /// Returns the places at which a new declaration differs from the one in force.
     fn changes(&self, request: &ApplyRequest, new: &Declaration) -> Vec<String> {
-        if request.base != self.current() {
+        if request.base != self.current_version() {
             return Vec::new();
         }
         let old = kumquatdrum_declaration::parse(self.history.current_text());
@@ -157,7 +157,7 @@
     }
 
     fn decide(&self, request: &ApplyRequest) -> ApplyAnswer {
-        let current = self.current();
+        let current = self.current_version();
         if request.base == current && !self.premature.contains_key(&request.apply_id) {
             let version = Version(current.0 + 1);
             ApplyAnswer::Accepted { version }
@@ -167,7 +167,7 @@
     }
 
     fn record_premature(&mut self, request: &ApplyRequest) {
-        if request.base <= self.current() {
+        if request.base <= self.current_version() {
             return;
         }
         if self.premature.len() >= MAX_PREMATURE_APPLIES {
@@ -233,8 +233,8 @@
     }
 
     /// Returns the version in force.
-    pub fn current(&self) -> Version {
-        self.history.current()
+    pub fn current_version(&self) -> Version {
+        self.history.current_version()
     }
 
     /// Returns the history of all versions.
@@ -254,7 +254,7 @@
 
     /// Returns the version in force as an offer to other hosts.
     pub fn offer(&self) -> in_force::Offer {
-        let revision = self.revision(self.current(), Standing::Confirmed);
+        let revision = self.revision(self.current_version(), Standing::Confirmed);
         let revision = revision.expect("the current version exists");
         in_force::Offer {
             version: revision.version,
@@ -267,7 +267,7 @@
     /// Returns a version with its text; `None` if the version does not exist.
     pub fn show(&self, selector: Selector, standing: Standing) -> Option<Revision> {
         let version = match selector {
-            Selector::Current => self.current(),
+            Selector::Current => self.current_version(),
             Selector::Version(version) => version,
             Selector::At(unix_ms) => self.history.version_at(unix_ms),
         };
--- a/crates/kumquatdrum_setup/tests/apply.rs
+++ b/crates/kumquatdrum_setup/tests/apply.rs
@@ -43,7 +43,7 @@
     let trail = state.trail().clone();
     let answer = support::run(&mut state, stamp(0), action);
     assert_eq!(answer, kumquatdrum_setup::Answer::Apply(accepted(1)));
-    assert_eq!(state.current(), Version(2));
+    assert_eq!(state.current_version(), Version(2));
     assert_eq!(*state.trail(), trail);
 }
 
@@ -74,7 +74,7 @@
     };
     assert_eq!(apply(&mut state, &with_id(1, 2)), taken);
     assert_eq!(apply(&mut state, &with_id(0, 1)), accepted(1));
-    assert_eq!(state.current(), Version(1));
+    assert_eq!(state.current_version(), Version(1));
 }
 
 #[test]
@@ -97,7 +97,7 @@
     };
     assert_eq!(findings[0].place, "/workspaces/0/keys/0/sha256");
     assert!(!contains(&state.encode()));
-    assert_eq!(state.current(), Version(0));
+    assert_eq!(state.current_version(), Version(0));
     let (_, entries) = state.trail().page(1, 9);
     assert_eq!(entries[0].record.outcome, Outcome::Refused);
     assert_eq!(entries[0].record.places, ["/workspaces/0/keys/0/sha256"]);
--- a/crates/kumquatdrum_setup/tests/determinism.rs
+++ b/crates/kumquatdrum_setup/tests/determinism.rs
@@ -44,7 +44,7 @@
                 .collect::<Result<_>>()?,
         ),
         _ => {
-            let base = state.current().0 + u.int_in_range(0..=2)?;
+            let base = state.current_version().0 + u.int_in_range(0..=2)?;
             let operator = u.choose(&["a", "b"])?;
             // The ranges are small, so that some applies are resends.
             let request = request(operator, base.saturating_sub(1), u.int_in_range(0..=3)?);
@@ -67,7 +67,7 @@
             },
             action: random_action(u, &state)?,
         };
-        let before = state.current();
+        let before = state.current_version();
         let answer = state.apply(index, &command);
         let sent = Command::decode(&command.encode()).expect("the command can be decoded");
         assert_eq!(restored_state.apply(index, &sent), answer);
@@ -75,7 +75,7 @@
             restored_state = restored(&restored_state);
         }
         assert!(state == restored_state);
-        assert!(before <= state.current());
+        assert!(before <= state.current_version());
     }
     assert_eq!(state.encode(), restored_state.encode());
     let (previous, entries) = state.trail().page(1, usize::MAX);
--- a/crates/kumquatdrum_setup/tests/races.rs
+++ b/crates/kumquatdrum_setup/tests/races.rs
@@ -89,7 +89,7 @@
         (won(first) && lost(second)) || (won(second) && lost(first)),
         "{answers:?}"
     );
-    assert!(state.current() <= Version(2));
+    assert!(state.current_version() <= Version(2));
 }
 
 #[test]
