--- a/crates/kumquatdrum_gateway/src/inbox.rs
+++ b/crates/kumquatdrum_gateway/src/inbox.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use kumquatdrum_consensus::Message;
-use kumquatdrum_peer::{Answer, Channel, Error, Handler, Identity};
+use kumquatdrum_peer::{Channel, Error, Handler, Identity, ResponseFuture};
 use slog::warn;
 
 use crate::Gateway;
@@ -49,7 +49,7 @@
         }
     }
 
-    fn answer(&self, from: &Identity, _channel: Channel, body: Bytes) -> Answer<'_> {
+    fn answer(&self, from: &Identity, _channel: Channel, body: Bytes) -> ResponseFuture<'_> {
         let from = from.clone();
         Box::pin(async move {
             let gateway = self
--- a/crates/kumquatdrum_host/src/control/proxy.rs
+++ b/crates/kumquatdrum_host/src/control/proxy.rs
@@ -5,7 +5,7 @@
 
 use kumquatdrum_peer::{Channel, Client};
 use kumquatdrum_setup::claim::Holder;
-use kumquatdrum_setup::control::{Page, Reply, Status};
+use kumquatdrum_setup::control::{Page, ResponseFuture, Status};
 use kumquatdrum_setup::{
     ApplyAnswer, ApplyRequest, Claim, ClaimAnswer, Control, Digest, Failure, Revision, Selector,
     SettleAnswer, Settlement, Standing,
@@ -226,15 +226,15 @@
 }
 
 impl Control for Proxy {
-    fn apply(&self, request: ApplyRequest) -> Reply<'_, ApplyAnswer> {
+    fn apply(&self, request: ApplyRequest) -> ResponseFuture<'_, ApplyAnswer> {
         expect!(self.request(Request::Apply(request)), Response::Apply)
     }
 
-    fn show(&self, selector: Selector) -> Reply<'_, Revision> {
+    fn show(&self, selector: Selector) -> ResponseFuture<'_, Revision> {
         Box::pin(self.show_current(selector))
     }
 
-    fn audit(&self, from: u64, limit: usize) -> Reply<'_, Page> {
+    fn audit(&self, from: u64, limit: usize) -> ResponseFuture<'_, Page> {
         let limit = limit as u64;
         expect!(
             self.request(Request::Audit { from, limit }),
@@ -242,19 +242,23 @@
         )
     }
 
-    fn status(&self) -> Reply<'_, Status> {
+    fn status(&self) -> ResponseFuture<'_, Status> {
         Box::pin(async move { Ok(self.gather_status().await) })
     }
 
-    fn claim(&self, claims: Vec<Claim>) -> Reply<'_, Vec<ClaimAnswer>> {
+    fn claim(&self, claims: Vec<Claim>) -> ResponseFuture<'_, Vec<ClaimAnswer>> {
         expect!(self.request(Request::Claim(claims)), Response::Claim)
     }
 
-    fn settle(&self, settlements: Vec<Settlement>) -> Reply<'_, Vec<SettleAnswer>> {
+    fn settle(&self, settlements: Vec<Settlement>) -> ResponseFuture<'_, Vec<SettleAnswer>> {
         expect!(self.request(Request::Settle(settlements)), Response::Settle)
     }
 
-    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Holder>> {
+    fn key(
+        &self,
+        workspace: &WorkspaceName,
+        key: &IdempotencyKey,
+    ) -> ResponseFuture<'_, Option<Holder>> {
         let request = Request::Key(workspace.clone(), key.clone());
         expect!(self.request(request), Response::Key)
     }
--- a/crates/kumquatdrum_host/src/peers.rs
+++ b/crates/kumquatdrum_host/src/peers.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use kumquatdrum_peer::{Answer, Channel, Error, Handler, Identity};
+use kumquatdrum_peer::{Channel, Error, Handler, Identity, ResponseFuture};
 use kumquatdrum_setup::Failure;
 use slog::warn;
 
@@ -47,7 +47,7 @@
         }
     }
 
-    fn answer(&self, from: &Identity, channel: Channel, body: Bytes) -> Answer<'_> {
+    fn answer(&self, from: &Identity, channel: Channel, body: Bytes) -> ResponseFuture<'_> {
         let request = match (channel, postcard::from_bytes(&body)) {
             (Channel::Control, Ok(request)) => request,
             (_, Ok(_)) => {
--- a/crates/kumquatdrum_operator/tests/support/mod.rs
+++ b/crates/kumquatdrum_operator/tests/support/mod.rs
@@ -12,7 +12,8 @@
 use kumquatdrum_setup::control::{HostStatus, Page, Replica};
 use kumquatdrum_setup::{
     Answer, ApplyAnswer, ApplyRequest, Claim, ClaimAnswer, Command, Control, Failure, Preparation,
-    Reply, Revision, Selector, SettleAnswer, Settlement, Stamp, Standing, StateMachine, Status,
+    ResponseFuture, Revision, Selector, SettleAnswer, Settlement, Stamp, Standing, StateMachine,
+    Status,
 };
 use kumquatdrum_types::{IdempotencyKey, Version, WorkspaceName, digest};
 use rocket::fairing::AdHoc;
@@ -88,17 +89,21 @@
     }
 }
 
-fn ready<'a, T: Send + 'a>(result: Result<T, Failure>) -> Reply<'a, T> {
+fn ready<'a, T: Send + 'a>(result: Result<T, Failure>) -> ResponseFuture<'a, T> {
     Box::pin(std::future::ready(result))
 }
 
 impl Control for Fake {
-    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Holder>> {
+    fn key(
+        &self,
+        workspace: &WorkspaceName,
+        key: &IdempotencyKey,
+    ) -> ResponseFuture<'_, Option<Holder>> {
         let state = self.state.lock().unwrap();
         ready(Ok(state.claims().get(workspace, key).map(Entry::holder)))
     }
 
-    fn apply(&self, request: ApplyRequest) -> Reply<'_, ApplyAnswer> {
+    fn apply(&self, request: ApplyRequest) -> ResponseFuture<'_, ApplyAnswer> {
         let fault = self.faults.lock().unwrap().pop_front();
         ready(match fault {
             None => Ok(self.apply_now(&request)),
@@ -110,7 +115,7 @@
         })
     }
 
-    fn show(&self, selector: Selector) -> Reply<'_, Revision> {
+    fn show(&self, selector: Selector) -> ResponseFuture<'_, Revision> {
         let standing = *self.standing.lock().unwrap();
         let mut revision = self.state.lock().unwrap().show(selector, standing);
         if let Some(revision) = revision.as_mut().filter(|_| self.is_tampering) {
@@ -119,7 +124,7 @@
         ready(revision.ok_or(Failure::NoSuchVersion))
     }
 
-    fn audit(&self, from: u64, limit: usize) -> Reply<'_, Page> {
+    fn audit(&self, from: u64, limit: usize) -> ResponseFuture<'_, Page> {
         let state = self.state.lock().unwrap();
         let (previous, entries) = state.trail().page(from, limit.min(self.max_page_size));
         let next = from + entries.len() as u64;
@@ -135,7 +140,7 @@
         }))
     }
 
-    fn status(&self) -> Reply<'_, Status> {
+    fn status(&self) -> ResponseFuture<'_, Status> {
         let revision = self
             .state
             .lock()
@@ -166,11 +171,11 @@
         }))
     }
 
-    fn claim(&self, _: Vec<Claim>) -> Reply<'_, Vec<ClaimAnswer>> {
+    fn claim(&self, _: Vec<Claim>) -> ResponseFuture<'_, Vec<ClaimAnswer>> {
         ready(Err(Failure::Unavailable))
     }
 
-    fn settle(&self, _: Vec<Settlement>) -> Reply<'_, Vec<SettleAnswer>> {
+    fn settle(&self, _: Vec<Settlement>) -> ResponseFuture<'_, Vec<SettleAnswer>> {
         ready(Err(Failure::Unavailable))
     }
 }
--- a/crates/kumquatdrum_peer/benches/wire.rs
+++ b/crates/kumquatdrum_peer/benches/wire.rs
@@ -10,7 +10,9 @@
 
 use bytes::Bytes;
 use futures::FutureExt;
-use kumquatdrum_peer::{Answer, Channel, Client, Handler, Identity, LocalDaemon, Secret, serve};
+use kumquatdrum_peer::{
+    Channel, Client, Handler, Identity, LocalDaemon, ResponseFuture, Secret, serve,
+};
 use kumquatdrum_types::{BootId, HostId};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -27,7 +29,7 @@
         let _ = self.0.send(());
     }
 
-    fn answer(&self, _: &Identity, _: Channel, body: Bytes) -> Answer<'_> {
+    fn answer(&self, _: &Identity, _: Channel, body: Bytes) -> ResponseFuture<'_> {
         async move { Ok(body) }.boxed()
     }
 }
--- a/crates/kumquatdrum_peer/src/handler.rs
+++ b/crates/kumquatdrum_peer/src/handler.rs
@@ -5,8 +5,8 @@
 
 use crate::{Channel, Error, Identity};
 
-/// Future response to a request.
-pub type Answer<'a> = BoxFuture<'a, Result<Bytes, Error>>;
+/// A boxed future of the response to a request.
+pub type ResponseFuture<'a> = BoxFuture<'a, Result<Bytes, Error>>;
 
 /// Processes messages from peers that have been authenticated by the cluster secret.
 pub trait Handler: Send + Sync {
@@ -14,5 +14,5 @@
     fn deliver(&self, from: &Identity, channel: Channel, body: Bytes);
 
     /// Responds to a request. The future is dropped if the peer disconnects.
-    fn answer(&self, from: &Identity, channel: Channel, body: Bytes) -> Answer<'_>;
+    fn answer(&self, from: &Identity, channel: Channel, body: Bytes) -> ResponseFuture<'_>;
 }
--- a/crates/kumquatdrum_peer/src/lib.rs
+++ b/crates/kumquatdrum_peer/src/lib.rs
@@ -27,6 +27,6 @@
 pub use client::Client;
 pub use counters::{Counters, Traffic};
 pub use error::Error;
-pub use handler::{Answer, Handler};
+pub use handler::{Handler, ResponseFuture};
 pub use local::{Identity, LocalDaemon, Secret};
 pub use server::serve;
--- a/crates/kumquatdrum_peer/tests/exchange.rs
+++ b/crates/kumquatdrum_peer/tests/exchange.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures::FutureExt;
 use kumquatdrum_peer::{
-    Answer, Channel, Client, Error, Handler, Identity, LocalDaemon, Secret, serve,
+    Channel, Client, Error, Handler, Identity, LocalDaemon, ResponseFuture, Secret, serve,
 };
 use kumquatdrum_types::{BootId, HostId};
 
@@ -31,7 +31,7 @@
         let _ = self.deliveries.send((from.clone(), channel, body));
     }
 
-    fn answer(&self, _: &Identity, channel: Channel, body: Bytes) -> Answer<'_> {
+    fn answer(&self, _: &Identity, channel: Channel, body: Bytes) -> ResponseFuture<'_> {
         async move {
             match &body[..] {
                 b"fail" => Err(Error::Handler("no majority".to_owned())),
--- a/crates/kumquatdrum_setup/src/control.rs
+++ b/crates/kumquatdrum_setup/src/control.rs
@@ -15,24 +15,28 @@
 use crate::command::{ApplyAnswer, ApplyRequest};
 
 /// A boxed future of an answer or a [`Failure`].
-pub type Reply<'a, T> = Pin<Box<dyn Future<Output = Result<T, Failure>> + Send + 'a>>;
+pub type ResponseFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, Failure>> + Send + 'a>>;
 
 /// The control plane as used by the interfaces for operators and callers.
 pub trait Control: Send + Sync {
     /// Applies a declaration.
-    fn apply(&self, request: ApplyRequest) -> Reply<'_, ApplyAnswer>;
+    fn apply(&self, request: ApplyRequest) -> ResponseFuture<'_, ApplyAnswer>;
     /// Reads a declaration.
-    fn show(&self, selector: Selector) -> Reply<'_, Revision>;
+    fn show(&self, selector: Selector) -> ResponseFuture<'_, Revision>;
     /// Reads a page of the audit trail: at most `limit` entries from `from` on.
-    fn audit(&self, from: u64, limit: usize) -> Reply<'_, Page>;
+    fn audit(&self, from: u64, limit: usize) -> ResponseFuture<'_, Page>;
     /// Returns the status of the whole system as this host knows it, also without a majority.
-    fn status(&self) -> Reply<'_, Status>;
+    fn status(&self) -> ResponseFuture<'_, Status>;
     /// Claims idempotency keys; the answers are in the order of the claims.
-    fn claim(&self, claims: Vec<Claim>) -> Reply<'_, Vec<ClaimAnswer>>;
+    fn claim(&self, claims: Vec<Claim>) -> ResponseFuture<'_, Vec<ClaimAnswer>>;
     /// Records the outcomes of claimed attempts; the answers are in the order of the settlements.
-    fn settle(&self, settlements: Vec<Settlement>) -> Reply<'_, Vec<SettleAnswer>>;
+    fn settle(&self, settlements: Vec<Settlement>) -> ResponseFuture<'_, Vec<SettleAnswer>>;
     /// Returns the holder of a key; `None` if it isn't claimed.
-    fn key(&self, workspace: &WorkspaceName, key: &IdempotencyKey) -> Reply<'_, Option<Holder>>;
+    fn key(
+        &self,
+        workspace: &WorkspaceName,
+        key: &IdempotencyKey,
+    ) -> ResponseFuture<'_, Option<Holder>>;
 }
 
 /// The reason why the control plane gave no answer.
--- a/crates/kumquatdrum_setup/src/lib.rs
+++ b/crates/kumquatdrum_setup/src/lib.rs
@@ -22,7 +22,7 @@
 pub use command::{
     Action, Answer, Apply, ApplyAnswer, ApplyId, ApplyRequest, Command, RefusedApply,
 };
-pub use control::{Control, Failure, Reply, Revision, Selector, Standing, Status};
+pub use control::{Control, Failure, ResponseFuture, Revision, Selector, Standing, Status};
 pub use digest::Digest;
 pub use history::History;
 pub use in_force::Setup;
