--- a/crates/kumquatdrum_registry/src/registry.rs
+++ b/crates/kumquatdrum_registry/src/registry.rs
@@ -44,11 +44,16 @@
     }
 
     /// Marks an endpoint as gone at its own request. Returns `None` if the endpoint is unknown or
-    /// `started` is older than the registered incarnation.
-    pub fn leave(&mut self, now: Moment, id: &EndpointId, started: Option<u64>) -> Option<Update> {
+    /// `incarnation` is older than the registered one.
+    pub fn leave(
+        &mut self,
+        now: Moment,
+        id: &EndpointId,
+        incarnation: Option<u64>,
+    ) -> Option<Update> {
         let entry = self.entries.get_mut(id)?;
         let known = entry.announcement.started;
-        if started.is_some_and(|started| started < known) {
+        if incarnation.is_some_and(|incarnation| incarnation < known) {
             return None;
         }
         entry.is_gone = true;
@@ -66,9 +71,14 @@
     }
 
     /// Marks an incarnation as gone because another endpoint answers at its address.
-    pub fn mark_displaced(&mut self, now: Moment, id: &EndpointId, started: u64) -> Option<Update> {
+    pub fn mark_displaced(
+        &mut self,
+        now: Moment,
+        id: &EndpointId,
+        incarnation: u64,
+    ) -> Option<Update> {
         let entry = self.entries.get_mut(id)?;
-        if entry.is_gone || entry.announcement.started != started {
+        if entry.is_gone || entry.announcement.started != incarnation {
             return None;
         }
         entry.is_gone = true;
