--- a/crates/kumquatdrum_gateway/src/pool.rs
+++ b/crates/kumquatdrum_gateway/src/pool.rs
@@ -248,7 +248,7 @@
             Event::Cancelled(_, job) => planner.dequeue(job),
             Event::Running(_, jobs) => {
                 for (plan, is_prefilling) in jobs {
-                    planner.refresh(now, plan, is_prefilling);
+                    planner.renew_job(now, plan, is_prefilling);
                 }
             }
         }
--- a/crates/kumquatdrum_placement/src/planner.rs
+++ b/crates/kumquatdrum_placement/src/planner.rs
@@ -260,7 +260,7 @@
     }
 
     /// Renews a running job of another host, or adds it if its dispatch was missed.
-    pub fn refresh(&mut self, now: Moment, plan: Plan, is_prefilling: bool) {
+    pub fn renew_job(&mut self, now: Moment, plan: Plan, is_prefilling: bool) {
         if let Some(assignment) = self.jobs.get_mut(&plan.job) {
             assignment.expires_at = now + JOB_EXPIRY;
             if !is_prefilling {
--- a/crates/kumquatdrum_placement/src/queue.rs
+++ b/crates/kumquatdrum_placement/src/queue.rs
@@ -27,7 +27,7 @@
     waiter: Waiter,
     arrived: Moment,
     due: Moment,
-    refreshed_at: Moment,
+    renewed_at: Moment,
 }
 
 impl Queue {
@@ -40,7 +40,7 @@
                 micros: now.micros.saturating_sub(elapsed),
             },
             due: now + Duration::from_millis(waiter.left_ms.into()),
-            refreshed_at: now,
+            renewed_at: now,
         };
         self.entries.insert(waiter.job, entry);
     }
@@ -58,7 +58,7 @@
     /// Drops entries that have not been renewed.
     pub(crate) fn expire(&mut self, now: Moment) {
         self.entries
-            .retain(|_, entry| now - entry.refreshed_at <= ENTRY_EXPIRY);
+            .retain(|_, entry| now - entry.renewed_at <= ENTRY_EXPIRY);
     }
 
     /// Returns whether no other prompt that can be dispatched precedes this one.
--- a/crates/kumquatdrum_placement/tests/model/simulation.rs
+++ b/crates/kumquatdrum_placement/tests/model/simulation.rs
@@ -199,7 +199,7 @@
                 Notice::GivenUp(job) => planner.dequeue(*job),
                 Notice::Running(jobs) => {
                     for (plan, is_prefilling) in jobs {
-                        planner.refresh(now, plan.clone(), *is_prefilling);
+                        planner.renew_job(now, plan.clone(), *is_prefilling);
                     }
                 }
             }
--- a/crates/kumquatdrum_placement/tests/planner.rs
+++ b/crates/kumquatdrum_placement/tests/planner.rs
@@ -82,7 +82,7 @@
         .collect();
     for announced_ms in [2_000, 4_000] {
         for short in &shorts {
-            planner.refresh(at(announced_ms), short.clone(), false);
+            planner.renew_job(at(announced_ms), short.clone(), false);
         }
     }
     let very_long = job(100, 250_000, at(3_500));
@@ -162,7 +162,7 @@
             tokens: 3_000,
             ..plan_with_part(3, number, 0.0)
         };
-        planner.refresh(at, other, false);
+        planner.renew_job(at, other, false);
     }
     let local = expect_sent(planner.place(at, &job(2, 2_000, at)));
     assert_eq!(local.first, packed.first);
@@ -184,7 +184,7 @@
             pause_ms: 60_000,
             ..plan_with_part(key, key, 0.0)
         };
-        planner.refresh(at, memory_holder, false);
+        planner.renew_job(at, memory_holder, false);
     }
     let local = expect_sent(planner.place(at, &job(2, 150_000, at)));
     assert!([1, 2].contains(&local.first.0), "{local:?}");
@@ -230,7 +230,7 @@
     planner.record_dispatch(START, other.clone());
     // The job uses memory and is announced again.
     let at = START + Duration::from_secs(2);
-    planner.refresh(at, other, false);
+    planner.renew_job(at, other, false);
     let later = START + Duration::from_secs(4);
     let plan = expect_sent(planner.place(later, &job(2, 100_000, later)));
     assert_eq!(plan.first, EndpointKey(2));
@@ -283,7 +283,7 @@
         0 => {}
         1 => planner.record_first_token(now, plan.job),
         _ => {
-            planner.refresh(now, plan.clone(), random.is_multiple_of(2));
+            planner.renew_job(now, plan.clone(), random.is_multiple_of(2));
             planner.record_first_token(now, plan.job);
         }
     }
@@ -301,7 +301,7 @@
     let ended = plan_with_part(1, 1, 3_000.0);
     planner.record_end(at(0), ended.job);
     planner.record_dispatch(at(100), ended.clone());
-    planner.refresh(at(200), ended.clone(), true);
+    planner.renew_job(at(200), ended.clone(), true);
     let plan = expect_sent(planner.place(at(300), &job(2, 2_000, at(300))));
     planner.record_end(at(310), plan.job);
     // The engine's memory and prefill time are free for a prompt that fills it.
