--- a/crates/kumquatdrum_host/src/host.rs
+++ b/crates/kumquatdrum_host/src/host.rs
@@ -309,7 +309,7 @@
         host: settings.host.clone(),
         boot,
         hosts: settings.hosts.len() + 1,
-        max_request_time: Duration::from_millis(settings.drain.longest_ms),
+        max_request_duration: Duration::from_millis(settings.drain.longest_ms),
         clock,
         client: client.clone(),
         in_force: in_force.clone(),
--- a/crates/kumquatdrum_host/src/quota.rs
+++ b/crates/kumquatdrum_host/src/quota.rs
@@ -57,7 +57,7 @@
     /// The number of hosts in the settings, including this one.
     pub hosts: usize,
     /// The longest time that a request can run.
-    pub max_request_time: Duration,
+    pub max_request_duration: Duration,
     /// The daemon's clock.
     pub clock: Clock,
     /// The client for other hosts.
@@ -77,7 +77,7 @@
             dependencies.host.clone(),
             dependencies.boot,
             dependencies.hosts,
-            dependencies.max_request_time,
+            dependencies.max_request_duration,
         );
         Self {
             host: dependencies.host,
--- a/crates/kumquatdrum_routing/src/limits/coordinator.rs
+++ b/crates/kumquatdrum_routing/src/limits/coordinator.rs
@@ -46,20 +46,20 @@
     host: HostId,
     boot: BootId,
     hosts: usize,
-    longest_request: Duration,
+    max_request_duration: Duration,
     limits: IndexMap<WorkspaceName, Limit>,
     members: IndexMap<WorkspaceName, IndexMap<HostId, Member>>,
 }
 
 impl Coordinator {
     /// Creates a coordinator among `hosts` declared hosts. The boot id must differ between
-    /// incarnations, and no request may run longer than `longest_request`.
-    pub fn new(host: HostId, boot: BootId, hosts: usize, longest_request: Duration) -> Self {
+    /// incarnations, and no request may run longer than `max_request_duration`.
+    pub fn new(host: HostId, boot: BootId, hosts: usize, max_request_duration: Duration) -> Self {
         Self {
             host,
             boot,
             hosts,
-            longest_request,
+            max_request_duration,
             limits: IndexMap::new(),
             members: IndexMap::new(),
         }
@@ -102,7 +102,7 @@
         if let Some(member) = members.get_mut(&demand.host).filter(|_| is_bound) {
             member.granted = share;
             member.lease_until = now + LEASE_DURATION;
-            member.requests_until = now + LEASE_DURATION + self.longest_request;
+            member.requests_until = now + LEASE_DURATION + self.max_request_duration;
         }
         Some(Grant {
             coordinator: self.host.clone(),
