--- a/crates/kumquatdrum_routing/src/limits.rs
+++ b/crates/kumquatdrum_routing/src/limits.rs
@@ -38,7 +38,7 @@
 pub struct Limit {
     /// Requests per second.
     pub requests_per_second: Option<f64>,
-    /// Prompt and answer tokens per second.
+    /// Prompt and output tokens per second.
     pub tokens_per_second: Option<f64>,
     /// Requests in flight.
     pub concurrency: Option<u32>,
--- a/crates/kumquatdrum_routing/src/limits/limiter.rs
+++ b/crates/kumquatdrum_routing/src/limits/limiter.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Admits a request with this number of prompt and expected answer tokens, or returns the
+    /// Admits a request with this number of prompt and expected output tokens, or returns the
     /// reason for refusal. Each admitted request needs one [`Limiter::finish`].
     pub fn admit(
         &mut self,
--- a/crates/kumquatdrum_routing/src/rate.rs
+++ b/crates/kumquatdrum_routing/src/rate.rs
@@ -11,7 +11,7 @@
 const MAX_SAMPLE_RATIO: f64 = 2.0;
 /// The largest ratio of an endpoint's speed to the service's average, in either direction.
 const MAX_SPEED_FACTOR: f64 = 8.0;
-/// The time per answer token before the first observation, in seconds.
+/// The time per output token before the first observation, in seconds.
 const INITIAL_TOKEN_SECONDS: f64 = 0.02;
 
 /// The estimated rates of one service.
--- a/crates/kumquatdrum_routing/src/request.rs
+++ b/crates/kumquatdrum_routing/src/request.rs
@@ -113,7 +113,7 @@
 pub struct Usage {
     /// Prompt tokens.
     pub prompt_tokens: u64,
-    /// Answer tokens.
+    /// Output tokens.
     pub output_tokens: u64,
 }
 
