--- a/crates/kumquatdrum_host/src/reservations.rs
+++ b/crates/kumquatdrum_host/src/reservations.rs
@@ -133,7 +133,7 @@
                 self.execute(&mut state, outputs);
                 let State { table, entries } = &mut *state;
                 entries.retain(|attempt, _| table.contains(attempt));
-                table.next_wake()
+                table.next_tick()
             };
             while self.calls.lock().try_join_next().is_some() {}
             let due = self.clock.instant(next.min(self.clock.now() + MAX_SLEEP));
--- a/crates/kumquatdrum_host/src/routers.rs
+++ b/crates/kumquatdrum_host/src/routers.rs
@@ -138,9 +138,9 @@
         let service = services
             .entry(name.clone())
             .or_insert_with(|| Service::new(&self.owner, &self.owners.lock(), self.seed));
-        let due = service.router.next_wake();
+        let due = service.router.next_tick();
         let result = work(service, self.clock.now());
-        let is_earlier = service.router.next_wake() < due;
+        let is_earlier = service.router.next_tick() < due;
         drop(services);
         if is_earlier {
             shard.wake.notify_one();
@@ -286,11 +286,11 @@
     fn tick(&self, now: Moment) -> Moment {
         let mut next = Moment::NEVER;
         for service in self.services.lock().values_mut() {
-            if service.router.next_wake() <= now {
+            if service.router.next_tick() <= now {
                 let outputs = service.router.tick(now);
                 service.execute(outputs);
             }
-            next = next.min(service.router.next_wake());
+            next = next.min(service.router.next_tick());
         }
         next
     }
--- a/crates/kumquatdrum_routing/benches/decision.rs
+++ b/crates/kumquatdrum_routing/benches/decision.rs
@@ -97,7 +97,7 @@
         let request = build_request(number, now);
         let start = Instant::now();
         let outputs = router.submit(now, request);
-        std::hint::black_box(router.next_wake());
+        std::hint::black_box(router.next_tick());
         submit_time += start.elapsed();
         in_flight.extend(outputs.into_iter().filter_map(|output| match output {
             Output::Dispatch(dispatch) => Some(dispatch.attempt),
@@ -136,7 +136,7 @@
         request.prompt_tokens = 20_000;
         let start = Instant::now();
         std::hint::black_box(router.submit(now, request));
-        std::hint::black_box(router.next_wake());
+        std::hint::black_box(router.next_tick());
         if number >= waiting {
             duration += start.elapsed();
         }
--- a/crates/kumquatdrum_routing/benches/policies/run.rs
+++ b/crates/kumquatdrum_routing/benches/policies/run.rs
@@ -217,7 +217,7 @@
                 Output::Resync(endpoint) => self.send_snapshot(&endpoint),
             }
         }
-        let wake = self.routers[daemon].next_wake();
+        let wake = self.routers[daemon].next_tick();
         if wake < self.wakes[daemon] {
             self.wakes[daemon] = wake;
             let delay = wake.micros.saturating_sub(self.now) as f64 / 1e6;
--- a/crates/kumquatdrum_routing/src/gang.rs
+++ b/crates/kumquatdrum_routing/src/gang.rs
@@ -263,9 +263,9 @@
     }
 
     /// Returns when to call [`Reservations::tick`] at the latest.
-    pub fn next_wake(&self) -> Moment {
-        let wakes = self.gangs.values().map(Gang::next_wake);
-        wakes.min().unwrap_or(Moment::NEVER)
+    pub fn next_tick(&self) -> Moment {
+        let ticks = self.gangs.values().map(Gang::next_tick);
+        ticks.min().unwrap_or(Moment::NEVER)
     }
 
     /// Returns whether an attempt has, or may have, a reservation.
@@ -417,7 +417,7 @@
         }
     }
 
-    fn next_wake(&self) -> Moment {
+    fn next_tick(&self) -> Moment {
         let active = self
             .members
             .iter()
--- a/crates/kumquatdrum_routing/src/router.rs
+++ b/crates/kumquatdrum_routing/src/router.rs
@@ -329,7 +329,7 @@
         }
     }
 
-    /// Performs all actions that are due. Call it at [`Router::next_wake`].
+    /// Performs all actions that are due. Call it at [`Router::next_tick`].
     #[must_use]
     pub fn tick(&mut self, now: Moment) -> Vec<Output> {
         let mut outputs = self.step(now);
@@ -341,7 +341,7 @@
     }
 
     /// Returns when to call [`Router::tick`] at the latest.
-    pub fn next_wake(&self) -> Moment {
+    pub fn next_tick(&self) -> Moment {
         let deadline = self
             .latest_starts
             .first()
--- a/crates/kumquatdrum_routing/tests/endpoints.rs
+++ b/crates/kumquatdrum_routing/tests/endpoints.rs
@@ -308,13 +308,13 @@
         |router: &kumquatdrum_routing::Router| router.pool().endpoint(index).cached_blocks(&blocks);
     assert!(cached(&router) < 9.0);
     // Without a reply, the snapshot is requested again at the announced time.
-    assert!(router.next_wake() < seconds(10.0));
-    let again = router.tick(router.next_wake());
+    assert!(router.next_tick() < seconds(10.0));
+    let again = router.tick(router.next_tick());
     assert_eq!(again, [Output::Resync(endpoint(0))]);
     let snapshot = CacheChange::Snapshot(blocks[..4].to_vec());
     let _ = router.apply_cache_event(seconds(9.0), &endpoint(0), &event(3, snapshot));
     assert!((cached(&router) - 4.0).abs() < 1e-9);
-    assert_eq!(router.next_wake(), Moment::NEVER);
+    assert_eq!(router.next_tick(), Moment::NEVER);
 }
 
 #[test]
--- a/crates/kumquatdrum_routing/tests/queue.rs
+++ b/crates/kumquatdrum_routing/tests/queue.rs
@@ -103,7 +103,7 @@
     }
     assert!(!waiting.is_empty());
     // The shortest expected prefill of such a prompt is two and a half seconds.
-    let wake = router.next_wake();
+    let wake = router.next_tick();
     assert!(wake < seconds(30.0));
     let refused = router.tick(seconds(28.5));
     assert_eq!(refusals(&refused).len(), waiting.len());
