--- a/crates/kumquatdrum_host/src/members.rs
+++ b/crates/kumquatdrum_host/src/members.rs
@@ -477,7 +477,12 @@
 
     /// Returns the data centres without a reachable host.
     pub fn unreachable_data_centres(&self) -> Vec<DataCentre> {
-        self.state.lock().membership.cut_off().cloned().collect()
+        self.state
+            .lock()
+            .membership
+            .unreachable_data_centres()
+            .cloned()
+            .collect()
     }
 }
 
--- a/crates/kumquatdrum_membership/benches/gossip.rs
+++ b/crates/kumquatdrum_membership/benches/gossip.rs
@@ -35,7 +35,7 @@
     version: Version(100_000),
     digest_prefix: u64::MAX,
     is_ready: true,
-    majority_age_millis: Some(1_500),
+    majority_age_ms: Some(1_500),
 };
 const CHANGES: u64 = 10;
 const WORKSPACES: u64 = 1_600;
--- a/crates/kumquatdrum_membership/src/data_centre.rs
+++ b/crates/kumquatdrum_membership/src/data_centre.rs
@@ -3,14 +3,14 @@
 use kumquatdrum_types::{DataCentre, HostId, Moment};
 
 use crate::Summary;
-use crate::timing::{CUT_OFF_AFTER, SUMMARY_FORWARD_INTERVAL, SUMMARY_INTERVAL};
+use crate::timing::{SUMMARY_FORWARD_INTERVAL, SUMMARY_INTERVAL, UNREACHABLE_AFTER};
 
 /// Reachability of a data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
     /// Summaries of the data centre arrive.
     Reachable,
-    /// No summary has arrived for [`CUT_OFF_AFTER`].
+    /// No summary has arrived for [`UNREACHABLE_AFTER`].
     CutOff,
 }
 
@@ -55,7 +55,7 @@
 
     /// Returns the reachability of the data centre from the relay's point of view.
     pub(crate) fn reachability(&self, now: Moment) -> Reachability {
-        if now - self.last_heard > CUT_OFF_AFTER {
+        if now - self.last_heard > UNREACHABLE_AFTER {
             Reachability::CutOff
         } else {
             Reachability::Reachable
--- a/crates/kumquatdrum_membership/src/machine.rs
+++ b/crates/kumquatdrum_membership/src/machine.rs
@@ -124,7 +124,7 @@
 
     /// Returns the unreachable data centres, including this host's own if this host is isolated
     /// within it.
-    pub fn cut_off(&self) -> impl Iterator<Item = &DataCentre> {
+    pub fn unreachable_data_centres(&self) -> impl Iterator<Item = &DataCentre> {
         let own =
             (self.own_reachability == Reachability::CutOff).then_some(&self.local.data_centre);
         let remote = self
--- a/crates/kumquatdrum_membership/src/message.rs
+++ b/crates/kumquatdrum_membership/src/message.rs
@@ -55,7 +55,7 @@
     /// Hosts that the sender hasn't heard from recently.
     pub silent: Vec<HostId>,
     /// Data centres that the relay can't reach; set by the relay only.
-    pub cut_off: Option<Vec<DataCentre>>,
+    pub unreachable: Option<Vec<DataCentre>>,
     /// Status of the setup in force on the sender.
     pub setup: Option<Status>,
     /// Endpoints that are leaving.
@@ -96,7 +96,7 @@
     /// Announcement; the `seen` counters of its load are reduced as in [`Renewal::load`].
     pub announcement: Announcement,
     /// Time since the last renewal, in milliseconds.
-    pub age_millis: u32,
+    pub age_ms: u32,
 }
 
 /// State of a data centre, as reported by its relay.
--- a/crates/kumquatdrum_membership/src/propagation/machine.rs
+++ b/crates/kumquatdrum_membership/src/propagation/machine.rs
@@ -172,7 +172,7 @@
             version: self.version(),
             digest_prefix: self.current().map_or(0, Setup::digest_prefix),
             is_ready: self.is_ready(),
-            majority_age_millis: last_contact.map(age),
+            majority_age_ms: last_contact.map(age),
         }
     }
 
@@ -212,7 +212,7 @@
         out: &mut Vec<Output>,
     ) {
         self.record_version(now, from, boot, status.version, out);
-        self.record_majority(now, from, status.majority_age_millis);
+        self.record_majority(now, from, status.majority_age_ms);
         if let Some(startup) = self.startup.as_mut().filter(|_| status.is_ready) {
             startup.record_answer(from);
         }
--- a/crates/kumquatdrum_membership/src/propagation/message.rs
+++ b/crates/kumquatdrum_membership/src/propagation/message.rs
@@ -45,7 +45,7 @@
     /// Whether the host has completed its startup and serves.
     pub is_ready: bool,
     /// Time since the last direct contact with a majority of control replicas, in milliseconds.
-    pub majority_age_millis: Option<u32>,
+    pub majority_age_ms: Option<u32>,
 }
 
 /// Version with its complete text or a delta.
--- a/crates/kumquatdrum_membership/src/push.rs
+++ b/crates/kumquatdrum_membership/src/push.rs
@@ -58,7 +58,7 @@
     fn build_push(&mut self, now: Moment, index: usize) -> Push {
         let is_relay = self.is_relay();
         let silent = self.silent_hosts(now);
-        let cut_off = is_relay.then(|| self.unreachable_data_centres());
+        let unreachable = is_relay.then(|| self.unreachable_remote_data_centres());
         let host = &mut self.hosts[index];
         host.last_push_sent += 1;
         let mut push = Push {
@@ -66,7 +66,7 @@
             table: self.table.digest(),
             roster: self.roster_digest,
             silent,
-            cut_off,
+            unreachable,
             setup: self.setup_status,
             leaving: Vec::new(),
             records: Vec::new(),
@@ -176,7 +176,7 @@
             (true, _) => None,
             (false, since) => since.or(Some(now)),
         };
-        self.handle_relayed(from, push.cut_off, push.summaries, out);
+        self.handle_relayed(from, push.unreachable, push.summaries, out);
     }
 
     /// Merges a full record from a peer.
@@ -188,7 +188,7 @@
         out: &mut Vec<Output>,
     ) {
         let id = snapshot.announcement.endpoint.clone();
-        let age = Duration::from_millis(snapshot.age_millis.into());
+        let age = Duration::from_millis(snapshot.age_ms.into());
         let announcement = map_load(snapshot.announcement, |load| {
             restore_load(load, &self.local.host)
         });
@@ -314,7 +314,7 @@
     let announcement = record.announcement.clone();
     Snapshot {
         announcement: map_load(announcement, |load| strip_load(load, receiver)),
-        age_millis: u32::try_from(age).unwrap_or(u32::MAX),
+        age_ms: u32::try_from(age).unwrap_or(u32::MAX),
     }
 }
 
--- a/crates/kumquatdrum_membership/src/relay.rs
+++ b/crates/kumquatdrum_membership/src/relay.rs
@@ -72,7 +72,8 @@
         }
     }
 
-    pub(crate) fn unreachable_data_centres(&self) -> Vec<DataCentre> {
+    /// Returns the unreachable data centres other than this host's own.
+    pub(crate) fn unreachable_remote_data_centres(&self) -> Vec<DataCentre> {
         self.remote_data_centres
             .values()
             .filter(|data_centre| data_centre.reachability == Reachability::CutOff)
@@ -114,7 +115,7 @@
     pub(crate) fn handle_relayed(
         &mut self,
         from: &HostId,
-        cut_off: Option<Vec<DataCentre>>,
+        unreachable: Option<Vec<DataCentre>>,
         summaries: Vec<Summary>,
         out: &mut Vec<Output>,
     ) {
@@ -128,12 +129,12 @@
             }
             self.update_remote_conditions(&id, out);
         }
-        let Some(cut_off) = cut_off.filter(|_| self.relay() == from) else {
+        let Some(unreachable) = unreachable.filter(|_| self.relay() == from) else {
             return;
         };
         let ids: Vec<DataCentre> = self.remote_data_centres.keys().cloned().collect();
         for id in ids {
-            let reachability = if cut_off.contains(&id) {
+            let reachability = if unreachable.contains(&id) {
                 Reachability::CutOff
             } else {
                 Reachability::Reachable
--- a/crates/kumquatdrum_membership/src/timing.rs
+++ b/crates/kumquatdrum_membership/src/timing.rs
@@ -64,7 +64,7 @@
 
 /// Interval at which relays send each other the state of their data centres.
 pub const SUMMARY_INTERVAL: Duration = Duration::from_secs(2);
-/// Time without a summary after which a data centre is cut off.
-pub const CUT_OFF_AFTER: Duration = Duration::from_secs(8);
+/// Time without a summary after which a data centre is unreachable.
+pub const UNREACHABLE_AFTER: Duration = Duration::from_secs(8);
 /// Minimum interval between two forwards of a summary within the data centre.
 pub const SUMMARY_FORWARD_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/kumquatdrum_membership/tests/it/endpoints.rs
+++ b/crates/kumquatdrum_membership/tests/it/endpoints.rs
@@ -97,7 +97,7 @@
             boot: BootId(1),
             message: Message::Leaving(Snapshot {
                 announcement: notice,
-                age_millis: 0,
+                age_ms: 0,
             }),
         },
     );
--- a/crates/kumquatdrum_membership/tests/it/hosts.rs
+++ b/crates/kumquatdrum_membership/tests/it/hosts.rs
@@ -134,7 +134,7 @@
             .map(|summary| summary.services[0].alive)
             .collect();
         assert_eq!(others, [5, 5], "summaries of the two others");
-        assert_eq!(daemon.membership.cut_off().count(), 0);
+        assert_eq!(daemon.membership.unreachable_data_centres().count(), 0);
     }
     cluster.cut_off("lekki");
     cluster.run(seconds(60));
@@ -154,17 +154,17 @@
         }
     }
     for host in cluster.hosts_of("ikeja") {
-        let cut_off: Vec<&str> = cluster.daemons[&host]
+        let unreachable: Vec<&str> = cluster.daemons[&host]
             .membership
-            .cut_off()
+            .unreachable_data_centres()
             .map(DataCentre::as_str)
             .collect();
-        assert_eq!(cut_off, ["lekki"]);
+        assert_eq!(unreachable, ["lekki"]);
     }
     cluster.network.heal();
     cluster.run(seconds(8));
     for daemon in cluster.daemons.values() {
-        assert_eq!(daemon.membership.cut_off().count(), 0);
+        assert_eq!(daemon.membership.unreachable_data_centres().count(), 0);
     }
 }
 
