--- a/crates/kumquatdrum_host/src/context.rs
+++ b/crates/kumquatdrum_host/src/context.rs
@@ -57,7 +57,7 @@
     pub body_budget: Arc<Budget>,
     /// The tasks of requests in flight, joined at shutdown.
     pub requests: TaskTracker,
-    /// The number of request IDs assigned so far.
+    /// The number of request ids assigned so far.
     pub request_count: AtomicU64,
 }
 
@@ -76,7 +76,7 @@
         engines.collect()
     }
 
-    /// Returns a unique ID for the next request.
+    /// Returns a unique id for the next request.
     pub fn next_request_id(&self) -> RequestId {
         let count = self.request_count.fetch_add(1, Ordering::Relaxed);
         RequestId::new(format!("{}-{:x}-{count}", self.settings.host, self.boot.0))
--- a/crates/kumquatdrum_host/src/key.rs
+++ b/crates/kumquatdrum_host/src/key.rs
@@ -29,7 +29,7 @@
 /// The idempotency key of one request with its claim.
 #[derive(Debug, Clone)]
 pub struct Key {
-    /// The claim for the log; its attempt is the ID of the request.
+    /// The claim for the log; its attempt is the id of the request.
     pub claim: Claim,
     /// The service, used to find the attempt of an earlier request.
     pub service: ServiceName,
--- a/crates/kumquatdrum_host/src/orphans.rs
+++ b/crates/kumquatdrum_host/src/orphans.rs
@@ -2,7 +2,7 @@
 //! of this daemon.
 //!
 //! Attempts of keyed requests keep running, because their callers may retry. The number in such an
-//! attempt's ID is prefixed by `k`.
+//! attempt's id is prefixed by `k`.
 
 use std::sync::Arc;
 
--- a/crates/kumquatdrum_host/src/request.rs
+++ b/crates/kumquatdrum_host/src/request.rs
@@ -23,7 +23,7 @@
 
 pub use job::Job;
 
-/// The header with the ID of the reservation whose memory an attempt takes over.
+/// The header with the id of the reservation whose memory an attempt takes over.
 const RESERVATION_HEADER: &str = "x-reservation";
 
 /// A claim, probe, cancel, reservation or retry decision in flight.
--- a/crates/kumquatdrum_host/src/request/job.rs
+++ b/crates/kumquatdrum_host/src/request/job.rs
@@ -12,7 +12,7 @@
 
 /// An admitted request with the resources that it holds.
 pub struct Job {
-    /// The ID of the request.
+    /// The id of the request.
     pub request: RequestId,
     /// The workspace of the caller.
     pub workspace: WorkspaceName,
