--- a/crates/kumquatdrum_caller/src/response.rs
+++ b/crates/kumquatdrum_caller/src/response.rs
@@ -14,9 +14,9 @@
 
 /// A response with a streamed body.
 pub struct Streamed<S> {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The content type.
+    /// Content type.
     pub content_type: Option<String>,
     /// Request id, sent in the `x-request-id` header.
     pub request: String,
@@ -27,15 +27,15 @@
 /// A response whose whole body is in memory.
 #[derive(Debug)]
 pub struct Buffered {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The content type.
+    /// Content type.
     pub content_type: Option<String>,
     /// Request id, sent in the `x-request-id` header.
     pub request: Option<String>,
     /// Time until the caller may retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// The body.
+    /// Body.
     pub body: Bytes,
 }
 
--- a/crates/kumquatdrum_operator/src/report.rs
+++ b/crates/kumquatdrum_operator/src/report.rs
@@ -32,7 +32,7 @@
     },
     /// 409: the base is not the current version.
     Conflict {
-        /// The current version.
+        /// Current version.
         current: Version,
     },
     /// 409: the apply id belongs to another apply.
--- a/crates/kumquatdrum_replay/src/client.rs
+++ b/crates/kumquatdrum_replay/src/client.rs
@@ -62,9 +62,9 @@
 /// Target and parameters of a request.
 #[derive(Debug, Clone)]
 pub struct Route<'a> {
-    /// The address to send to.
+    /// Address to send to.
     pub target: SocketAddr,
-    /// The workspace's key; `None` for a request straight to an engine.
+    /// Workspace's key; `None` for a request straight to an engine.
     pub bearer: Option<&'a str>,
     /// Unique name of the request.
     pub name: &'a str,
--- a/crates/kumquatdrum_replay/src/generator.rs
+++ b/crates/kumquatdrum_replay/src/generator.rs
@@ -22,7 +22,7 @@
 /// Parameters of a generated trace.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The request mix.
+    /// Request mix.
     pub mix: Mix,
     /// Seed of the random generator.
     pub seed: u64,
--- a/crates/kumquatdrum_replay/src/load.rs
+++ b/crates/kumquatdrum_replay/src/load.rs
@@ -31,9 +31,9 @@
 /// Parameters of a load run.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The path through the daemon.
+    /// Path through the daemon.
     pub through: Path,
-    /// The path straight to an engine.
+    /// Path straight to an engine.
     pub straight: Path,
     /// Requests per second on each path.
     pub rate: f64,
@@ -56,11 +56,11 @@
 /// One path to an engine.
 #[derive(Debug, Clone)]
 pub struct Path {
-    /// The address to send to.
+    /// Address to send to.
     pub address: SocketAddr,
-    /// The requested service.
+    /// Requested service.
     pub service: String,
-    /// The workspace's key; `None` for the path straight to an engine.
+    /// Workspace's key; `None` for the path straight to an engine.
     pub key: Option<String>,
 }
 
@@ -94,9 +94,9 @@
     pub rate: f64,
     /// Tokens per second on each path.
     pub tokens_per_second: f64,
-    /// The path through the daemon.
+    /// Path through the daemon.
     pub through: Summary,
-    /// The path straight to an engine.
+    /// Path straight to an engine.
     pub straight: Summary,
     /// First-token times through the daemon divided by those of the straight path.
     pub first_token_ratio: Option<Ratio>,
--- a/crates/kumquatdrum_replay/src/mix.rs
+++ b/crates/kumquatdrum_replay/src/mix.rs
@@ -16,11 +16,11 @@
 pub struct Kind {
     /// Share of this kind among the requests that aren't long, in percent.
     pub share: u64,
-    /// The requested service.
+    /// Requested service.
     pub service: &'static str,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: &'static str,
-    /// The HTTP path.
+    /// HTTP path.
     pub path: &'static str,
     /// Length of the prompt, in tokens, log-uniformly distributed.
     pub prompt_tokens: RangeInclusive<u64>,
--- a/crates/kumquatdrum_replay/src/outcome.rs
+++ b/crates/kumquatdrum_replay/src/outcome.rs
@@ -36,7 +36,7 @@
 /// Observation of one request by its caller.
 #[derive(Debug, Clone)]
 pub struct Observation {
-    /// The outcome.
+    /// Outcome.
     pub outcome: Outcome,
     /// Error code from the response, or from this client if it detected the failure.
     pub code: Option<String>,
--- a/crates/kumquatdrum_replay/src/report.rs
+++ b/crates/kumquatdrum_replay/src/report.rs
@@ -54,7 +54,7 @@
     pub codes: IndexMap<String, u64>,
     /// Number of violations.
     pub violations: u64,
-    /// The first violations.
+    /// First violations.
     pub listed: Vec<Finding>,
     /// First-token times of completions, by prompt length.
     pub first_token: Vec<Band>,
@@ -80,11 +80,11 @@
 pub struct Finding {
     /// Line of the trace, counted from 0.
     pub line: usize,
-    /// The violation.
+    /// Violation.
     pub violation: Violation,
-    /// The expected outcome.
+    /// Expected outcome.
     pub expected: Expectation,
-    /// The observed outcome.
+    /// Observed outcome.
     pub outcome: Outcome,
     /// Error code, if any.
     pub code: Option<String>,
--- a/crates/kumquatdrum_replay/src/trace.rs
+++ b/crates/kumquatdrum_replay/src/trace.rs
@@ -16,13 +16,13 @@
 pub struct Entry {
     /// Time to send, in milliseconds after the start of the trace.
     pub at_ms: u64,
-    /// The workspace that sends the request.
+    /// Workspace that sends the request.
     pub workspace: String,
     /// Name of the workspace's key; the replay is given the key itself.
     pub key: String,
-    /// The requested service.
+    /// Requested service.
     pub service: String,
-    /// The HTTP method.
+    /// HTTP method.
     #[serde(default = "post", skip_serializing_if = "is_post")]
     pub method: String,
     /// `/v1/completions`, `/v1/chat/completions`, or a path of a plain service.
@@ -40,7 +40,7 @@
     pub deadline_ms: u64,
     /// Whether the request may be repeated.
     pub idempotent: bool,
-    /// The caller's idempotency key.
+    /// Caller's idempotency key.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub idempotency_key: Option<String>,
     /// Line, counted from 0, of the earlier request that this entry resends.
@@ -52,7 +52,7 @@
     /// Length of the shared prefix, in tokens.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub prefix_tokens: u64,
-    /// The expected outcome.
+    /// Expected outcome.
     #[serde(default)]
     pub expect: Expectation,
 }
--- a/crates/kumquatdrum_testing/src/announcer.rs
+++ b/crates/kumquatdrum_testing/src/announcer.rs
@@ -16,7 +16,7 @@
 pub struct Options {
     /// Endpoint listeners of entry hosts; the next one is tried when one fails.
     pub hosts: Vec<SocketAddr>,
-    /// The endpoint key, sent as a bearer token.
+    /// Endpoint key, sent as a bearer token.
     pub key: String,
     /// Time between announcements.
     pub interval: Duration,
--- a/crates/kumquatdrum_testing/src/condition.rs
+++ b/crates/kumquatdrum_testing/src/condition.rs
@@ -17,7 +17,7 @@
 /// Run state of a stand-in and epoch of its connections.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Condition {
-    /// The run state.
+    /// Run state.
     pub mode: Mode,
     /// Connections opened in an earlier epoch carry no bytes.
     pub epoch: u64,
--- a/crates/kumquatdrum_testing/src/engine.rs
+++ b/crates/kumquatdrum_testing/src/engine.rs
@@ -36,7 +36,7 @@
 pub struct Options {
     /// Name, service, addresses and announcements.
     pub process: process::Options,
-    /// The loaded model.
+    /// Loaded model.
     pub model: ModelName,
     /// Sizes and step costs.
     pub sizes: model::Options,
--- a/crates/kumquatdrum_testing/src/engine/orders.rs
+++ b/crates/kumquatdrum_testing/src/engine/orders.rs
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 struct State {
-    /// The highest fencing token seen.
+    /// Highest fencing token seen.
     fencing: u64,
     report: Report,
 }
--- a/crates/kumquatdrum_testing/src/model/attempt.rs
+++ b/crates/kumquatdrum_testing/src/model/attempt.rs
@@ -8,9 +8,9 @@
 pub struct Request {
     /// Unique identifier; a request with a known one is refused.
     pub id: AttemptId,
-    /// The host that sent the request.
+    /// Host that sent the request.
     pub owner: String,
-    /// The owner's attempt counter.
+    /// Owner's attempt counter.
     pub counter: u64,
     /// Scheduling priority; lower values run first.
     pub priority: u32,
@@ -31,7 +31,7 @@
 /// State of an attempt.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// The submitted request.
+    /// Submitted request.
     pub request: Request,
     /// Stage of the attempt.
     pub state: Stage,
--- a/crates/kumquatdrum_testing/src/relay.rs
+++ b/crates/kumquatdrum_testing/src/relay.rs
@@ -46,7 +46,7 @@
 /// A running relay, which ends when its stand-in is dead.
 #[derive(Debug)]
 pub struct Relay {
-    /// The listening address.
+    /// Listening address.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
--- a/crates/kumquatdrum_testing/src/server.rs
+++ b/crates/kumquatdrum_testing/src/server.rs
@@ -25,7 +25,7 @@
 /// A running server.
 #[derive(Debug)]
 pub struct Server {
-    /// The listening address.
+    /// Listening address.
     pub address: SocketAddr,
     shutdown: rocket::Shutdown,
     task: JoinHandle<()>,
