--- a/crates/kumquatdrum_gateway/src/pool.rs
+++ b/crates/kumquatdrum_gateway/src/pool.rs
@@ -422,14 +422,14 @@
     /// Broadcasts the job's queue state if it has changed or the interval has passed.
     fn broadcast_if_due(&mut self, waiter: Waiter) {
         let now = self.pool.context.clock.now();
-        let is_due = self.last_broadcast.is_none_or(|(at, blocked)| {
-            now - at >= QUEUE_BROADCAST_INTERVAL || blocked != waiter.blocked
+        let is_due = self.last_broadcast.is_none_or(|(at, is_blocked)| {
+            now - at >= QUEUE_BROADCAST_INTERVAL || is_blocked != waiter.is_blocked
         });
         if is_due {
             let has_changed = self
                 .last_broadcast
-                .is_none_or(|(_, blocked)| blocked != waiter.blocked);
-            self.last_broadcast = Some((now, waiter.blocked));
+                .is_none_or(|(_, is_blocked)| is_blocked != waiter.is_blocked);
+            self.last_broadcast = Some((now, waiter.is_blocked));
             let event = Event::Queued(self.service.name.clone(), waiter);
             let urgency = if has_changed {
                 Urgency::Urgent
--- a/crates/kumquatdrum_placement/src/job.rs
+++ b/crates/kumquatdrum_placement/src/job.rs
@@ -105,8 +105,8 @@
     pub waited_ms: u32,
     /// The time until the first token is due, in milliseconds; 0 if it is overdue.
     pub left_ms: u32,
-    /// The job waits for answers to end; other jobs may overtake it.
-    pub blocked: bool,
+    /// Whether the job waits for answers to end, so that other jobs may overtake it.
+    pub is_blocked: bool,
 }
 
 /// An engine that runs part of a prefill for another engine.
--- a/crates/kumquatdrum_placement/src/planner.rs
+++ b/crates/kumquatdrum_placement/src/planner.rs
@@ -157,12 +157,12 @@
                 Placement::Send(plan) if self.queue.is_next(now, waiter) => Some(plan),
                 Placement::Send(_) | Placement::Wait => None,
                 Placement::Blocked => {
-                    waiter.blocked = true;
+                    waiter.is_blocked = true;
                     None
                 }
                 // Let others overtake while the first token can still be in time.
                 Placement::TooDisruptive { part_ms } if f64::from(waiter.left_ms) > part_ms => {
-                    waiter.blocked = true;
+                    waiter.is_blocked = true;
                     None
                 }
                 Placement::TooDisruptive { .. } => return Decision::TooCostly,
@@ -393,7 +393,7 @@
         prompt: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
         waited_ms: (now - job.arrived).as_millis() as u32,
         left_ms: (job.due - now).as_millis() as u32,
-        blocked: false,
+        is_blocked: false,
     }
 }
 
--- a/crates/kumquatdrum_placement/src/queue.rs
+++ b/crates/kumquatdrum_placement/src/queue.rs
@@ -68,7 +68,7 @@
         let own = score(&waiter, elapsed, remaining);
         let others = self.entries.values();
         let mut others =
-            others.filter(|other| !other.waiter.blocked && other.waiter.job != waiter.job);
+            others.filter(|other| !other.waiter.is_blocked && other.waiter.job != waiter.job);
         others.all(|other| {
             let score = score(&other.waiter, now - other.arrived, other.due - now);
             (own, waiter.job) >= (score, other.waiter.job)
--- a/crates/kumquatdrum_placement/tests/planner.rs
+++ b/crates/kumquatdrum_placement/tests/planner.rs
@@ -87,7 +87,7 @@
     }
     let very_long = job(100, 250_000, at(3_500));
     match planner.place(at(3_500), &very_long) {
-        Decision::Wait(waiter) => assert!(waiter.blocked),
+        Decision::Wait(waiter) => assert!(waiter.is_blocked),
         other => panic!("{other:?}"),
     }
     // Short prompts overtake it.
@@ -98,7 +98,7 @@
     // A resumed answer is late in any case and is not rejected.
     let resumed = job(103, 250_000, START);
     match planner.place(at(5_500), &resumed) {
-        Decision::Wait(waiter) => assert!(waiter.blocked),
+        Decision::Wait(waiter) => assert!(waiter.is_blocked),
         other => panic!("{other:?}"),
     }
     planner.dequeue(resumed.id);
