--- a/crates/kumquatdrum_membership/src/propagation/machine.rs
+++ b/crates/kumquatdrum_membership/src/propagation/machine.rs
@@ -191,7 +191,7 @@
                 for (host, boot, version) in have.hosts {
                     self.record_version(now, &host, boot, version, out);
                 }
-                if have.reply {
+                if have.is_reply_requested {
                     send(out, from, self.have_message(now));
                 }
             }
@@ -304,12 +304,12 @@
         &self,
         now: Moment,
         hosts: Vec<(HostId, BootId, Version)>,
-        reply: bool,
+        is_reply_requested: bool,
     ) -> Message {
         Message::Have(Have {
             status: self.status(now),
             hosts,
-            reply,
+            is_reply_requested,
         })
     }
 
--- a/crates/kumquatdrum_membership/src/propagation/message.rs
+++ b/crates/kumquatdrum_membership/src/propagation/message.rs
@@ -31,7 +31,7 @@
     /// Versions in force on hosts of the sender's data centre, if they changed recently.
     pub hosts: Vec<(HostId, BootId, Version)>,
     /// Whether the sender requests the receiver's status in return.
-    pub reply: bool,
+    pub is_reply_requested: bool,
 }
 
 /// Status of a host's setup, piggybacked on other messages.
