--- a/crates/kumquatdrum_gateway/src/distribution.rs
+++ b/crates/kumquatdrum_gateway/src/distribution.rs
@@ -74,19 +74,19 @@
     pub fn distribute(&self, record: &Record, is_leader: bool) {
         self.state.lock().fetch_started = None;
         let local = self.hosts.local();
-        if !local.control {
+        if !local.is_control {
             return;
         }
         let live = self.hosts.live_hosts();
-        let control = live.iter().filter(|host| host.control);
+        let control = live.iter().filter(|host| host.is_control);
         let mut control: Vec<&HostId> = control.map(|host| &host.id).collect();
         control.push(&local.id);
         let is_assigned = |host: &&Host| {
-            (host.control && is_leader)
+            (host.is_control && is_leader)
                 || distribution::sender(&host.id, control.iter().copied()) == Some(&local.id)
         };
         let mut assigned: Vec<&Host> = live.iter().filter(is_assigned).collect();
-        assigned.sort_by_key(|host| !host.control);
+        assigned.sort_by_key(|host| !host.is_control);
         info!(self.logger, "setup_told"; "event" => "setup_told", "revision" => record.revision,
             "hosts" => assigned.len(), "of" => live.len(), "bytes" => record.packed_len());
         let assigned = assigned.into_iter().map(|host| host.id.clone());
--- a/crates/kumquatdrum_gateway/src/gateway/start.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/start.rs
@@ -166,10 +166,10 @@
         id: settings.host(),
         data_centre: settings.data_centre.clone(),
         boot: local.identity.boot.0,
-        callers: settings.listen.callers.is_some(),
-        control: settings.listen.control.is_some(),
+        accepts_callers: settings.listen.callers.is_some(),
+        is_control: settings.listen.control.is_some(),
         replica: None,
-        stopping: false,
+        is_stopping: false,
     };
     let port = settings.peer_port;
     let hosts = Hosts::new(clock, client.clone(), port, host, logger.clone());
--- a/crates/kumquatdrum_gateway/src/hosts.rs
+++ b/crates/kumquatdrum_gateway/src/hosts.rs
@@ -113,7 +113,7 @@
 
     /// Marks this host as stopping.
     pub fn set_stopping(&self) {
-        self.state.lock().local.stopping = true;
+        self.state.lock().local.is_stopping = true;
     }
 
     /// Records a message from a host.
@@ -126,7 +126,7 @@
         let now = self.clock.now();
         let mut state = self.state.lock();
         // Control hosts ignore each other's reports, which would otherwise keep a lost host alive.
-        if !state.local.control {
+        if !state.local.is_control {
             state.reports.apply(now, from, &listing, LOST_AFTER);
         }
         drop(state);
@@ -204,8 +204,8 @@
             }
             None => {
                 info!(self.logger, "host_known"; "event" => "host_known", "peer" => id.as_str(),
-                    "data_centre" => host.data_centre.as_str(), "callers" => host.callers,
-                    "control" => host.control, "boot" => host.boot);
+                    "data_centre" => host.data_centre.as_str(), "callers" => host.accepts_callers,
+                    "control" => host.is_control, "boot" => host.boot);
                 let is_lost = false;
                 let entry = Entry {
                     host,
@@ -256,8 +256,8 @@
     /// control host or `at_once` is set.
     pub fn hello_targets(&self, round: usize, at_once: bool) -> Vec<HostId> {
         let state = self.state.lock();
-        let includes_all = at_once || state.local.control;
-        let known = state.others.values().filter(|entry| entry.host.control);
+        let includes_all = at_once || state.local.is_control;
+        let known = state.others.values().filter(|entry| entry.host.is_control);
         let due = known.enumerate().filter(|(number, entry)| {
             let is_local = entry.host.data_centre == state.local.data_centre;
             includes_all || is_local || (number + round).is_multiple_of(REMOTE_HELLO_ROUNDS)
@@ -275,7 +275,7 @@
     /// Returns the control host to request a listing from, in rotation, so that a partitioned one
     /// does not hide hosts for long. Returns `None` if all targets should send one.
     pub fn listing_source(&self, round: usize, targets: &[HostId]) -> Option<HostId> {
-        if self.state.lock().local.control {
+        if self.state.lock().local.is_control {
             return None;
         }
         let mut control = self.control_hosts();
@@ -290,7 +290,7 @@
         let state = self.state.lock();
         let mut hosts: Vec<(bool, HostId)> = state
             .aged(now)
-            .filter(|(entry, age)| entry.host.control && *age <= LOST_AFTER)
+            .filter(|(entry, age)| entry.host.is_control && *age <= LOST_AFTER)
             .map(|(entry, _)| {
                 let is_remote = entry.host.data_centre != state.local.data_centre;
                 (is_remote, entry.host.id.clone())
@@ -312,8 +312,11 @@
     /// they are removed, since they may still serve.
     pub fn count_caller_hosts(&self) -> usize {
         let state = self.state.lock();
-        let others = state.others.values().filter(|entry| entry.host.callers);
-        others.count() + usize::from(state.local.callers)
+        let others = state
+            .others
+            .values()
+            .filter(|entry| entry.host.accepts_callers);
+        others.count() + usize::from(state.local.accepts_callers)
     }
 
     /// Returns the recipients of dispatch events: hosts that accept callers.
@@ -321,7 +324,8 @@
         let now = self.clock.now();
         let state = self.state.lock();
         let others = state.aged(now);
-        let others = others.filter(|(entry, age)| entry.host.callers && *age <= EXPIRE_AFTER);
+        let others =
+            others.filter(|(entry, age)| entry.host.accepts_callers && *age <= EXPIRE_AFTER);
         let peers = others.map(|(entry, age)| to_peer(&entry.host, age <= LOST_AFTER));
         let peers: Vec<Peer> = peers.collect();
         Recipients::select(&to_peer(&state.local, true), &peers)
@@ -339,7 +343,7 @@
         let now = self.clock.now();
         let state = self.state.lock();
         let local = state.aged(now).filter(|(entry, age)| {
-            entry.host.callers
+            entry.host.accepts_callers
                 && entry.host.data_centre == state.local.data_centre
                 && *age <= EXPIRE_AFTER
         });
@@ -357,13 +361,13 @@
     pub fn has_control_majority(&self) -> bool {
         let now = self.clock.now();
         let state = self.state.lock();
-        let control = state.others.values().filter(|entry| entry.host.control);
+        let control = state.others.values().filter(|entry| entry.host.is_control);
         let (mut known, mut live) = (0, 0);
         for entry in control {
             known += 1;
             live += usize::from(now - entry.last_contact <= LOST_AFTER);
         }
-        let own = usize::from(state.local.control);
+        let own = usize::from(state.local.is_control);
         let known = (known + own).max(state.seeds.len());
         (live + own) * 2 > known
     }
@@ -380,7 +384,7 @@
     Peer {
         id: host.id.clone(),
         data_centre: host.data_centre.clone(),
-        can_relay: host.callers && is_live && !host.stopping,
+        can_relay: host.accepts_callers && is_live && !host.is_stopping,
     }
 }
 
--- a/crates/kumquatdrum_gateway/src/message.rs
+++ b/crates/kumquatdrum_gateway/src/message.rs
@@ -20,13 +20,13 @@
     /// The host's start time in Unix milliseconds.
     pub boot: u64,
     /// Whether the host accepts callers.
-    pub callers: bool,
+    pub accepts_callers: bool,
     /// Whether the host accepts operators and endpoints.
-    pub control: bool,
+    pub is_control: bool,
     /// The host's replica, if any.
     pub replica: Option<ReplicaMember>,
     /// Whether the host is shutting down.
-    pub stopping: bool,
+    pub is_stopping: bool,
 }
 
 /// A host as known to another host.
--- a/crates/kumquatdrum_gateway/src/replica/voters.rs
+++ b/crates/kumquatdrum_gateway/src/replica/voters.rs
@@ -79,7 +79,7 @@
     /// first.
     fn spares(&self, voters: &[Member]) -> Vec<Member> {
         let hosts = self.context.hosts.live_hosts();
-        let live = hosts.into_iter().filter(|host| !host.stopping);
+        let live = hosts.into_iter().filter(|host| !host.is_stopping);
         let live = live.filter_map(|host| host.replica);
         let mut spares: Vec<Member> = live
             .filter(|spare| !voters.iter().any(|voter| voter.id.host == spare.id.host))
--- a/crates/kumquatdrum_gateway/tests/broadcast.rs
+++ b/crates/kumquatdrum_gateway/tests/broadcast.rs
@@ -36,10 +36,10 @@
         id: HostId::new(address.to_string()),
         data_centre: data_centre.into(),
         boot: 1,
-        callers: true,
-        control: false,
+        accepts_callers: true,
+        is_control: false,
         replica: None,
-        stopping: false,
+        is_stopping: false,
     }
 }
 
--- a/crates/kumquatdrum_gateway/tests/hosts.rs
+++ b/crates/kumquatdrum_gateway/tests/hosts.rs
@@ -15,15 +15,15 @@
 
 const START: Moment = Moment::from_millis(100_000);
 
-fn host(number: u8, boot: u64, control: bool) -> Host {
+fn host(number: u8, boot: u64, is_control: bool) -> Host {
     Host {
         id: HostId::new(format!("10.0.0.{number}")),
         data_centre: "tartu".into(),
         boot,
-        callers: !control,
-        control,
+        accepts_callers: !is_control,
+        is_control,
         replica: None,
-        stopping: false,
+        is_stopping: false,
     }
 }
 
@@ -79,7 +79,7 @@
     receiver.merge_listing(&control.id, same);
     sender.record_contact(host(3, 6, false));
     sender.record_contact(Host {
-        stopping: true,
+        is_stopping: true,
         ..host(4, 5, false)
     });
     sender.record_contact(host(10, 5, false));
@@ -107,7 +107,7 @@
             .expect("known")
     };
     assert_eq!(known("10.0.0.3").boot, 6);
-    assert!(known("10.0.0.4").stopping);
+    assert!(known("10.0.0.4").is_stopping);
     assert_eq!(live.len(), 9);
 }
 
