--- a/crates/kumquatdrum/src/explain.rs
+++ b/crates/kumquatdrum/src/explain.rs
@@ -39,7 +39,7 @@
     }
     let timeline = Timeline::from_lines(&arguments.id, lines);
     if arguments.json {
-        println!("{:#}", timeline.json());
+        println!("{:#}", timeline.to_json());
     } else {
         print!("{timeline}");
     }
--- a/crates/kumquatdrum/src/explain/timeline.rs
+++ b/crates/kumquatdrum/src/explain/timeline.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns the timeline as JSON.
-    pub fn json(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         json!({
             "request": self.id,
             "cause": self.cause(),
--- a/crates/kumquatdrum/src/losses.rs
+++ b/crates/kumquatdrum/src/losses.rs
@@ -42,7 +42,7 @@
     }
     let table = Table::from_lines(lines, arguments.every.unwrap_or(0));
     if arguments.json {
-        println!("{:#}", table.json());
+        println!("{:#}", table.to_json());
     } else {
         print!("{table}");
     }
--- a/crates/kumquatdrum/src/losses/table.rs
+++ b/crates/kumquatdrum/src/losses/table.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns the table as JSON: for each span, the counts by cause and prompt class.
-    pub fn json(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         let spans = self.spans.iter().map(|(second, span)| {
             let lost = span.lost.iter();
             let lost = lost.map(|(cause, counts)| (cause.to_string(), counts_by_class(counts)));
