--- a/crates/kumquatdrum_gateway/src/gateway/start.rs
+++ b/crates/kumquatdrum_gateway/src/gateway/start.rs
@@ -183,7 +183,7 @@
         )?),
         None => None,
     };
-    let pool = Pool::new(pool::Context {
+    let pool = Pool::new(pool::Dependencies {
         clock,
         endpoints: endpoints.clone(),
         hosts: hosts.clone(),
@@ -231,7 +231,7 @@
     received: mpsc::UnboundedReceiver<Event>,
 ) {
     let target = gateway.clone();
-    let context = replica::Context {
+    let dependencies = replica::Dependencies {
         settings: gateway.settings.clone(),
         client: gateway.client.clone(),
         hosts: gateway.hosts.clone(),
@@ -243,7 +243,7 @@
     let stop = running.stopped.subscribe();
     running
         .tasks
-        .spawn(replica::run(context, handle, received, stop));
+        .spawn(replica::run(dependencies, handle, received, stop));
     running.tasks.spawn(gateway.clone().publish_endpoints());
 }
 
--- a/crates/kumquatdrum_gateway/src/pool.rs
+++ b/crates/kumquatdrum_gateway/src/pool.rs
@@ -44,7 +44,7 @@
 const MAX_BATCH_BYTES: usize = 1_200;
 
 /// The dependencies of a pool.
-pub struct Context {
+pub struct Dependencies {
     /// The host's clock.
     pub clock: Clock,
     /// Announced endpoints.
@@ -67,7 +67,7 @@
 
 /// Holds the endpoints of all services and picks one for each request.
 pub struct Pool {
-    context: Context,
+    dependencies: Dependencies,
     services: RwLock<IndexMap<ServiceName, Arc<Service>>>,
     next_job: AtomicU64,
 }
@@ -105,11 +105,11 @@
 
 impl Pool {
     /// Creates a pool without services.
-    pub fn new(context: Context) -> Self {
+    pub fn new(dependencies: Dependencies) -> Self {
         // Job numbers must not repeat after a restart of this host.
         let first = kumquatdrum_process::clock::unix_ms() << 16;
         Self {
-            context,
+            dependencies,
             services: RwLock::default(),
             next_job: AtomicU64::new(first),
         }
@@ -133,11 +133,11 @@
     }
 
     fn build_service(&self, name: &ServiceName, engine: Option<&Engine>) -> Service {
-        let retries = &self.context.retries;
+        let retries = &self.dependencies.retries;
         let window = Duration::from_secs_f64(retries.window_s);
         let policy = match engine {
             Some(engine) => {
-                let local_key = data_centre_key(&self.context.data_centre);
+                let local_key = data_centre_key(&self.dependencies.data_centre);
                 let planner = Planner::new(engine.clone()).with_data_centre(local_key);
                 Policy::Engines(Box::new(planner))
             }
@@ -164,8 +164,8 @@
     }
 
     fn refresh_service(&self, service: &Service) {
-        let known = self.context.endpoints.usable(&service.name);
-        let limit = self.context.announcement_interval * MAX_MISSED_ANNOUNCEMENTS;
+        let known = self.dependencies.endpoints.usable(&service.name);
+        let limit = self.dependencies.announcement_interval * MAX_MISSED_ANNOUNCEMENTS;
         let fresh = known.iter().filter(|(_, age)| *age <= limit).count();
         // If most endpoints are silent, the network is more likely at fault than the endpoints.
         let includes_silent = fresh * 2 < known.len();
@@ -197,15 +197,15 @@
     /// Records a caller's request in the retry budget.
     pub fn record_request(&self, name: &ServiceName) {
         if let Some(service) = self.find_service(name) {
-            let now = self.context.clock.now();
+            let now = self.dependencies.clock.now();
             service.state.lock().budget.record_request(now);
         }
     }
 
     /// Takes one retry from this host's share of the budget. Returns whether it was granted.
     pub fn take_retry(&self, name: &ServiceName) -> bool {
-        let now = self.context.clock.now();
-        let hosts = self.context.hosts.count_caller_hosts();
+        let now = self.dependencies.clock.now();
+        let hosts = self.dependencies.hosts.count_caller_hosts();
         self.find_service(name)
             .is_some_and(|service| service.state.lock().budget.try_take(now, hosts))
     }
@@ -228,7 +228,7 @@
     }
 
     fn apply_event(&self, event: Event) -> Option<Arc<Service>> {
-        let now = self.context.clock.now();
+        let now = self.dependencies.clock.now();
         let (Event::Sent(name, _)
         | Event::Began(name, _)
         | Event::Ended(name, _)
@@ -258,11 +258,11 @@
 
     /// Broadcasts all jobs of this host that are in flight, for hosts that have missed events.
     pub fn rebroadcast_jobs(&self, path: RelayPath) {
-        let now = self.context.clock.now();
+        let now = self.dependencies.clock.now();
         let services: Vec<Arc<Service>> = self.services.read().values().cloned().collect();
         for service in services {
             let jobs = match &mut service.state.lock().policy {
-                Policy::Engines(planner) => planner.renew_jobs(now, self.context.number),
+                Policy::Engines(planner) => planner.renew_jobs(now, self.dependencies.number),
                 Policy::Plain(_) => continue,
             };
             for jobs in split_into_batches(jobs) {
@@ -275,7 +275,7 @@
     /// Returns a new job id, unique across hosts.
     pub fn next_job_id(&self) -> JobId {
         JobId {
-            host: self.context.number,
+            host: self.dependencies.number,
             number: self.next_job.fetch_add(1, Ordering::Relaxed),
         }
     }
@@ -298,7 +298,9 @@
         loop {
             let changed = service.changed.notified();
             match self.try_pick(&service, request, job) {
-                Err(Rejection::NoCapacity(waiter)) if self.context.clock.now() < job.deadline => {
+                Err(Rejection::NoCapacity(waiter))
+                    if self.dependencies.clock.now() < job.deadline =>
+                {
                     entry.broadcast_if_due(waiter);
                 }
                 Ok(pick) => {
@@ -317,7 +319,7 @@
         request: &str,
         job: &Job,
     ) -> Result<Pick, Rejection> {
-        let now = self.context.clock.now();
+        let now = self.dependencies.clock.now();
         let mut state = service.state.lock();
         match &mut state.policy {
             Policy::Engines(planner) => {
@@ -373,13 +375,13 @@
                 },
             })
         });
-        info!(self.context.logger, "placed"; "event" => "placed", "request" => request,
+        info!(self.dependencies.logger, "placed"; "event" => "placed", "request" => request,
             "endpoint" => endpoint.id.as_str(), "prompt" => job.prompt_tokens,
             "readers" => plan.helpers.len() + 1, "helpers" => helper_names(state, &plan),
             "part_ms" => format!("{:.1}", plan.part_ms),
             "engines" => diagnostics.engines, "backlog_ms" => format!("{:.1}", diagnostics.backlog_ms),
             "writers" => diagnostics.decodes, "pass_ms" => format!("{:.1}", diagnostics.pass_ms),
-            "waited_ms" => (self.context.clock.now() - job.arrived).as_millis() as u64);
+            "waited_ms" => (self.dependencies.clock.now() - job.arrived).as_millis() as u64);
         let urgency = urgency(&plan);
         let pick = Pick {
             pool: self.clone(),
@@ -399,7 +401,7 @@
     }
 
     fn broadcast_via(&self, event: Event, urgency: Urgency, path: RelayPath) {
-        if let Some(broadcaster) = &self.context.broadcaster {
+        if let Some(broadcaster) = &self.dependencies.broadcaster {
             broadcaster.broadcast(event, urgency, path);
         }
     }
@@ -421,7 +423,7 @@
 impl QueueEntry<'_> {
     /// Broadcasts the job's queue state if it has changed or the interval has passed.
     fn broadcast_if_due(&mut self, waiter: Waiter) {
-        let now = self.pool.context.clock.now();
+        let now = self.pool.dependencies.clock.now();
         let is_due = self.last_broadcast.is_none_or(|(at, is_blocked)| {
             now - at >= QUEUE_BROADCAST_INTERVAL || is_blocked != waiter.is_blocked
         });
--- a/crates/kumquatdrum_gateway/src/pool/pick.rs
+++ b/crates/kumquatdrum_gateway/src/pool/pick.rs
@@ -45,7 +45,7 @@
         let Some(job) = self.job else {
             return;
         };
-        let now = self.pool.context.clock.now();
+        let now = self.pool.dependencies.clock.now();
         if let Policy::Engines(planner) = &mut self.service.state.lock().policy {
             planner.record_first_token(now, job);
         }
@@ -56,7 +56,7 @@
 
     /// Records a successful response and the load that it reported.
     pub fn record_success(&self, load: Option<u32>) {
-        let now = self.pool.context.clock.now();
+        let now = self.pool.dependencies.clock.now();
         match &mut self.service.state.lock().policy {
             Policy::Engines(planner) => planner.record_success(self.key),
             Policy::Plain(balancer) => balancer.record_success(now, self.key, load),
@@ -65,20 +65,20 @@
 
     /// Records a failure of the endpoint.
     pub fn record_failure(&self, failure: Failure) {
-        let now = self.pool.context.clock.now();
+        let now = self.pool.dependencies.clock.now();
         let is_ejected = match &mut self.service.state.lock().policy {
             Policy::Engines(planner) => planner.record_failure(now, self.key, failure),
             Policy::Plain(balancer) => balancer.record_failure(now, self.key, failure),
         };
         if is_ejected {
-            warn!(self.pool.context.logger, "endpoint_ejected"; "event" => "endpoint_ejected",
+            warn!(self.pool.dependencies.logger, "endpoint_ejected"; "event" => "endpoint_ejected",
                 "endpoint" => self.endpoint.id.as_str(), "failure" => ?failure);
         }
     }
 
     /// Records the failure of a helper, given by its id or address.
     pub fn record_helper_failure(&self, name: &str) {
-        let now = self.pool.context.clock.now();
+        let now = self.pool.dependencies.clock.now();
         let mut state = self.service.state.lock();
         let is_named = |endpoint: &Announcement| {
             endpoint.id.as_str() == name || endpoint.address.to_string() == name
@@ -91,20 +91,23 @@
         if let Policy::Engines(planner) = &mut state.policy {
             planner.record_failure(now, key, Failure::Unreachable);
         }
-        warn!(self.pool.context.logger, "helper_failed"; "event" => "helper_failed",
+        warn!(self.pool.dependencies.logger, "helper_failed"; "event" => "helper_failed",
             "endpoint" => self.endpoint.id.as_str(), "helper" => name);
     }
 
     /// Marks the endpoint as gone because another endpoint answers at its address.
     pub fn mark_displaced(&self) {
-        self.pool.context.endpoints.mark_displaced(&self.endpoint);
+        self.pool
+            .dependencies
+            .endpoints
+            .mark_displaced(&self.endpoint);
         self.pool.refresh_service(&self.service);
     }
 }
 
 impl Drop for Pick {
     fn drop(&mut self) {
-        let now = self.pool.context.clock.now();
+        let now = self.pool.dependencies.clock.now();
         match (&mut self.service.state.lock().policy, self.job) {
             (Policy::Engines(planner), Some(job)) => planner.record_end(now, job),
             (Policy::Plain(balancer), _) => balancer.record_end(self.key),
--- a/crates/kumquatdrum_gateway/src/replica.rs
+++ b/crates/kumquatdrum_gateway/src/replica.rs
@@ -115,7 +115,7 @@
 pub type Callback = Box<dyn Fn(&Record, bool) + Send + Sync>;
 
 /// The dependencies of a replica.
-pub struct Context {
+pub struct Dependencies {
     /// The host's settings.
     pub settings: Settings,
     /// The client for messages to other replicas.
@@ -134,19 +134,19 @@
 
 /// Runs the replica until `stop` is true. Reopens the data folder after a failure.
 pub async fn run(
-    context: Context,
+    dependencies: Dependencies,
     handle: Handle,
     mut received: mpsc::UnboundedReceiver<Event>,
     mut stop: watch::Receiver<bool>,
 ) {
-    let Some(replica) = context.settings.replica.clone() else {
+    let Some(replica) = dependencies.settings.replica.clone() else {
         return;
     };
-    let context = Arc::new(context);
+    let dependencies = Arc::new(dependencies);
     let mut generation = 0;
     loop {
         generation += 1;
-        let host = context.settings.host();
+        let host = dependencies.settings.host();
         let path = replica.data.clone();
         let incarnation = Incarnation(random::number());
         let opening = tokio::task::spawn_blocking(move || {
@@ -155,17 +155,18 @@
             Ok::<_, kumquatdrum_disk::Error>((folder, stored))
         });
         let opened = match opening.await {
-            Ok(Ok((folder, stored))) => start(&context, &handle, generation, folder, stored),
+            Ok(Ok((folder, stored))) => start(&dependencies, &handle, generation, folder, stored),
             Ok(Err(error)) => Err(error.to_string()),
             Err(error) => Err(error.to_string()),
         };
         match opened {
             Ok(running) => running.run(&mut received, &mut stop).await,
             Err(reason) => {
-                error!(context.logger, "disk_lost"; "event" => "disk_lost", "reason" => reason);
+                error!(dependencies.logger, "disk_lost"; "event" => "disk_lost",
+                    "reason" => reason);
             }
         }
-        context.hosts.set_replica(None);
+        dependencies.hosts.set_replica(None);
         let pause = tokio::time::sleep(REOPEN_DELAY);
         tokio::pin!(pause);
         loop {
@@ -185,7 +186,7 @@
 }
 
 fn start(
-    context: &Arc<Context>,
+    dependencies: &Arc<Dependencies>,
     handle: &Handle,
     generation: u64,
     folder: Folder,
@@ -193,10 +194,10 @@
 ) -> Result<Replica, String> {
     let member = Member {
         id: folder.identity().replica(),
-        data_centre: context.settings.data_centre.clone(),
+        data_centre: dependencies.settings.data_centre.clone(),
     };
     let snapshot = stored.snapshot.as_ref().map(|snapshot| snapshot.index.0);
-    info!(context.logger, "disk_opened"; "event" => "disk_opened", "replica" => %member.id,
+    info!(dependencies.logger, "disk_opened"; "event" => "disk_opened", "replica" => %member.id,
         "entries" => stored.entries.len(), "term" => %stored.hard_state.term,
         "snapshot" => snapshot,
         "cluster" => stored.hard_state.cluster.map(|cluster| cluster.0));
@@ -206,11 +207,11 @@
         events.send(Event::Written(generation, written)).is_ok()
     });
     let writer = Writer::start(Box::new(folder), report).map_err(|error| error.to_string())?;
-    context.hosts.set_replica(Some(member.clone()));
-    let settings = node_settings(&context.settings, member);
-    let node = Node::new(settings, stored, context.clock.now(), random::number());
+    dependencies.hosts.set_replica(Some(member.clone()));
+    let settings = node_settings(&dependencies.settings, member);
+    let node = Node::new(settings, stored, dependencies.clock.now(), random::number());
     Ok(Replica {
-        context: context.clone(),
+        dependencies: dependencies.clone(),
         generation,
         node,
         writer,
@@ -247,7 +248,7 @@
 }
 
 struct Replica {
-    context: Arc<Context>,
+    dependencies: Arc<Dependencies>,
     generation: u64,
     node: Node,
     writer: Writer,
@@ -274,7 +275,7 @@
         self.step(Input::Tick);
         let mut maintenance = tokio::time::interval(MAINTENANCE_INTERVAL);
         while !self.is_halted {
-            let due = self.context.clock.instant(self.wake_at);
+            let due = self.dependencies.clock.instant(self.wake_at);
             tokio::select! {
                 event = received.recv() => match event {
                     Some(event) => self.handle_event(event),
@@ -294,7 +295,7 @@
         for (_, command) in self.pending_commands.drain(..) {
             let _ = command.sender.send(Response::NotLeader(None));
         }
-        self.context.metrics.leader.set(0);
+        self.dependencies.metrics.leader.set(0);
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -311,7 +312,7 @@
             // Confirming leadership ensures that the register is current, which `Apply` needs too.
             Event::Command(command, sender) => {
                 let token = self.next_token();
-                let received = self.context.clock.now();
+                let received = self.dependencies.clock.now();
                 let pending = PendingCommand {
                     command,
                     sender,
@@ -329,7 +330,7 @@
     }
 
     fn step(&mut self, input: Input) {
-        let now = self.context.clock.now();
+        let now = self.dependencies.clock.now();
         for output in self.node.step(now, input) {
             self.handle_output(output);
         }
@@ -349,18 +350,18 @@
             Output::SnapshotRequested => self.snapshot(),
             Output::BecameLeader { term } => {
                 self.silent.clear();
-                self.context.metrics.leader.set(1);
-                info!(self.context.logger, "became_leader"; "event" => "became_leader",
+                self.dependencies.metrics.leader.set(1);
+                info!(self.dependencies.logger, "became_leader"; "event" => "became_leader",
                     "term" => %term, "revision" => self.register.revision());
             }
             Output::SteppedDown { term, reason } => {
-                self.context.metrics.leader.set(0);
-                info!(self.context.logger, "stepped_down"; "event" => "stepped_down",
+                self.dependencies.metrics.leader.set(0);
+                info!(self.dependencies.logger, "stepped_down"; "event" => "stepped_down",
                     "term" => %term, "reason" => reason.as_str(), "silent" => self.silent_voters());
             }
             Output::Halted { reason } => {
                 self.is_halted = true;
-                error!(self.context.logger, "disk_lost"; "event" => "disk_lost",
+                error!(self.dependencies.logger, "disk_lost"; "event" => "disk_lost",
                     "reason" => reason);
             }
             Output::Wake { at } => self.wake_at = at,
@@ -370,10 +371,10 @@
     fn send(&self, to: &HostId, message: &Message) {
         match postcard::to_stdvec(message) {
             Ok(body) => self
-                .context
+                .dependencies
                 .client
                 .send(to, Channel::Consensus, body.into()),
-            Err(error) => error!(self.context.logger, "message_not_encoded";
+            Err(error) => error!(self.dependencies.logger, "message_not_encoded";
                 "event" => "message_not_encoded", "reason" => %error),
         }
     }
@@ -388,7 +389,7 @@
             // Skipping an entry written by a later release would make this replica diverge.
             Err(reason) => {
                 self.is_halted = true;
-                error!(self.context.logger, "entry_unreadable"; "event" => "entry_unreadable",
+                error!(self.dependencies.logger, "entry_unreadable"; "event" => "entry_unreadable",
                     "index" => %index, "reason" => %reason);
             }
         }
@@ -407,7 +408,7 @@
             }
             Err(reason) => {
                 self.is_halted = true;
-                error!(self.context.logger, "snapshot_unreadable";
+                error!(self.dependencies.logger, "snapshot_unreadable";
                     "event" => "snapshot_unreadable", "reason" => %reason);
             }
         }
@@ -429,14 +430,14 @@
                 index,
                 data: Bytes::from(data),
             }),
-            Err(reason) => error!(self.context.logger, "snapshot_not_encoded";
+            Err(reason) => error!(self.dependencies.logger, "snapshot_not_encoded";
                 "event" => "snapshot_not_encoded", "reason" => %reason),
         }
     }
 
     fn publish_current(&self) {
         if let Some(record) = self.register.current() {
-            (self.context.on_commit)(record, self.node.is_leader());
+            (self.dependencies.on_commit)(record, self.node.is_leader());
         }
     }
 
--- a/crates/kumquatdrum_gateway/src/replica/commands.rs
+++ b/crates/kumquatdrum_gateway/src/replica/commands.rs
@@ -36,10 +36,10 @@
         else {
             return;
         };
-        info!(self.context.logger, "leader_confirmed"; "event" => "leader_confirmed",
+        info!(self.dependencies.logger, "leader_confirmed"; "event" => "leader_confirmed",
             "question" => command.name(), "term" => %self.node.term(), "round" => round,
             "applied" => %self.node.applied(), "revision" => self.register.revision(),
-            "ms" => (self.context.clock.now() - received).as_millis() as u64);
+            "ms" => (self.dependencies.clock.now() - received).as_millis() as u64);
         match command {
             Command::Read => {
                 let current = self.register.current().cloned();
@@ -61,10 +61,10 @@
         else {
             return;
         };
-        info!(self.context.logger, "leader_unconfirmed"; "event" => "leader_unconfirmed",
+        info!(self.dependencies.logger, "leader_unconfirmed"; "event" => "leader_unconfirmed",
             "question" => command.name(), "term" => %self.node.term(),
             "leader" => leader.as_ref().map(|leader| leader.as_str().to_owned()),
-            "ms" => (self.context.clock.now() - received).as_millis() as u64);
+            "ms" => (self.dependencies.clock.now() - received).as_millis() as u64);
         let _ = sender.send(Response::NotLeader(leader));
     }
 
@@ -75,15 +75,15 @@
                 let pending = PendingProposal {
                     revision: record.revision,
                     sender,
-                    proposed: self.context.clock.now(),
+                    proposed: self.dependencies.clock.now(),
                 };
                 self.pending_proposals.insert(token, pending);
                 let payload = Bytes::from(payload);
                 self.step(Input::Propose(Proposal { token, payload }));
             }
             Err(reason) => {
-                error!(self.context.logger, "record_not_encoded"; "event" => "record_not_encoded",
-                    "reason" => %reason);
+                error!(self.dependencies.logger, "record_not_encoded";
+                    "event" => "record_not_encoded", "reason" => %reason);
                 let _ = sender.send(Response::Unavailable);
             }
         }
@@ -107,12 +107,12 @@
     /// Logs the outcome of a proposal. For a committed entry, this includes the replicas that store
     /// it.
     fn log_outcome(&self, proposal: &PendingProposal, outcome: &ProposalOutcome) {
-        let ms = (self.context.clock.now() - proposal.proposed).as_millis() as u64;
+        let ms = (self.dependencies.clock.now() - proposal.proposed).as_millis() as u64;
         let (index, holders) = match outcome {
             ProposalOutcome::Committed { index } => (Some(index.0), self.holders(*index)),
             _ => (None, String::new()),
         };
-        info!(self.context.logger, "setup_proposed"; "event" => "setup_proposed",
+        info!(self.dependencies.logger, "setup_proposed"; "event" => "setup_proposed",
             "revision" => proposal.revision, "outcome" => outcome.as_str(),
             "term" => %self.node.term(), "index" => index, "holders" => holders, "ms" => ms);
     }
--- a/crates/kumquatdrum_gateway/src/replica/voters.rs
+++ b/crates/kumquatdrum_gateway/src/replica/voters.rs
@@ -20,7 +20,7 @@
         {
             return;
         }
-        let now = self.context.clock.now();
+        let now = self.dependencies.clock.now();
         for peer in &status.peers {
             if peer.is_alive {
                 self.silent.swap_remove(&peer.id);
@@ -37,7 +37,7 @@
         let Some(next) = self.next_voters(voters, lost.as_ref()) else {
             return;
         };
-        warn!(self.context.logger, "voters_change"; "event" => "voters_change",
+        warn!(self.dependencies.logger, "voters_change"; "event" => "voters_change",
             "lost" => lost.map(|lost| lost.id.to_string()),
             "voters" => next.iter().map(|voter| voter.id.to_string()).collect::<Vec<_>>().join(","));
         let token = self.next_token();
@@ -49,7 +49,7 @@
 
     fn next_voters(&self, voters: &[Member], lost: Option<&Member>) -> Option<Vec<Member>> {
         let spares = self.spares(voters);
-        let target = 2 * self.context.settings.lost_replicas + 1;
+        let target = 2 * self.dependencies.settings.lost_replicas + 1;
         let mut next = voters.to_vec();
         if let Some(lost) = lost {
             let spare = placement::choose_replacement(voters, &lost.id, &spares);
@@ -78,7 +78,7 @@
     /// Returns the live replicas on hosts without a voter, data centres with the fewest voters
     /// first.
     fn spares(&self, voters: &[Member]) -> Vec<Member> {
-        let hosts = self.context.hosts.live_hosts();
+        let hosts = self.dependencies.hosts.live_hosts();
         let live = hosts.into_iter().filter(|host| !host.is_stopping);
         let live = live.filter_map(|host| host.replica);
         let mut spares: Vec<Member> = live
