--- a/crates/kumquatdrum_gateway/src/pool.rs
+++ b/crates/kumquatdrum_gateway/src/pool.rs
@@ -368,10 +368,10 @@
             Some(Prefiller {
                 endpoint: helper.id.clone(),
                 key: part.endpoint,
-                reserved_tokens: u64::from(part.reserved),
+                reserved_tokens: u64::from(part.reserved_tokens),
                 helper: Helper {
                     address: helper.address,
-                    reservation: (part.reserved > 0).then(name),
+                    reservation: (part.reserved_tokens > 0).then(name),
                 },
             })
         });
--- a/crates/kumquatdrum_placement/src/job.rs
+++ b/crates/kumquatdrum_placement/src/job.rs
@@ -80,13 +80,13 @@
     /// Engines that run the other parts of the prefill, those with reserved memory first.
     pub helpers: Vec<Helper>,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The time from arrival until the first token is due, in milliseconds.
     pub target_ms: u32,
     /// The prefill time of one part, in milliseconds.
     pub part_ms: f32,
     /// Tokens of memory on the first engine.
-    pub tokens: u32,
+    pub memory_tokens: u32,
     /// The longest pause that the caller accepts, in milliseconds.
     pub pause_ms: u32,
 }
@@ -100,7 +100,7 @@
     #[serde(rename = "read_ms")]
     pub prefill_ms: f32,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The time since arrival, in milliseconds.
     pub waited_ms: u32,
     /// The time until the first token is due, in milliseconds; 0 if it is overdue.
@@ -115,7 +115,7 @@
     /// The engine.
     pub endpoint: EndpointKey,
     /// Tokens of memory to reserve for the job; 0 if the engine only runs prefill.
-    pub reserved: u32,
+    pub reserved_tokens: u32,
 }
 
 impl Plan {
--- a/crates/kumquatdrum_placement/src/long_prompt.rs
+++ b/crates/kumquatdrum_placement/src/long_prompt.rs
@@ -177,7 +177,7 @@
         missing_tokens -= reserved;
         helpers.push(Helper {
             endpoint: candidate.key,
-            reserved: u32::try_from(reserved).unwrap_or(u32::MAX),
+            reserved_tokens: u32::try_from(reserved).unwrap_or(u32::MAX),
         });
     }
     if missing_tokens > 0 {
@@ -188,10 +188,10 @@
         job: job.id,
         first: first.key,
         helpers,
-        prompt: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
+        prompt_tokens: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
         target_ms: (job.due - job.arrived).as_millis() as u32,
         part_ms: part_ms as f32,
-        tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
+        memory_tokens: u32::try_from(tokens).unwrap_or(u32::MAX),
         pause_ms: job.max_pause.as_millis() as u32,
     })
 }
--- a/crates/kumquatdrum_placement/src/planner.rs
+++ b/crates/kumquatdrum_placement/src/planner.rs
@@ -209,7 +209,7 @@
     pub fn record_dispatch(&mut self, now: Moment, plan: Plan) {
         self.queue.remove(plan.job);
         let target = Duration::from_millis(plan.target_ms.into());
-        self.demand.add(now, plan.prompt.into(), target);
+        self.demand.add(now, plan.prompt_tokens.into(), target);
         if self.tombstones.contains(plan.job) {
             return;
         }
@@ -247,7 +247,7 @@
         if let Some(endpoint) = self.endpoints.get_mut(&plan.first) {
             let decode = Decode {
                 max_pause_ms: f64::from(plan.pause_ms),
-                weight: weight(plan.prompt.into()),
+                weight: weight(plan.prompt_tokens.into()),
             };
             endpoint.decodes.insert(plan.job, decode);
         }
@@ -390,7 +390,7 @@
     Waiter {
         job: job.id,
         prefill_ms: prefill_ms as f32,
-        prompt: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
+        prompt_tokens: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
         waited_ms: (now - job.arrived).as_millis() as u32,
         left_ms: (job.due - now).as_millis() as u32,
         is_blocked: false,
@@ -414,8 +414,8 @@
 /// Returns the memory of a plan by engine.
 fn memory_by_engine(plan: &Plan) -> impl Iterator<Item = (EndpointKey, u64)> + '_ {
     let helpers = plan.helpers.iter();
-    let helpers = helpers.map(|helper| (helper.endpoint, u64::from(helper.reserved)));
-    std::iter::once((plan.first, u64::from(plan.tokens))).chain(helpers)
+    let helpers = helpers.map(|helper| (helper.endpoint, u64::from(helper.reserved_tokens)));
+    std::iter::once((plan.first, u64::from(plan.memory_tokens))).chain(helpers)
 }
 
 fn plan_short(job: &Job, first: EndpointKey, helpers: Vec<Helper>, prefill_ms: f64) -> Plan {
@@ -424,10 +424,10 @@
         job: job.id,
         first,
         helpers,
-        prompt: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
+        prompt_tokens: u32::try_from(job.prompt_tokens).unwrap_or(u32::MAX),
         target_ms: (job.due - job.arrived).as_millis() as u32,
         part_ms: (prefill_ms / prefill_engines as f64) as f32,
-        tokens: u32::try_from(job.memory_tokens()).unwrap_or(u32::MAX),
+        memory_tokens: u32::try_from(job.memory_tokens()).unwrap_or(u32::MAX),
         pause_ms: job.max_pause.as_millis() as u32,
     }
 }
--- a/crates/kumquatdrum_placement/src/queue.rs
+++ b/crates/kumquatdrum_placement/src/queue.rs
@@ -79,7 +79,7 @@
 /// Returns the priority of a prompt: its weight per millisecond of prefill, increased by the share
 /// of its time that it has waited and reduced if it is overdue.
 fn score(waiter: &Waiter, elapsed: Duration, remaining: Duration) -> f64 {
-    let weight = weight(waiter.prompt.into());
+    let weight = weight(waiter.prompt_tokens.into());
     let rate = weight / f64::from(waiter.prefill_ms).max(1.0);
     let time = (elapsed + remaining).as_secs_f64().max(f64::MIN_POSITIVE);
     let aged = rate * (1.0 + elapsed.as_secs_f64() / time);
--- a/crates/kumquatdrum_placement/src/short_prompt.rs
+++ b/crates/kumquatdrum_placement/src/short_prompt.rs
@@ -171,7 +171,7 @@
     helpers
         .map(|candidate| Helper {
             endpoint: candidate.key,
-            reserved: 0,
+            reserved_tokens: 0,
         })
         .collect()
 }
--- a/crates/kumquatdrum_placement/tests/planner.rs
+++ b/crates/kumquatdrum_placement/tests/planner.rs
@@ -130,10 +130,10 @@
         job: JobId { host: 2, number },
         first: EndpointKey(key),
         helpers: vec![],
-        prompt: 100_000,
+        prompt_tokens: 100_000,
         target_ms: 3_000,
         part_ms,
-        tokens: 100_000,
+        memory_tokens: 100_000,
         pause_ms: 1_000,
     }
 }
@@ -159,7 +159,7 @@
     for number in 1..=4 {
         let other = Plan {
             pause_ms: 250,
-            tokens: 3_000,
+            memory_tokens: 3_000,
             ..plan_with_part(3, number, 0.0)
         };
         planner.renew_job(at, other, false);
@@ -180,7 +180,7 @@
     // Engines 1 and 2 use some memory, so the remote engines have more free.
     for key in [1, 2] {
         let memory_holder = Plan {
-            tokens: 50_000,
+            memory_tokens: 50_000,
             pause_ms: 60_000,
             ..plan_with_part(key, key, 0.0)
         };
@@ -221,10 +221,10 @@
         job: JobId { host: 2, number: 1 },
         first: EndpointKey(1),
         helpers: Vec::new(),
-        prompt: 300_000,
+        prompt_tokens: 300_000,
         target_ms: 3_000,
         part_ms: 100.0,
-        tokens: 300_000,
+        memory_tokens: 300_000,
         pause_ms: 1_000,
     };
     planner.record_dispatch(START, other.clone());
@@ -238,7 +238,9 @@
     let last = START + Duration::from_secs(9);
     let plan = expect_sent(planner.place(last, &job(3, 300_000, last)));
     assert!(
-        plan.helpers.iter().all(|helper| helper.reserved == 0),
+        plan.helpers
+            .iter()
+            .all(|helper| helper.reserved_tokens == 0),
         "{plan:?}"
     );
 }
@@ -268,7 +270,9 @@
         let plan = expect_sent(planner.place(idle, &job(9_999, 300_000, idle)));
         assert_eq!(plan.prefill_engines().count(), 6, "seed {seed}: {plan:?}");
         assert!(
-            plan.helpers.iter().all(|helper| helper.reserved == 0),
+            plan.helpers
+                .iter()
+                .all(|helper| helper.reserved_tokens == 0),
             "seed {seed}: {plan:?}"
         );
     }
