--- a/crates/kumquatdrum_membership/src/propagation/machine.rs
+++ b/crates/kumquatdrum_membership/src/propagation/machine.rs
@@ -173,7 +173,7 @@
             version: self.version(),
             digest_prefix: self.current().map_or(0, Setup::digest_prefix),
             is_ready: self.is_ready(),
-            majority_age_millis: last_contact.map(age),
+            majority_age_ms: last_contact.map(age),
         }
     }
 
@@ -192,7 +192,7 @@
                 for (host, boot, version) in have.hosts {
                     self.record_version(now, &host, boot, version, out);
                 }
-                if have.reply {
+                if have.is_reply_requested {
                     send(out, from, self.have_message(now));
                 }
             }
@@ -213,7 +213,7 @@
         out: &mut Vec<Output>,
     ) {
         self.record_version(now, from, boot, status.version, out);
-        self.record_majority(now, from, status.majority_age_millis);
+        self.record_majority(now, from, status.majority_age_ms);
         if let Some(startup) = self.startup.as_mut().filter(|_| status.is_ready) {
             startup.record_answer(from);
         }
@@ -305,12 +305,12 @@
         &self,
         now: Moment,
         hosts: Vec<(HostId, BootId, Version)>,
-        reply: bool,
+        is_reply_requested: bool,
     ) -> Message {
         Message::Have(Have {
             status: self.status(now),
             hosts,
-            reply,
+            is_reply_requested,
         })
     }
 
--- a/crates/kumquatdrum_membership/src/propagation/message.rs
+++ b/crates/kumquatdrum_membership/src/propagation/message.rs
@@ -31,7 +31,7 @@
     /// Versions in force on hosts of the sender's data centre, if they changed recently.
     pub hosts: Vec<(HostId, BootId, Version)>,
     /// Whether the sender requests the receiver's status in return.
-    pub reply: bool,
+    pub is_reply_requested: bool,
 }
 
 /// Status of a host's setup, piggybacked on other messages.
@@ -45,7 +45,7 @@
     /// Whether the host has completed its startup and serves.
     pub is_ready: bool,
     /// Time since the last direct contact with a majority of control replicas, in milliseconds.
-    pub majority_age_millis: Option<u32>,
+    pub majority_age_ms: Option<u32>,
 }
 
 /// Version with its complete text or a delta.
--- a/crates/kumquatdrum_placement/src/queue.rs
+++ b/crates/kumquatdrum_placement/src/queue.rs
@@ -27,7 +27,7 @@
     waiter: Waiter,
     arrived: Moment,
     due: Moment,
-    refreshed_at: Moment,
+    renewed_at: Moment,
 }
 
 impl Queue {
@@ -40,7 +40,7 @@
                 micros: now.micros.saturating_sub(elapsed),
             },
             due: now + Duration::from_millis(waiter.left_ms.into()),
-            refreshed_at: now,
+            renewed_at: now,
         };
         self.entries.insert(waiter.job, entry);
     }
@@ -58,7 +58,7 @@
     /// Drops entries that have not been renewed.
     pub(crate) fn expire(&mut self, now: Moment) {
         self.entries
-            .retain(|_, entry| now - entry.refreshed_at <= ENTRY_EXPIRY);
+            .retain(|_, entry| now - entry.renewed_at <= ENTRY_EXPIRY);
     }
 
     /// Returns whether no other prompt that can be dispatched precedes this one.
@@ -68,7 +68,7 @@
         let own = score(&waiter, elapsed, remaining);
         let others = self.entries.values();
         let mut others =
-            others.filter(|other| !other.waiter.blocked && other.waiter.job != waiter.job);
+            others.filter(|other| !other.waiter.is_blocked && other.waiter.job != waiter.job);
         others.all(|other| {
             let score = score(&other.waiter, now - other.arrived, other.due - now);
             (own, waiter.job) >= (score, other.waiter.job)
@@ -79,7 +79,7 @@
 /// Returns the priority of a prompt: its weight per millisecond of prefill, increased by the share
 /// of its time that it has waited and reduced if it is overdue.
 fn score(waiter: &Waiter, elapsed: Duration, remaining: Duration) -> f64 {
-    let weight = weight(waiter.prompt.into());
+    let weight = weight(waiter.prompt_tokens.into());
     let rate = weight / f64::from(waiter.prefill_ms).max(1.0);
     let time = (elapsed + remaining).as_secs_f64().max(f64::MIN_POSITIVE);
     let aged = rate * (1.0 + elapsed.as_secs_f64() / time);
--- a/crates/kumquatdrum_placement/tests/planner.rs
+++ b/crates/kumquatdrum_placement/tests/planner.rs
@@ -82,12 +82,12 @@
         .collect();
     for announced_ms in [2_000, 4_000] {
         for short in &shorts {
-            planner.refresh(at(announced_ms), short.clone(), false);
+            planner.renew_job(at(announced_ms), short.clone(), false);
         }
     }
     let very_long = job(100, 250_000, at(3_500));
     match planner.place(at(3_500), &very_long) {
-        Decision::Wait(waiter) => assert!(waiter.blocked),
+        Decision::Wait(waiter) => assert!(waiter.is_blocked),
         other => panic!("{other:?}"),
     }
     // Short prompts overtake it.
@@ -98,7 +98,7 @@
     // A resumed answer is late in any case and is not rejected.
     let resumed = job(103, 250_000, START);
     match planner.place(at(5_500), &resumed) {
-        Decision::Wait(waiter) => assert!(waiter.blocked),
+        Decision::Wait(waiter) => assert!(waiter.is_blocked),
         other => panic!("{other:?}"),
     }
     planner.dequeue(resumed.id);
@@ -130,10 +130,10 @@
         job: JobId { host: 2, number },
         first: EndpointKey(key),
         helpers: vec![],
-        prompt: 100_000,
+        prompt_tokens: 100_000,
         target_ms: 3_000,
         part_ms,
-        tokens: 100_000,
+        memory_tokens: 100_000,
         pause_ms: 1_000,
     }
 }
@@ -159,10 +159,10 @@
     for number in 1..=4 {
         let other = Plan {
             pause_ms: 250,
-            tokens: 3_000,
+            memory_tokens: 3_000,
             ..plan_with_part(3, number, 0.0)
         };
-        planner.refresh(at, other, false);
+        planner.renew_job(at, other, false);
     }
     let local = expect_sent(planner.place(at, &job(2, 2_000, at)));
     assert_eq!(local.first, packed.first);
@@ -180,11 +180,11 @@
     // Engines 1 and 2 use some memory, so the remote engines have more free.
     for key in [1, 2] {
         let memory_holder = Plan {
-            tokens: 50_000,
+            memory_tokens: 50_000,
             pause_ms: 60_000,
             ..plan_with_part(key, key, 0.0)
         };
-        planner.refresh(at, memory_holder, false);
+        planner.renew_job(at, memory_holder, false);
     }
     let local = expect_sent(planner.place(at, &job(2, 150_000, at)));
     assert!([1, 2].contains(&local.first.0), "{local:?}");
@@ -221,16 +221,16 @@
         job: JobId { host: 2, number: 1 },
         first: EndpointKey(1),
         helpers: Vec::new(),
-        prompt: 300_000,
+        prompt_tokens: 300_000,
         target_ms: 3_000,
         part_ms: 100.0,
-        tokens: 300_000,
+        memory_tokens: 300_000,
         pause_ms: 1_000,
     };
     planner.record_dispatch(START, other.clone());
     // The job uses memory and is announced again.
     let at = START + Duration::from_secs(2);
-    planner.refresh(at, other, false);
+    planner.renew_job(at, other, false);
     let later = START + Duration::from_secs(4);
     let plan = expect_sent(planner.place(later, &job(2, 100_000, later)));
     assert_eq!(plan.first, EndpointKey(2));
@@ -238,7 +238,9 @@
     let last = START + Duration::from_secs(9);
     let plan = expect_sent(planner.place(last, &job(3, 300_000, last)));
     assert!(
-        plan.helpers.iter().all(|helper| helper.reserved == 0),
+        plan.helpers
+            .iter()
+            .all(|helper| helper.reserved_tokens == 0),
         "{plan:?}"
     );
 }
@@ -268,7 +270,9 @@
         let plan = expect_sent(planner.place(idle, &job(9_999, 300_000, idle)));
         assert_eq!(plan.prefill_engines().count(), 6, "seed {seed}: {plan:?}");
         assert!(
-            plan.helpers.iter().all(|helper| helper.reserved == 0),
+            plan.helpers
+                .iter()
+                .all(|helper| helper.reserved_tokens == 0),
             "seed {seed}: {plan:?}"
         );
     }
@@ -283,7 +287,7 @@
         0 => {}
         1 => planner.record_first_token(now, plan.job),
         _ => {
-            planner.refresh(now, plan.clone(), random.is_multiple_of(2));
+            planner.renew_job(now, plan.clone(), random.is_multiple_of(2));
             planner.record_first_token(now, plan.job);
         }
     }
@@ -301,7 +305,7 @@
     let ended = plan_with_part(1, 1, 3_000.0);
     planner.record_end(at(0), ended.job);
     planner.record_dispatch(at(100), ended.clone());
-    planner.refresh(at(200), ended.clone(), true);
+    planner.renew_job(at(200), ended.clone(), true);
     let plan = expect_sent(planner.place(at(300), &job(2, 2_000, at(300))));
     planner.record_end(at(310), plan.job);
     // The engine's memory and prefill time are free for a prompt that fills it.
