--- a/crates/kumquatdrum_placement/src/job.rs
+++ b/crates/kumquatdrum_placement/src/job.rs
@@ -97,7 +97,6 @@
     /// The job.
     pub job: JobId,
     /// The prefill time on one engine, in milliseconds.
-    #[serde(rename = "read_ms")]
     pub prefill_ms: f32,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
