--- a/crates/kumquatdrum_caller/src/routes.rs
+++ b/crates/kumquatdrum_caller/src/routes.rs
@@ -69,13 +69,10 @@
 
 /// Returns all routes of the callers' listener.
 pub fn all(admission: Arc<dyn Admission>) -> Vec<Route> {
+    let models = Models(admission.clone());
     let mut routes = vec![
-        Route::new(Method::Post, "/v1/completions", Models(admission.clone())),
-        Route::new(
-            Method::Post,
-            "/v1/chat/completions",
-            Models(admission.clone()),
-        ),
+        Route::new(Method::Post, "/v1/completions", models.clone()),
+        Route::new(Method::Post, "/v1/chat/completions", models),
         Route::new(Method::Get, "/v1/keys/<key>", Keys(admission.clone())),
     ];
     for method in METHODS {
@@ -99,12 +96,8 @@
 
 impl Key {
     fn new(caller: &Caller, submission: &Submission) -> Self {
-        Self(
-            submission
-                .key
-                .clone()
-                .map(|key| (caller.workspace.clone(), key)),
-        )
+        let key = submission.key.clone();
+        Self(key.map(|key| (caller.workspace.clone(), key)))
     }
 
     /// Returns the problem to report for a refused request.
@@ -132,7 +125,7 @@
     respond(request, Buffered::problem(problem))
 }
 
-fn bad_request_problem(caller: &Caller, message: impl Into<String>) -> Problem {
+fn bad_request(caller: &Caller, message: impl Into<String>) -> Problem {
     Problem::refused(Refusal::BadRequest, None, Some(caller.request.clone())).with_message(message)
 }
 
@@ -141,7 +134,7 @@
         return Ok(None);
     };
     let parsed = text.trim().parse().map(Some);
-    parsed.map_err(|_| bad_request_problem(caller, format!("header {name} must be a whole number")))
+    parsed.map_err(|_| bad_request(caller, format!("header {name} must be a whole number")))
 }
 
 fn parse_flag(caller: &Caller, request: &Request<'_>, name: &str) -> Result<Option<bool>, Problem> {
@@ -149,7 +142,7 @@
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
-        Some(_) => Err(bad_request_problem(
+        Some(_) => Err(bad_request(
             caller,
             format!("header {name} must be true or false"),
         )),
@@ -159,11 +152,11 @@
 fn parse_key(caller: &Caller, request: &Request<'_>) -> Result<Option<String>, Problem> {
     const MAX_BYTES: usize = 256;
     match request.headers().get_one("idempotency-key") {
-        Some("") => Err(bad_request_problem(
+        Some("") => Err(bad_request(
             caller,
             "header idempotency-key must not be empty",
         )),
-        Some(key) if key.len() > MAX_BYTES => Err(bad_request_problem(
+        Some(key) if key.len() > MAX_BYTES => Err(bad_request(
             caller,
             format!("header idempotency-key must have at most {MAX_BYTES} bytes"),
         )),
@@ -172,9 +165,8 @@
 }
 
 fn forwarded_headers(request: &Request<'_>) -> Vec<(String, String)> {
-    request
-        .headers()
-        .iter()
+    let headers = request.headers().iter();
+    headers
         .map(|header| {
             let name = header.name().as_str().to_ascii_lowercase();
             (name, header.value().to_owned())
@@ -248,7 +240,7 @@
         let result = async {
             submission.body = body::read(&mut caller, data, length).await?;
             let parsed = wire::parse(&submission.body)
-                .map_err(|error| bad_request_problem(&caller, error.to_string()))?;
+                .map_err(|error| bad_request(&caller, error.to_string()))?;
             submission.is_model_request = true;
             submission.path = request.uri().path().to_string();
             submission.service.clone_from(&parsed.service);
@@ -351,9 +343,8 @@
     /// Returns the next reply, or `None` once the caller has disconnected.
     async fn next(&mut self) -> Option<Reply> {
         loop {
-            let reply = timeout(KEEP_ALIVE_INTERVAL, next(&mut self.exchange))
-                .await
-                .ok();
+            let reply = timeout(KEEP_ALIVE_INTERVAL, next(&mut self.exchange)).await;
+            let reply = reply.ok();
             if self.last_check.elapsed() >= KEEP_ALIVE_INTERVAL {
                 self.last_check = Instant::now();
                 let is_disconnected = self
--- a/crates/kumquatdrum_gateway/src/pool.rs
+++ b/crates/kumquatdrum_gateway/src/pool.rs
@@ -295,12 +295,11 @@
             job: job.id,
             last_broadcast: None,
         };
+        let clock = &self.dependencies.clock;
         loop {
             let changed = service.changed.notified();
             match self.try_pick(&service, request, job) {
-                Err(Rejection::NoCapacity(waiter))
-                    if self.dependencies.clock.now() < job.deadline =>
-                {
+                Err(Rejection::NoCapacity(waiter)) if clock.now() < job.deadline => {
                     entry.broadcast_if_due(waiter);
                 }
                 Ok(pick) => {
@@ -323,8 +322,7 @@
         let mut state = service.state.lock();
         match &mut state.policy {
             Policy::Engines(planner) => {
-                let decision = planner.place(now, job);
-                let (plan, diagnostics) = match decision {
+                let (plan, diagnostics) = match planner.place(now, job) {
                     Decision::Send(plan, diagnostics) => (plan, diagnostics),
                     Decision::Wait(waiter) => return Err(Rejection::NoCapacity(waiter)),
                     Decision::TooCostly => return Err(Rejection::TooCostly),
--- a/crates/kumquatdrum_host/src/members.rs
+++ b/crates/kumquatdrum_host/src/members.rs
@@ -477,12 +477,9 @@
 
     /// Returns the data centres without a reachable host.
     pub fn unreachable_data_centres(&self) -> Vec<DataCentre> {
-        self.state
-            .lock()
-            .membership
-            .unreachable_data_centres()
-            .cloned()
-            .collect()
+        let state = self.state.lock();
+        let unreachable = state.membership.unreachable_data_centres();
+        unreachable.cloned().collect()
     }
 }
 
